--- a/internal/command/proxy/exit.go
+++ b/internal/command/proxy/exit.go
@@ -2,30 +2,30 @@
 
 import "errors"
 
-// Exit is the code that the process ends with.
-type Exit int
+// ExitCode is the code that the process ends with.
+type ExitCode int
 
 // The exit codes.
 const (
-	ExitOK Exit = iota
+	ExitOK ExitCode = iota
 	ExitFailed
-	ExitInput
+	ExitInvalidInput
 	ExitConflict
 	ExitUnavailable
-	ExitUnknown
+	ExitOutcomeUnknown
 )
 
 // exits lists the exit codes for help and documents.
 var exits = []struct {
-	code    Exit
+	code    ExitCode
 	meaning string
 }{
 	{ExitOK, "done"},
 	{ExitFailed, "failed, for a reason that is none of those below"},
-	{ExitInput, "bad input: a wrong argument, or a file with faults"},
+	{ExitInvalidInput, "bad input: a wrong argument, or a file with faults"},
 	{ExitConflict, "conflict: another manifest than expected is accepted; nothing changed"},
 	{ExitUnavailable, "unavailable: the instance or the platform was not reached; nothing changed"},
-	{ExitUnknown, "unknown outcome: the change may have happened; look before trying again"},
+	{ExitOutcomeUnknown, "unknown outcome: the change may have happened; look before trying again"},
 }
 
 // -----------------------------------------------------------------------------
@@ -34,57 +34,57 @@
 // failure is the sealed interface of what a verb may fail with.
 type failure interface {
 	error
-	exit() Exit
+	exit() ExitCode
 }
 
 // UsageError reports arguments that make no sense.
-type UsageError struct{ Why string }
+type UsageError struct{ Reason string }
 
 // Error implements error.
 func (e *UsageError) Error() string {
-	return e.Why + "; see '" + program + " help'"
+	return e.Reason + "; see '" + program + " help'"
 }
 
 // InputError reports a file that can't be read or has faults. The faults have
 // been printed.
-type InputError struct{ Why string }
+type InputError struct{ Reason string }
 
 // Error implements error.
-func (e *InputError) Error() string { return e.Why }
+func (e *InputError) Error() string { return e.Reason }
 
 // ConflictError reports that another manifest than expected is accepted.
-type ConflictError struct{ Why string }
+type ConflictError struct{ Reason string }
 
 // Error implements error.
-func (e *ConflictError) Error() string { return "conflict: " + e.Why }
+func (e *ConflictError) Error() string { return "conflict: " + e.Reason }
 
 // UnavailableError reports that the instance, or the platform behind it, was
 // not reached; nothing changed.
-type UnavailableError struct{ Why string }
+type UnavailableError struct{ Reason string }
 
 // Error implements error.
-func (e *UnavailableError) Error() string { return "unavailable: " + e.Why }
+func (e *UnavailableError) Error() string { return "unavailable: " + e.Reason }
 
-// UnknownError reports that a change may or may not have happened.
-type UnknownError struct{ Why string }
+// OutcomeUnknownError reports that a change may or may not have happened.
+type OutcomeUnknownError struct{ Reason string }
 
 // Error implements error.
-func (e *UnknownError) Error() string { return "outcome unknown: " + e.Why }
+func (e *OutcomeUnknownError) Error() string { return "outcome unknown: " + e.Reason }
 
-// AnswerError reports an instance's answer that makes no sense here.
-type AnswerError struct{ Why string }
+// InvalidResponseError reports an instance's answer that makes no sense here.
+type InvalidResponseError struct{ Reason string }
 
 // Error implements error.
-func (e *AnswerError) Error() string { return e.Why }
+func (e *InvalidResponseError) Error() string { return e.Reason }
 
-func (*UsageError) exit() Exit       { return ExitInput }
-func (*InputError) exit() Exit       { return ExitInput }
-func (*ConflictError) exit() Exit    { return ExitConflict }
-func (*UnavailableError) exit() Exit { return ExitUnavailable }
-func (*UnknownError) exit() Exit     { return ExitUnknown }
-func (*AnswerError) exit() Exit      { return ExitFailed }
+func (*UsageError) exit() ExitCode           { return ExitInvalidInput }
+func (*InputError) exit() ExitCode           { return ExitInvalidInput }
+func (*ConflictError) exit() ExitCode        { return ExitConflict }
+func (*UnavailableError) exit() ExitCode     { return ExitUnavailable }
+func (*OutcomeUnknownError) exit() ExitCode  { return ExitOutcomeUnknown }
+func (*InvalidResponseError) exit() ExitCode { return ExitFailed }
 
-func exitOf(err error) Exit {
+func exitOf(err error) ExitCode {
 	var typed failure
 	if errors.As(err, &typed) {
 		return typed.exit()
--- a/internal/command/proxy/operator.go
+++ b/internal/command/proxy/operator.go
@@ -40,13 +40,13 @@
 	if f.Token == "" {
 		return "", nil
 	}
-	secret, valid := settings.ParseSecret(f.Token)
+	secret, valid := settings.ParseSecretReference(f.Token)
 	if !valid {
-		return "", &UsageError{Why: "--token wants a reference, file:PATH or env:NAME"}
+		return "", &UsageError{Reason: "--token wants a reference, file:PATH or env:NAME"}
 	}
 	token, err := secret.Load()
 	if err != nil {
-		return "", &InputError{Why: err.Error()}
+		return "", &InputError{Reason: err.Error()}
 	}
 	return token, nil
 }
--- a/internal/command/proxy/operator_http.go
+++ b/internal/command/proxy/operator_http.go
@@ -56,17 +56,17 @@
 	if err != nil {
 		return 0, h.changeFailure(err)
 	}
-	switch decision.Error {
+	switch decision.Outcome {
 	case message.SubmitOK.String():
-		return decision.Number, nil
+		return decision.ManifestNumber, nil
 	case message.SubmitInvalid.String():
-		return 0, &InputError{Why: decision.Detail}
+		return 0, &InputError{Reason: decision.Detail}
 	case message.SubmitConflict.String():
-		return 0, &ConflictError{Why: decision.Detail}
+		return 0, &ConflictError{Reason: decision.Detail}
 	case message.SubmitUnavailable.String():
-		return 0, &UnavailableError{Why: decision.Detail}
+		return 0, &UnavailableError{Reason: decision.Detail}
 	default:
-		return 0, &UnknownError{Why: decision.Detail}
+		return 0, &OutcomeUnknownError{Reason: decision.Detail}
 	}
 }
 
@@ -76,7 +76,7 @@
 		return h.questionFailure(err)
 	}
 	if err := json.Unmarshal(body, result); err != nil {
-		return &AnswerError{Why: "the answer can't be read: " + err.Error()}
+		return &InvalidResponseError{Reason: "the answer can't be read: " + err.Error()}
 	}
 	return nil
 }
@@ -97,27 +97,27 @@
 	if errors.As(err, &network) && network.Op == "dial" {
 		return h.unreachable()
 	}
-	return &UnknownError{Why: fmt.Sprintf("no answer from %s", h.address)}
+	return &OutcomeUnknownError{Reason: fmt.Sprintf("no answer from %s", h.address)}
 }
 
 func (h *httpInstance) unreachable() error {
-	return &UnavailableError{Why: fmt.Sprintf("no answer from %s", h.address)}
+	return &UnavailableError{Reason: fmt.Sprintf("no answer from %s", h.address)}
 }
 
 // answerFailure returns the failure that an instance's answer stands for.
 func answerFailure(err error) (error, bool) {
-	var answer *operator.AnswerError
+	var answer *operator.StatusError
 	if !errors.As(err, &answer) {
 		return nil, false
 	}
 	switch answer.Status {
 	case http.StatusUnauthorized, http.StatusForbidden:
-		return &InputError{Why: "the instance does not take the token"}, true
+		return &InputError{Reason: "the instance does not take the token"}, true
 	case http.StatusServiceUnavailable:
-		return &UnavailableError{Why: answer.Detail}, true
+		return &UnavailableError{Reason: answer.Detail}, true
 	case http.StatusOK:
-		return &UnknownError{Why: "the instance's answer can't be read"}, true
+		return &OutcomeUnknownError{Reason: "the instance's answer can't be read"}, true
 	default:
-		return &AnswerError{Why: answer.Error()}, true
+		return &InvalidResponseError{Reason: answer.Error()}, true
 	}
 }
--- a/internal/command/proxy/proxy.go
+++ b/internal/command/proxy/proxy.go
@@ -52,13 +52,13 @@
 // Entry points.
 
 // Main runs the arguments of the process.
-func Main() Exit {
+func Main() ExitCode {
 	console := &Console{Context: context.Background(), In: os.Stdin, Out: os.Stdout, Err: os.Stderr}
 	return Run(os.Args[1:], console)
 }
 
 // Run runs one command line, without the name of the program.
-func Run(args []string, console *Console) Exit {
+func Run(args []string, console *Console) ExitCode {
 	if len(args) == 0 {
 		args = []string{"help"}
 	}
@@ -89,7 +89,7 @@
 	}
 	selected, err := parser.Parse(args)
 	if err != nil {
-		return &UsageError{Why: err.Error()}
+		return &UsageError{Reason: err.Error()}
 	}
 	return selected.Run(console)
 }
--- a/internal/command/proxy/proxy_test.go
+++ b/internal/command/proxy/proxy_test.go
@@ -20,7 +20,7 @@
 var update = flag.Bool("update", false, "write expected outputs and documents anew")
 
 // runLine runs a command line as a shell would, without quoting.
-func runLine(line string) (out, failures string, code Exit) {
+func runLine(line string) (out, failures string, code ExitCode) {
 	var stdout, stderr bytes.Buffer
 	console := &Console{Context: context.Background(), In: strings.NewReader(""), Out: &stdout, Err: &stderr}
 	code = Run(strings.Fields(strings.TrimPrefix(line, program)), console)
@@ -135,7 +135,7 @@
 	if _, err := caller.ParsePasswordHash(strings.TrimSpace(stdout.String())); err != nil {
 		t.Errorf("hash printed %q: %v", &stdout, err)
 	}
-	if _, failures, code := runLine("hash"); code != ExitInput || failures == "" {
+	if _, failures, code := runLine("hash"); code != ExitInvalidInput || failures == "" {
 		t.Errorf("hash without a password = %d, %q", code, failures)
 	}
 }
--- a/internal/command/proxy/table.go
+++ b/internal/command/proxy/table.go
@@ -44,7 +44,7 @@
 func printJSON(console *Console, value any) error {
 	body, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
-		return &AnswerError{Why: err.Error()}
+		return &InvalidResponseError{Reason: err.Error()}
 	}
 	console.printf("%s\n", body)
 	return nil
--- a/internal/command/proxy/verb_check.go
+++ b/internal/command/proxy/verb_check.go
@@ -38,7 +38,7 @@
 		}
 	}
 	if bad > 0 {
-		return &InputError{Why: fmt.Sprintf("%d of %d files have faults", bad, len(c.Files))}
+		return &InputError{Reason: fmt.Sprintf("%d of %d files have faults", bad, len(c.Files))}
 	}
 	return nil
 }
@@ -67,13 +67,13 @@
 }
 
 // inspections maps the kinds of files to what checks them.
-var inspections = map[string]func(body []byte) ([]toml.Fault, error){
-	"settings": func(body []byte) ([]toml.Fault, error) {
-		_, warnings, err := settings.Inspect(body)
+var inspections = map[string]func(body []byte) ([]toml.Diagnostic, error){
+	"settings": func(body []byte) ([]toml.Diagnostic, error) {
+		_, warnings, err := settings.ParseWithWarnings(body)
 		return warnings, err
 	},
-	"manifest": func(body []byte) ([]toml.Fault, error) {
-		_, warnings, err := manifest.Inspect(body)
+	"manifest": func(body []byte) ([]toml.Diagnostic, error) {
+		_, warnings, err := manifest.ParseWithWarnings(body)
 		return warnings, err
 	},
 }
@@ -81,7 +81,7 @@
 // kindOf tells the kind of a file by keys that only this kind has. A file that
 // is no TOML counts as a manifest: both readers report the same fault for it.
 func kindOf(body []byte) string {
-	root, err := toml.Read(body)
+	root, err := toml.Parse(body)
 	if err != nil {
 		return "manifest"
 	}
@@ -100,15 +100,15 @@
 
 // printFaults prints what an inspection found and reports whether the file
 // passed.
-func printFaults(console *Console, file string, warnings []toml.Fault, err error) bool {
+func printFaults(console *Console, file string, warnings []toml.Diagnostic, err error) bool {
 	for _, warning := range warnings {
-		console.printf("%s:%d: warning: %s: %s\n", file, warning.Line, warning.Key, warning.Text)
+		console.printf("%s:%d: warning: %s: %s\n", file, warning.Line, warning.Key, warning.Message)
 	}
-	var faults *toml.FaultsError
+	var faults *toml.ValidationError
 	if !errors.As(err, &faults) {
 		return err == nil
 	}
-	for _, fault := range faults.Faults {
+	for _, fault := range faults.Diagnostics {
 		console.printf("%s:%s\n", file, fault)
 	}
 	return false
--- a/internal/command/proxy/verb_explain.go
+++ b/internal/command/proxy/verb_explain.go
@@ -22,10 +22,10 @@
 
 // Run tells the story.
 func (c *explainCommand) Run(console *Console) error {
-	err := story.Tell(console.In, console.Out, c.Name)
+	err := story.WriteTimeline(console.In, console.Out, c.Name)
 	var missing *story.NotFoundError
 	if errors.As(err, &missing) {
-		return &InputError{Why: err.Error()}
+		return &InputError{Reason: err.Error()}
 	}
 	return err
 }
--- a/internal/command/proxy/verb_hash.go
+++ b/internal/command/proxy/verb_hash.go
@@ -23,7 +23,7 @@
 	line, _ := bufio.NewReader(console.In).ReadString('\n')
 	password := strings.TrimSpace(line)
 	if password == "" {
-		return &InputError{Why: "standard input holds no password"}
+		return &InputError{Reason: "standard input holds no password"}
 	}
 	hash, err := caller.NewPasswordHash(password)
 	if err != nil {
--- a/internal/command/proxy/verb_help.go
+++ b/internal/command/proxy/verb_help.go
@@ -48,7 +48,7 @@
 		console.printf("%s", text)
 		return nil
 	}
-	return &UsageError{Why: fmt.Sprintf("there is no verb and no topic %q", c.Topic)}
+	return &UsageError{Reason: fmt.Sprintf("there is no verb and no topic %q", c.Topic)}
 }
 
 func printOverview(console *Console) {
--- a/internal/command/proxy/verb_logbook.go
+++ b/internal/command/proxy/verb_logbook.go
@@ -51,31 +51,31 @@
 	return nil
 }
 
-func decodeRecords(raw []any) ([]engine.Record, error) {
+func decodeRecords(raw []any) ([]engine.PromotionRecord, error) {
 	body, err := json.Marshal(raw)
 	if err != nil {
-		return nil, &AnswerError{Why: err.Error()}
+		return nil, &InvalidResponseError{Reason: err.Error()}
 	}
-	var records []engine.Record
+	var records []engine.PromotionRecord
 	if err := json.Unmarshal(body, &records); err != nil {
-		return nil, &AnswerError{Why: "the records can't be read: " + err.Error()}
+		return nil, &InvalidResponseError{Reason: "the records can't be read: " + err.Error()}
 	}
 	return records, nil
 }
 
-func printRecord(console *Console, record engine.Record) {
+func printRecord(console *Console, record engine.PromotionRecord) {
 	console.printf("%s  %s  term %d  %s -> %s  at %s  by %s\n",
-		record.Promoted.UTC().Format(time.RFC3339), record.Group, record.Term,
-		orNone(string(record.Before)), record.Primary, record.Position, record.Steward)
+		record.PromotedAt.UTC().Format(time.RFC3339), record.Group, record.Term,
+		orNone(string(record.PreviousPrimary)), record.Primary, record.Position, record.Coordinator)
 	console.printf("    reason: %s\n", record.Reason)
 	if len(record.Evidence) > 0 {
 		console.printf("    evidence: %s\n", strings.Join(record.Evidence, "; "))
 	}
-	for _, fenced := range record.Fenced {
+	for _, fenced := range record.FencedDatabases {
 		console.printf("    fenced: %s at %s\n", fenced.Database, fenced.Position)
 	}
-	if !record.Suspected.IsZero() {
+	if !record.SuspectedAt.IsZero() {
 		console.printf("    took: %s from the first suspicion, %s from the claim\n",
-			round(record.Promoted.Sub(record.Suspected)), round(record.Promoted.Sub(record.Claimed)))
+			round(record.PromotedAt.Sub(record.SuspectedAt)), round(record.PromotedAt.Sub(record.ClaimedAt)))
 	}
 }
--- a/internal/command/proxy/verb_serve.go
+++ b/internal/command/proxy/verb_serve.go
@@ -43,10 +43,10 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
 	err = serve.Run(console.Context, serve.Options{
-		Settings: read,
-		Version:  Version,
-		Signals:  signals,
-		Log:      console.Err,
+		Settings:  read,
+		Version:   Version,
+		Signals:   signals,
+		LogWriter: console.Err,
 	})
 	return asInputError(err)
 }
@@ -56,7 +56,7 @@
 	var secret *settings.SecretError
 	var certificate *serve.CertificateError
 	if errors.As(err, &secret) || errors.As(err, &certificate) {
-		return &InputError{Why: err.Error()}
+		return &InputError{Reason: err.Error()}
 	}
 	return err
 }
@@ -64,12 +64,12 @@
 func (c *serveCommand) readSettings(console *Console) (*settings.Settings, error) {
 	body, err := os.ReadFile(c.Settings)
 	if err != nil {
-		return nil, &InputError{Why: fmt.Sprintf("%s: %v", c.Settings, errors.Unwrap(err))}
+		return nil, &InputError{Reason: fmt.Sprintf("%s: %v", c.Settings, errors.Unwrap(err))}
 	}
-	read, warnings, err := settings.Inspect(body)
+	read, warnings, err := settings.ParseWithWarnings(body)
 	onError := &Console{Out: console.Err}
 	if !printFaults(onError, c.Settings, warnings, err) {
-		return nil, &InputError{Why: c.Settings + " has faults"}
+		return nil, &InputError{Reason: c.Settings + " has faults"}
 	}
 	return read, nil
 }
--- a/internal/command/proxy/verb_status.go
+++ b/internal/command/proxy/verb_status.go
@@ -41,7 +41,7 @@
 
 func printStatus(console *Console, report status.Status) {
 	console.printf("instance %s in %s, manifest %d, %d sessions, %d requests",
-		report.Instance, report.Zone, report.Manifest, report.Sessions, report.Requests)
+		report.Instance, report.Zone, report.ManifestNumber, report.OpenSessions, report.OpenRequests)
 	if report.Draining {
 		console.printf(", draining")
 	}
@@ -53,7 +53,7 @@
 		console.printf("\npeers\n")
 		peers := newTable("instance", "zone", "address", "alive", "leaving", "manifest", "silent")
 		for _, peer := range report.Peers {
-			peers.add(peer.Instance, peer.Zone, peer.Address, peer.Alive, peer.Leaving, peer.Manifest, round(peer.Silent))
+			peers.add(peer.Instance, peer.Zone, peer.Address, peer.Alive, peer.Leaving, peer.ManifestNumber, round(peer.TimeSinceHeartbeat))
 		}
 		peers.print(console)
 	}
@@ -65,17 +65,17 @@
 
 func printGroup(console *Console, group status.Group) {
 	console.printf("\ngroup %s, term %d, primary %s, proven %s, proof %s, change %s\n",
-		group.Name, group.Term, orNone(group.Primary), group.Proven, round(group.Proof), orNone(group.Change))
+		group.Name, group.Term, orNone(group.Primary), group.DurablePosition, round(group.TermConfirmationAge), orNone(group.FailoverStep))
 	for _, evidence := range group.Evidence {
 		console.printf("  evidence: %s\n", evidence)
 	}
-	if group.Proving+group.Settling > 0 {
-		console.printf("  commits waiting for a proof: %d, outcomes being settled: %d\n", group.Proving, group.Settling)
+	if group.CommitsAwaitingQuorum+group.InDoubtCommits > 0 {
+		console.printf("  commits waiting for a proof: %d, outcomes being settled: %d\n", group.CommitsAwaitingQuorum, group.InDoubtCommits)
 	}
 	databases := newTable("database", "zone", "role", "term", "received", "applied", "state", "silent", "lag", "running")
 	for _, database := range group.Databases {
-		databases.add(database.Name, database.Zone, database.Role, database.Term, database.Received,
-			database.Applied, databaseState(database), round(database.Silent), round(database.Lag), database.Running)
+		databases.add(database.Name, database.Zone, database.Role, database.Term, database.ReceivedPosition,
+			database.AppliedPosition, databaseState(database), round(database.TimeSinceAnswer), round(database.ReplicationLag), database.RunningRequests)
 	}
 	databases.print(console)
 }
--- a/internal/command/proxy/verb_submit.go
+++ b/internal/command/proxy/verb_submit.go
@@ -57,11 +57,11 @@
 func (c *submitCommand) readFile(console *Console) ([]byte, *manifest.Manifest, error) {
 	body, err := os.ReadFile(c.File)
 	if err != nil {
-		return nil, nil, &InputError{Why: fmt.Sprintf("%s: %v", c.File, errors.Unwrap(err))}
+		return nil, nil, &InputError{Reason: fmt.Sprintf("%s: %v", c.File, errors.Unwrap(err))}
 	}
-	declared, warnings, err := manifest.Inspect(body)
+	declared, warnings, err := manifest.ParseWithWarnings(body)
 	if !printFaults(console, c.File, warnings, err) {
-		return nil, nil, &InputError{Why: c.File + " has faults"}
+		return nil, nil, &InputError{Reason: c.File + " has faults"}
 	}
 	return body, declared, nil
 }
@@ -83,12 +83,12 @@
 		return err
 	}
 	if report.Number != c.Expected {
-		return &ConflictError{Why: fmt.Sprintf("manifest %d is in force, and %d was expected", report.Number, c.Expected)}
+		return &ConflictError{Reason: fmt.Sprintf("manifest %d is in force, and %d was expected", report.Number, c.Expected)}
 	}
 	var before *manifest.Manifest
 	if report.Number > 0 {
 		if before, err = manifest.Parse([]byte(report.Body)); err != nil {
-			return &AnswerError{Why: fmt.Sprintf("the manifest in force can't be read: %v", err)}
+			return &InvalidResponseError{Reason: fmt.Sprintf("the manifest in force can't be read: %v", err)}
 		}
 	}
 	changes := manifest.Diff(before, declared)
--- a/internal/config/manifest/manifest.go
+++ b/internal/config/manifest/manifest.go
@@ -38,9 +38,9 @@
 	// Ranks are the ranks of work, the most urgent first.
 	Ranks []Rank
 	// Kinds are the kinds of work that callers may name.
-	Kinds []Kind
+	Kinds []RequestKind
 	// Limits bounds what the instances together may use of one database.
-	Limits Limits
+	Limits DatabaseLimits
 }
 
 // Group is a set of databases that replicate one log.
@@ -61,41 +61,41 @@
 // Rank is one rank of work.
 type Rank struct {
 	Name string
-	// Target is the time within which an answer is worth its full value.
-	Target time.Duration
-	// Worth is the value of one answer inside its target, relative to the
+	// LatencyTarget is the time within which an answer is worth its full value.
+	LatencyTarget time.Duration
+	// Value is the value of one answer inside its target, relative to the
 	// other ranks.
-	Worth float64
-	// Floor is the share of slots, from 0 to 1, that the rank keeps while
+	Value float64
+	// MinSlotShare is the share of slots, from 0 to 1, that the rank keeps while
 	// others flood. All floors together are at most 1.
-	Floor float64
+	MinSlotShare float64
 }
 
-// Kind is one kind of work. A request that names none is of the kind
+// RequestKind is one kind of work. A request that names none is of the kind
 // "default": a write of the middle rank that is not repeated.
-type Kind struct {
+type RequestKind struct {
 	Name   string
 	Rank   model.Rank
 	Access model.Access
-	// Bounded tells whether Stale applies; without a bound a read has
+	// HasStalenessBound tells whether Stale applies; without a bound a read has
 	// session consistency only.
-	Bounded bool
-	// Stale is the greatest age of the data that a read may see.
-	Stale time.Duration
+	HasStalenessBound bool
+	// MaxStaleness is the greatest age of the data that a read may see.
+	MaxStaleness time.Duration
 	// Deadline is the time after which an answer has no worth.
 	Deadline time.Duration
-	// Repeat allows the proxy to run the work a second time.
-	Repeat bool
+	// Retryable allows the proxy to run the work a second time.
+	Retryable bool
 }
 
-// Limits bounds what all instances together may use of one database.
-type Limits struct {
-	// Slots is the number of statements that one database runs at once.
-	Slots int
-	// Connections is the number of connections that one database accepts.
-	Connections int
-	// Reserve is the number of those kept free for control.
-	Reserve int
-	// Open is the time that a new connection takes.
-	Open time.Duration
+// DatabaseLimits bounds what all instances together may use of one database.
+type DatabaseLimits struct {
+	// MaxConcurrentStatements is the number of statements that one database runs at once.
+	MaxConcurrentStatements int
+	// MaxConnections is the number of connections that one database accepts.
+	MaxConnections int
+	// ReservedConnections is the number of those kept free for control.
+	ReservedConnections int
+	// ConnectTime is the time that a new connection takes.
+	ConnectTime time.Duration
 }
--- a/internal/config/manifest/manifest_test.go
+++ b/internal/config/manifest/manifest_test.go
@@ -45,7 +45,7 @@
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			body, _ := os.ReadFile(path)
-			_, warnings, err := Inspect(body)
+			_, warnings, err := ParseWithWarnings(body)
 			if err == nil {
 				t.Fatal("no faults were found")
 			}
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, warnings, err := Inspect(body)
+	m, warnings, err := ParseWithWarnings(body)
 	if err != nil || len(warnings) > 0 {
 		t.Fatalf("Inspect(%s) = %v, warnings %v", name, err, warnings)
 	}
@@ -78,8 +78,8 @@
 	for name, slots := range map[string]int{"consortium": 3, "reparto": 2} {
 		t.Run(name, func(t *testing.T) {
 			_, m := readExample(t, name)
-			if m.Limits.Slots != slots || len(m.Groups) != 3 || len(m.Ranks) != 3 {
-				t.Errorf("%d slots, %d groups, %d ranks", m.Limits.Slots, len(m.Groups), len(m.Ranks))
+			if m.Limits.MaxConcurrentStatements != slots || len(m.Groups) != 3 || len(m.Ranks) != 3 {
+				t.Errorf("%d slots, %d groups, %d ranks", m.Limits.MaxConcurrentStatements, len(m.Groups), len(m.Ranks))
 			}
 			compareGolden(t, "testdata/"+name+".golden", string(Format(m)))
 		})
@@ -88,7 +88,7 @@
 
 func TestDefaultKind(t *testing.T) {
 	_, m := readExample(t, "consortium")
-	want := Kind{Name: "default", Rank: 1, Access: model.AccessWrite, Deadline: 10 * time.Second}
+	want := RequestKind{Name: "default", Rank: 1, Access: model.AccessWrite, Deadline: 10 * time.Second}
 	if diff := cmp.Diff(want, m.Kinds[len(m.Kinds)-1]); diff != "" {
 		t.Errorf("default kind (-want +got):\n%s", diff)
 	}
@@ -119,27 +119,27 @@
 func drawManifest(t *rapid.T) *Manifest {
 	duration := rapid.Int64Range(1, int64(time.Hour))
 	m := &Manifest{Service: "s"}
-	m.Limits.Slots = rapid.IntRange(1, 9).Draw(t, "slots")
-	m.Limits.Connections = rapid.IntRange(m.Limits.Slots, 99).Draw(t, "connections")
-	m.Limits.Reserve = rapid.IntRange(0, m.Limits.Connections-1).Draw(t, "reserve")
-	m.Limits.Open = time.Duration(duration.Draw(t, "open"))
+	m.Limits.MaxConcurrentStatements = rapid.IntRange(1, 9).Draw(t, "slots")
+	m.Limits.MaxConnections = rapid.IntRange(m.Limits.MaxConcurrentStatements, 99).Draw(t, "connections")
+	m.Limits.ReservedConnections = rapid.IntRange(0, m.Limits.MaxConnections-1).Draw(t, "reserve")
+	m.Limits.ConnectTime = time.Duration(duration.Draw(t, "open"))
 	for i := range rapid.IntRange(1, 4).Draw(t, "ranks") {
 		m.Ranks = append(m.Ranks, Rank{
-			Name:   fmt.Sprintf("r%d", i),
-			Target: time.Duration(duration.Draw(t, "target")),
-			Worth:  rapid.Float64Range(0.001, 1e9).Draw(t, "worth"),
-			Floor:  rapid.Float64Range(0, 0.25).Draw(t, "floor"),
+			Name:          fmt.Sprintf("r%d", i),
+			LatencyTarget: time.Duration(duration.Draw(t, "target")),
+			Value:         rapid.Float64Range(0.001, 1e9).Draw(t, "worth"),
+			MinSlotShare:  rapid.Float64Range(0, 0.25).Draw(t, "floor"),
 		})
 	}
 	for i := range rapid.IntRange(0, 4).Draw(t, "kinds") {
-		kind := Kind{Name: fmt.Sprintf("k%d", i), Deadline: time.Duration(duration.Draw(t, "deadline"))}
+		kind := RequestKind{Name: fmt.Sprintf("k%d", i), Deadline: time.Duration(duration.Draw(t, "deadline"))}
 		kind.Rank = model.Rank(rapid.IntRange(0, len(m.Ranks)-1).Draw(t, "rank"))
-		kind.Repeat = rapid.Bool().Draw(t, "repeat")
+		kind.Retryable = rapid.Bool().Draw(t, "repeat")
 		if rapid.Bool().Draw(t, "read") {
-			kind.Access, kind.Bounded = model.AccessRead, rapid.Bool().Draw(t, "bounded")
+			kind.Access, kind.HasStalenessBound = model.AccessRead, rapid.Bool().Draw(t, "bounded")
 		}
-		if kind.Bounded {
-			kind.Stale = time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "stale"))
+		if kind.HasStalenessBound {
+			kind.MaxStaleness = time.Duration(rapid.Int64Range(0, int64(time.Hour)).Draw(t, "stale"))
 		}
 		m.Kinds = append(m.Kinds, kind)
 	}
--- a/internal/config/manifest/parse.go
+++ b/internal/config/manifest/parse.go
@@ -11,11 +11,11 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// FaultsError lists everything that is wrong with a document.
-type FaultsError = toml.FaultsError
+// ValidationError lists everything that is wrong with a document.
+type ValidationError = toml.ValidationError
 
-// Fault is one entry of a FaultsError.
-type Fault = toml.Fault
+// Diagnostic is one entry of a ValidationError.
+type Diagnostic = toml.Diagnostic
 
 const (
 	// DefaultKind is the kind of requests that name none.
@@ -23,9 +23,9 @@
 	// DefaultDeadline is the deadline of DefaultKind where the document
 	// declares no such kind.
 	DefaultDeadline = 10 * time.Second
-	// DefaultOpen is the time to open a connection where the document gives
+	// DefaultConnectTime is the time to open a connection where the document gives
 	// none.
-	DefaultOpen = 12 * time.Millisecond
+	DefaultConnectTime = 12 * time.Millisecond
 	// leastDatabases is the number of databases from which on a majority
 	// survives the loss of one.
 	leastDatabases = 3
@@ -36,15 +36,15 @@
 // -----------------------------------------------------------------------------
 // Reading.
 
-// Parse reads a document and checks it whole. Its error is a *FaultsError.
+// Parse reads a document and checks it whole. Its error is a *ValidationError.
 func Parse(body []byte) (*Manifest, error) {
-	m, _, err := Inspect(body)
+	m, _, err := ParseWithWarnings(body)
 	return m, err
 }
 
-// Inspect is Parse, with warnings about what is allowed but unwise.
-func Inspect(body []byte) (m *Manifest, warnings []Fault, err error) {
-	root, err := toml.Read(body)
+// ParseWithWarnings is Parse, with warnings about what is allowed but unwise.
+func ParseWithWarnings(body []byte) (m *Manifest, warnings []Diagnostic, err error) {
+	root, err := toml.Parse(body)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -68,14 +68,14 @@
 }
 
 type reader struct {
-	warnings  []Fault
+	warnings  []Diagnostic
 	ranks     map[string]model.Rank
 	databases map[string]bool
 	addresses map[netip.AddrPort]bool
 }
 
 func (r *reader) read(root *toml.Table) *Manifest {
-	root.Need("service", "rank", "group")
+	root.Require("service", "rank", "group")
 	m := &Manifest{Service: readName(root, "service", map[string]bool{})}
 	m.Limits = readLimits(root.Table("limits"))
 	m.Ranks = r.readRanks(root.Tables("rank"))
@@ -90,10 +90,10 @@
 	name, found := table.Text(key)
 	switch {
 	case !found:
-	case !toml.IsName(name):
-		table.Fault(key, "%q is no name: %s", name, toml.NameForm)
+	case !toml.IsValidName(name):
+		table.Errorf(key, "%q is no name: %s", name, toml.NameSyntax)
 	case taken[name]:
-		table.Fault(key, "%q is declared twice", name)
+		table.Errorf(key, "%q is declared twice", name)
 	}
 	taken[name] = true
 	return name
@@ -102,30 +102,30 @@
 // -----------------------------------------------------------------------------
 // Limits.
 
-func readLimits(table *toml.Table) Limits {
-	table.Need("slots", "connections")
-	limits := Limits{Open: DefaultOpen}
+func readLimits(table *toml.Table) DatabaseLimits {
+	table.Require("slots", "connections")
+	limits := DatabaseLimits{ConnectTime: DefaultConnectTime}
 	slots, hasSlots := table.Int("slots")
 	connections, hasConnections := table.Int("connections")
-	limits.Slots, limits.Connections = slots, connections
-	limits.Reserve, _ = table.Int("reserve")
+	limits.MaxConcurrentStatements, limits.MaxConnections = slots, connections
+	limits.ReservedConnections, _ = table.Int("reserve")
 	if open, found := table.Duration("open"); found {
-		limits.Open = open
+		limits.ConnectTime = open
 	}
 	if hasSlots && slots < 1 {
-		table.Fault("slots", "must be at least 1")
+		table.Errorf("slots", "must be at least 1")
 	}
 	if hasConnections && connections < 1 {
-		table.Fault("connections", "must be at least 1")
+		table.Errorf("connections", "must be at least 1")
 	}
 	if hasSlots && hasConnections && slots > connections {
-		table.Fault("slots", "%d slots need as many connections, and there are %d", slots, connections)
+		table.Errorf("slots", "%d slots need as many connections, and there are %d", slots, connections)
 	}
-	if limits.Reserve < 0 || hasConnections && limits.Reserve >= connections {
-		table.Fault("reserve", "must be from 0 to below connections")
+	if limits.ReservedConnections < 0 || hasConnections && limits.ReservedConnections >= connections {
+		table.Errorf("reserve", "must be from 0 to below connections")
 	}
-	if limits.Open < 0 {
-		table.Fault("open", "must not be negative")
+	if limits.ConnectTime < 0 {
+		table.Errorf("open", "must not be negative")
 	}
 	return limits
 }
@@ -143,68 +143,68 @@
 			r.ranks[rank.Name] = model.Rank(i)
 		}
 		ranks = append(ranks, rank)
-		if floors <= 1+floorSlack && floors+rank.Floor > 1+floorSlack {
-			table.Fault("floor", "all floors together must be at most 1, and here they reach %g", floors+rank.Floor)
+		if floors <= 1+floorSlack && floors+rank.MinSlotShare > 1+floorSlack {
+			table.Errorf("floor", "all floors together must be at most 1, and here they reach %g", floors+rank.MinSlotShare)
 		}
-		floors += rank.Floor
+		floors += rank.MinSlotShare
 	}
 	return ranks
 }
 
 func readRank(table *toml.Table, taken map[string]bool) Rank {
-	table.Need("name", "target", "worth", "floor")
+	table.Require("name", "target", "worth", "floor")
 	rank := Rank{Name: readName(table, "name", taken)}
 	target, hasTarget := table.Duration("target")
 	worth, hasWorth := table.Float("worth")
 	floor, hasFloor := table.Float("floor")
 	if hasTarget && target <= 0 {
-		table.Fault("target", "must be above 0")
+		table.Errorf("target", "must be above 0")
 	}
 	if hasWorth && (!(worth > 0) || math.IsInf(worth, 0)) {
-		table.Fault("worth", "must be above 0")
+		table.Errorf("worth", "must be above 0")
 	}
 	if hasFloor && !(floor >= 0 && floor <= 1) {
-		table.Fault("floor", "must be from 0 to 1")
+		table.Errorf("floor", "must be from 0 to 1")
 		floor = 0
 	}
-	rank.Target, rank.Worth, rank.Floor = target, worth, floor
+	rank.LatencyTarget, rank.Value, rank.MinSlotShare = target, worth, floor
 	return rank
 }
 
 // -----------------------------------------------------------------------------
 // Kinds.
 
-func (r *reader) readKinds(tables []*toml.Table) []Kind {
+func (r *reader) readKinds(tables []*toml.Table) []RequestKind {
 	taken := map[string]bool{}
-	var kinds []Kind
+	var kinds []RequestKind
 	for _, table := range tables {
 		kinds = append(kinds, r.readKind(table, taken))
 	}
 	return kinds
 }
 
-func (r *reader) readKind(table *toml.Table, taken map[string]bool) Kind {
-	table.Need("name", "rank", "access", "deadline")
-	kind := Kind{Name: readName(table, "name", taken)}
+func (r *reader) readKind(table *toml.Table, taken map[string]bool) RequestKind {
+	table.Require("name", "rank", "access", "deadline")
+	kind := RequestKind{Name: readName(table, "name", taken)}
 	if name, found := table.Text("rank"); found {
 		rank, declared := r.ranks[name]
 		if !declared {
-			table.Fault("rank", "there is no rank %q", name)
+			table.Errorf("rank", "there is no rank %q", name)
 		}
 		kind.Rank = rank
 	}
 	kind.Access = readAccess(table)
 	kind.Deadline, _ = table.Duration("deadline")
 	if table.Has("deadline") && kind.Deadline <= 0 {
-		table.Fault("deadline", "must be a duration above 0")
+		table.Errorf("deadline", "must be a duration above 0")
 	}
-	kind.Repeat, _ = table.Bool("repeat")
-	kind.Stale, kind.Bounded = table.Duration("stale")
-	if kind.Bounded && kind.Access != model.AccessRead {
-		table.Fault("stale", "only reads have a bound of staleness")
+	kind.Retryable, _ = table.Bool("repeat")
+	kind.MaxStaleness, kind.HasStalenessBound = table.Duration("stale")
+	if kind.HasStalenessBound && kind.Access != model.AccessRead {
+		table.Errorf("stale", "only reads have a bound of staleness")
 	}
-	if kind.Stale < 0 {
-		table.Fault("stale", "must not be negative")
+	if kind.MaxStaleness < 0 {
+		table.Errorf("stale", "must not be negative")
 	}
 	return kind
 }
@@ -219,7 +219,7 @@
 			return access
 		}
 	}
-	table.Fault("access", "%q is neither \"read\" nor \"write\"", text)
+	table.Errorf("access", "%q is neither \"read\" nor \"write\"", text)
 	return model.AccessRead
 }
 
@@ -231,7 +231,7 @@
 			return
 		}
 	}
-	m.Kinds = append(m.Kinds, Kind{
+	m.Kinds = append(m.Kinds, RequestKind{
 		Name:     DefaultKind,
 		Rank:     model.Rank(len(m.Ranks) / 2),
 		Access:   model.AccessWrite,
@@ -246,7 +246,7 @@
 	taken := map[string]bool{}
 	var groups []Group
 	for _, table := range tables {
-		table.Need("name", "database")
+		table.Require("name", "database")
 		group := Group{Name: model.GroupID(readName(table, "name", taken))}
 		for _, database := range table.Tables("database") {
 			group.Databases = append(group.Databases, r.readDatabase(database))
@@ -263,17 +263,17 @@
 	switch {
 	case size == 0 || size >= leastDatabases && size%2 == 1:
 	case size < leastDatabases:
-		r.warnings = append(r.warnings, Fault{
+		r.warnings = append(r.warnings, Diagnostic{
 			Line: table.Line(""), Key: "group.database",
-			Text: "with fewer than 3 databases no failover is possible when one is lost",
+			Message: "with fewer than 3 databases no failover is possible when one is lost",
 		})
 	default:
-		table.Fault("database", "a group wants an odd number of databases, and here are %d", size)
+		table.Errorf("database", "a group wants an odd number of databases, and here are %d", size)
 	}
 }
 
 func (r *reader) readDatabase(table *toml.Table) Database {
-	table.Need("name", "zone", "address")
+	table.Require("name", "zone", "address")
 	database := Database{Name: model.DatabaseID(readName(table, "name", r.databases))}
 	database.Zone = model.ZoneID(readName(table, "zone", map[string]bool{}))
 	database.Leaving, _ = table.Bool("leaving")
@@ -282,10 +282,10 @@
 		return database
 	}
 	if address.Port() == 0 || address.Addr().IsUnspecified() {
-		table.Fault("address", "%s can't be connected to", address)
+		table.Errorf("address", "%s can't be connected to", address)
 	}
 	if r.addresses[address] {
-		table.Fault("address", "%s is the address of another database too", address)
+		table.Errorf("address", "%s is the address of another database too", address)
 	}
 	r.addresses[address] = true
 	database.Address = address
--- a/internal/config/manifest/print.go
+++ b/internal/config/manifest/print.go
@@ -78,29 +78,29 @@
 	return buffer.Bytes()
 }
 
-func printLimits(limits Limits) printedLimits {
+func printLimits(limits DatabaseLimits) printedLimits {
 	return printedLimits{
-		Slots:       limits.Slots,
-		Connections: limits.Connections,
-		Reserve:     limits.Reserve,
-		Open:        limits.Open.String(),
+		Slots:       limits.MaxConcurrentStatements,
+		Connections: limits.MaxConnections,
+		Reserve:     limits.ReservedConnections,
+		Open:        limits.ConnectTime.String(),
 	}
 }
 
 func printRank(rank Rank) printedRank {
-	return printedRank{Name: rank.Name, Target: rank.Target.String(), Worth: rank.Worth, Floor: rank.Floor}
+	return printedRank{Name: rank.Name, Target: rank.LatencyTarget.String(), Worth: rank.Value, Floor: rank.MinSlotShare}
 }
 
-func (m *Manifest) printKind(kind Kind) printedKind {
+func (m *Manifest) printKind(kind RequestKind) printedKind {
 	printed := printedKind{
 		Name:     kind.Name,
 		Rank:     m.rankName(kind.Rank),
 		Access:   kind.Access.String(),
 		Deadline: kind.Deadline.String(),
-		Repeat:   kind.Repeat,
+		Repeat:   kind.Retryable,
 	}
-	if kind.Bounded {
-		stale := kind.Stale.String()
+	if kind.HasStalenessBound {
+		stale := kind.MaxStaleness.String()
 		printed.Stale = &stale
 	}
 	return printed
@@ -186,10 +186,10 @@
 		return v
 	}
 	v.add("service", m.Service)
-	v.add("limits slots", m.Limits.Slots)
-	v.add("limits connections", m.Limits.Connections)
-	v.add("limits reserve", m.Limits.Reserve)
-	v.add("limits open", m.Limits.Open)
+	v.add("limits slots", m.Limits.MaxConcurrentStatements)
+	v.add("limits connections", m.Limits.MaxConnections)
+	v.add("limits reserve", m.Limits.ReservedConnections)
+	v.add("limits open", m.Limits.ConnectTime)
 	for i, rank := range m.Ranks {
 		v.addRank(i, rank)
 	}
@@ -205,20 +205,20 @@
 func (v *values) addRank(place int, rank Rank) {
 	key := "rank " + rank.Name
 	v.add(key+" place", place+1)
-	v.add(key+" target", rank.Target)
-	v.add(key+" worth", rank.Worth)
-	v.add(key+" floor", rank.Floor)
+	v.add(key+" target", rank.LatencyTarget)
+	v.add(key+" worth", rank.Value)
+	v.add(key+" floor", rank.MinSlotShare)
 }
 
-func (v *values) addKind(m *Manifest, kind Kind) {
+func (v *values) addKind(m *Manifest, kind RequestKind) {
 	key := "kind " + kind.Name
 	v.add(key+" rank", m.rankName(kind.Rank))
 	v.add(key+" access", kind.Access)
-	if kind.Bounded {
-		v.add(key+" stale", kind.Stale)
+	if kind.HasStalenessBound {
+		v.add(key+" stale", kind.MaxStaleness)
 	}
 	v.add(key+" deadline", kind.Deadline)
-	v.add(key+" repeat", kind.Repeat)
+	v.add(key+" repeat", kind.Retryable)
 }
 
 func (v *values) addGroup(group Group) {
--- a/internal/config/settings/parse.go
+++ b/internal/config/settings/parse.go
@@ -11,23 +11,23 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// FaultsError lists everything that is wrong with a settings file.
-type FaultsError = toml.FaultsError
+// ValidationError lists everything that is wrong with a settings file.
+type ValidationError = toml.ValidationError
 
-// Fault is one entry of a FaultsError.
-type Fault = toml.Fault
+// Diagnostic is one entry of a ValidationError.
+type Diagnostic = toml.Diagnostic
 
 const (
-	// DefaultTick is the longest time between two runs of the decisions where
+	// DefaultTickInterval is the longest time between two runs of the decisions where
 	// the settings give none.
-	DefaultTick = 5 * time.Millisecond
-	// DefaultUser is the name that the instance connects to databases with
+	DefaultTickInterval = 5 * time.Millisecond
+	// DefaultDatabaseUser is the name that the instance connects to databases with
 	// where the settings give none.
-	DefaultUser = "eelgrassfold"
+	DefaultDatabaseUser = "eelgrassfold"
 
-	// DefaultLimit is the greatest number of callers' connections where the
+	// DefaultMaxConnections is the greatest number of callers' connections where the
 	// settings give none.
-	DefaultLimit = 10_000
+	DefaultMaxConnections = 10_000
 
 	leastTick = time.Millisecond
 	mostTick  = 100 * time.Millisecond
@@ -36,15 +36,15 @@
 // -----------------------------------------------------------------------------
 // Reading.
 
-// Parse reads a settings file and checks it whole. Its error is a *FaultsError.
+// Parse reads a settings file and checks it whole. Its error is a *ValidationError.
 func Parse(body []byte) (*Settings, error) {
-	s, _, err := Inspect(body)
+	s, _, err := ParseWithWarnings(body)
 	return s, err
 }
 
-// Inspect is Parse, with warnings about what is allowed but unwise.
-func Inspect(body []byte) (s *Settings, warnings []Fault, err error) {
-	root, err := toml.Read(body)
+// ParseWithWarnings is Parse, with warnings about what is allowed but unwise.
+func ParseWithWarnings(body []byte) (s *Settings, warnings []Diagnostic, err error) {
+	root, err := toml.Parse(body)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -57,18 +57,18 @@
 }
 
 type reader struct {
-	warnings []Fault
+	warnings []Diagnostic
 }
 
 func (r *reader) warn(table *toml.Table, key, text string) {
-	r.warnings = append(r.warnings, Fault{Line: table.Line(key), Key: key, Text: text})
+	r.warnings = append(r.warnings, Diagnostic{Line: table.Line(key), Key: key, Message: text})
 }
 
 func (r *reader) read(root *toml.Table) *Settings {
-	root.Need("name", "zone")
-	s := &Settings{Name: readName(root, "name"), Tick: readTick(root)}
+	root.Require("name", "zone")
+	s := &Settings{Name: readName(root, "name"), TickInterval: readTick(root)}
 	s.Zone = model.ZoneID(readName(root, "zone"))
-	s.Seeds, _ = root.Addresses("seeds")
+	s.SeedAddresses, _ = root.Addresses("seeds")
 	s.Listen = readListen(root.Table("listen"))
 	s.Platform = readPlatform(root.Table("platform"))
 	s.Peer = readPeer(root.Table("peer"))
@@ -81,8 +81,8 @@
 
 func readName(table *toml.Table, key string) string {
 	name, found := table.Text(key)
-	if found && !toml.IsName(name) {
-		table.Fault(key, "%q is no name: %s", name, toml.NameForm)
+	if found && !toml.IsValidName(name) {
+		table.Errorf(key, "%q is no name: %s", name, toml.NameSyntax)
 	}
 	return name
 }
@@ -90,10 +90,10 @@
 func readTick(root *toml.Table) time.Duration {
 	tick, found := root.Duration("tick")
 	if !found {
-		return DefaultTick
+		return DefaultTickInterval
 	}
 	if tick < leastTick || tick > mostTick {
-		root.Fault("tick", "must be from %s to %s", leastTick, mostTick)
+		root.Errorf("tick", "must be from %s to %s", leastTick, mostTick)
 	}
 	return tick
 }
@@ -101,24 +101,24 @@
 // -----------------------------------------------------------------------------
 // Addresses.
 
-func readListen(table *toml.Table) Listen {
-	table.Need("callers", "peers", "operators")
-	var listen Listen
+func readListen(table *toml.Table) ListenAddresses {
+	table.Require("callers", "peers", "operators")
+	var listen ListenAddresses
 	listen.Callers, _ = table.Address("callers")
 	listen.Operators, _ = table.Address("operators")
 	peers, found := table.Address("peers")
 	if found && peers.Addr().IsUnspecified() {
-		table.Fault("peers", "%s can't be told to other instances; name the address that they reach", peers)
+		table.Errorf("peers", "%s can't be told to other instances; name the address that they reach", peers)
 	}
 	if found && peers.Port() == 0 {
-		table.Fault("peers", "wants a port: other instances are told this address")
+		table.Errorf("peers", "wants a port: other instances are told this address")
 	}
 	listen.Peers = peers
 	return listen
 }
 
 func readPlatform(table *toml.Table) Platform {
-	table.Need("url")
+	table.Require("url")
 	platform := Platform{Token: readSecret(table, "token")}
 	text, found := table.Text("url")
 	if !found {
@@ -126,14 +126,14 @@
 	}
 	address, err := url.Parse(text)
 	if err != nil || address.Scheme != "http" && address.Scheme != "https" {
-		table.Fault("url", "%q is no URL, such as \"http://10.1.0.2:8080\"", text)
+		table.Errorf("url", "%q is no URL, such as \"http://10.1.0.2:8080\"", text)
 		return platform
 	}
 	if _, err := netip.ParseAddrPort(address.Host); err != nil {
-		table.Fault("url", "%q wants an IP address with a port as its host", text)
+		table.Errorf("url", "%q wants an IP address with a port as its host", text)
 	}
 	if strings.Trim(address.Path, "/") != "" {
-		table.Fault("url", "%q wants no path", text)
+		table.Errorf("url", "%q wants no path", text)
 	}
 	platform.URL = address
 	return platform
@@ -142,37 +142,37 @@
 // -----------------------------------------------------------------------------
 // Who may speak.
 
-func readSecret(table *toml.Table, key string) Secret {
+func readSecret(table *toml.Table, key string) SecretReference {
 	text, found := table.Text(key)
 	if !found {
-		return Secret{}
+		return SecretReference{}
 	}
-	secret, valid := ParseSecret(text)
+	secret, valid := ParseSecretReference(text)
 	if !valid {
 		// The text is not repeated: it may be the secret itself.
-		table.Fault(key, "wants a reference, \"file:PATH\" or \"env:NAME\"; secrets don't stand in settings")
+		table.Errorf(key, "wants a reference, \"file:PATH\" or \"env:NAME\"; secrets don't stand in settings")
 	}
 	return secret
 }
 
-func readTLS(table *toml.Table) TLS {
-	var files TLS
-	files.Certificate, _ = table.Text("certificate")
-	files.Secret, _ = table.Text("secret")
-	files.Authority, _ = table.Text("authority")
+func readTLS(table *toml.Table) TLSFiles {
+	var files TLSFiles
+	files.CertificateFile, _ = table.Text("certificate")
+	files.PrivateKeyFile, _ = table.Text("secret")
+	files.CAFile, _ = table.Text("authority")
 	if table.Has("certificate") != table.Has("secret") {
-		table.Fault("certificate", "certificate and secret go together")
+		table.Errorf("certificate", "certificate and secret go together")
 	}
 	return files
 }
 
 func readPeer(table *toml.Table) Peer {
-	peer := Peer{Key: readSecret(table, "key"), TLS: readTLS(table)}
+	peer := Peer{SharedKey: readSecret(table, "key"), TLS: readTLS(table)}
 	if !table.Has("key") && !table.Has("certificate") {
-		table.Fault("", "wants a key, or a certificate, its secret and an authority")
+		table.Errorf("", "wants a key, or a certificate, its secret and an authority")
 	}
 	if table.Has("certificate") && !table.Has("authority") {
-		table.Fault("certificate", "wants the authority that signed the peers' certificates")
+		table.Errorf("certificate", "wants the authority that signed the peers' certificates")
 	}
 	return peer
 }
@@ -183,18 +183,18 @@
 		r.warn(table, "operator.token", "without a token, nobody may submit a manifest or drain through this instance")
 	}
 	if listen.IsValid() && !listen.Addr().IsLoopback() && !table.Has("token") {
-		table.Fault("token", "is missing, and other hosts reach %s", listen)
+		table.Errorf("token", "is missing, and other hosts reach %s", listen)
 	}
 	return operator
 }
 
 func (r *reader) readCaller(root *toml.Table, listen netip.AddrPort) Caller {
 	table := root.Table("caller")
-	caller := Caller{TLS: readTLS(table), Limit: DefaultLimit}
-	caller.Trust, _ = table.Bool("trust")
-	caller.Require, _ = table.Bool("require")
+	caller := Caller{TLS: readTLS(table), MaxConnections: DefaultMaxConnections}
+	caller.TrustAnyUser, _ = table.Bool("trust")
+	caller.RequireTLS, _ = table.Bool("require")
 	if limit, found := table.Int("limit"); found {
-		caller.Limit = limit
+		caller.MaxConnections = limit
 	}
 	taken := map[string]bool{}
 	for _, user := range root.Tables("user") {
@@ -205,40 +205,40 @@
 }
 
 func (r *reader) checkCaller(table *toml.Table, caller Caller, listen netip.AddrPort) {
-	if caller.Limit < 1 {
-		table.Fault("limit", "must be at least 1")
+	if caller.MaxConnections < 1 {
+		table.Errorf("limit", "must be at least 1")
 	}
-	if !caller.Trust && len(caller.Users) == 0 {
-		table.Fault("", "nobody may connect: declare a [[user]], or set trust")
+	if !caller.TrustAnyUser && len(caller.Users) == 0 {
+		table.Errorf("", "nobody may connect: declare a [[user]], or set trust")
 	}
-	if caller.Trust && len(caller.Users) > 0 {
-		table.Fault("trust", "with trust, the passwords of users are not asked for: drop either")
+	if caller.TrustAnyUser && len(caller.Users) > 0 {
+		table.Errorf("trust", "with trust, the passwords of users are not asked for: drop either")
 	}
 	if caller.TLS.IsSet() {
 		return
 	}
-	if caller.Require {
-		table.Fault("require", "TLS needs a certificate and its secret")
+	if caller.RequireTLS {
+		table.Errorf("require", "TLS needs a certificate and its secret")
 	}
 	if listen.IsValid() && !listen.Addr().IsLoopback() && len(caller.Users) > 0 {
-		table.Fault("certificate", "is missing, and passwords cross the network only under TLS")
+		table.Errorf("certificate", "is missing, and passwords cross the network only under TLS")
 		return
 	}
 	r.warn(table, "caller", "without a certificate, callers' connections are not encrypted")
 }
 
 func readUser(table *toml.Table, taken map[string]bool) User {
-	table.Need("name", "password")
+	table.Require("name", "password")
 	user := User{Name: readName(table, "name"), Password: readSecret(table, "password")}
 	if taken[user.Name] {
-		table.Fault("name", "%q is declared twice", user.Name)
+		table.Errorf("name", "%q is declared twice", user.Name)
 	}
 	taken[user.Name] = true
 	return user
 }
 
-func readDatabase(table *toml.Table) Database {
-	database := Database{User: DefaultUser, Password: readSecret(table, "password")}
+func readDatabase(table *toml.Table) DatabaseCredentials {
+	database := DatabaseCredentials{User: DefaultDatabaseUser, Password: readSecret(table, "password")}
 	if table.Has("user") {
 		database.User = readName(table, "user")
 	}
@@ -265,7 +265,7 @@
 			return level
 		}
 	}
-	table.Fault("level", "%q is none of debug, info, warn, error", text)
+	table.Errorf("level", "%q is none of debug, info, warn, error", text)
 	return event.LevelInfo
 }
 
@@ -275,6 +275,6 @@
 			return format
 		}
 	}
-	table.Fault("format", "%q is neither \"json\" nor \"text\"", text)
+	table.Errorf("format", "%q is neither \"json\" nor \"text\"", text)
 	return FormatJSON
 }
--- a/internal/config/settings/secret.go
+++ b/internal/config/settings/secret.go
@@ -9,8 +9,8 @@
 // -----------------------------------------------------------------------------
 // Secrets.
 
-// Secret refers to a secret that stands outside the settings.
-type Secret struct {
+// SecretReference refers to a secret that stands outside the settings.
+type SecretReference struct {
 	source secretSource
 	name   string
 }
@@ -37,31 +37,31 @@
 type SecretError struct {
 	// Reference is the reference, as it stands in the settings.
 	Reference string
-	// Why tells what failed.
-	Why string
+	// Reason tells what failed.
+	Reason string
 }
 
 // Error implements error.
 func (e *SecretError) Error() string {
-	return fmt.Sprintf("secret %s: %s", e.Reference, e.Why)
+	return fmt.Sprintf("secret %s: %s", e.Reference, e.Reason)
 }
 
-// ParseSecret reads a reference of the form "file:PATH" or "env:NAME". It
+// ParseSecretReference reads a reference of the form "file:PATH" or "env:NAME". It
 // reports whether text is one.
-func ParseSecret(text string) (Secret, bool) {
+func ParseSecretReference(text string) (SecretReference, bool) {
 	for _, form := range secretPrefixes {
 		if name, found := strings.CutPrefix(text, form.prefix); found && name != "" {
-			return Secret{source: form.source, name: name}, true
+			return SecretReference{source: form.source, name: name}, true
 		}
 	}
-	return Secret{}, false
+	return SecretReference{}, false
 }
 
 // IsSet tells whether s refers to anything.
-func (s Secret) IsSet() bool { return s.source != sourceNone }
+func (s SecretReference) IsSet() bool { return s.source != sourceNone }
 
 // String formats the reference, not the secret.
-func (s Secret) String() string {
+func (s SecretReference) String() string {
 	for _, form := range secretPrefixes {
 		if form.source == s.source {
 			return form.prefix + s.name
@@ -72,12 +72,12 @@
 
 // Load reads the secret, without the white space around it. A Secret that
 // refers to nothing is an empty string. Its error is a *SecretError.
-func (s Secret) Load() (string, error) {
+func (s SecretReference) Load() (string, error) {
 	switch s.source {
 	case sourceFile:
 		body, err := os.ReadFile(s.name)
 		if err != nil {
-			return "", &SecretError{Reference: s.String(), Why: err.Error()}
+			return "", &SecretError{Reference: s.String(), Reason: err.Error()}
 		}
 		return s.trim(string(body))
 	case sourceEnv:
@@ -87,10 +87,10 @@
 	}
 }
 
-func (s Secret) trim(text string) (string, error) {
+func (s SecretReference) trim(text string) (string, error) {
 	text = strings.TrimSpace(text)
 	if text == "" {
-		return "", &SecretError{Reference: s.String(), Why: "is empty"}
+		return "", &SecretError{Reference: s.String(), Reason: "is empty"}
 	}
 	return text, nil
 }
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -38,21 +38,21 @@
 	Name string
 	// Zone is the availability zone that the instance runs in.
 	Zone model.ZoneID
-	// Tick is the longest time between two runs of the decisions.
-	Tick time.Duration
-	// Seeds are peer addresses of other instances. One that answers is enough.
-	Seeds    []netip.AddrPort
-	Listen   Listen
-	Platform Platform
-	Peer     Peer
-	Operator Operator
-	Caller   Caller
-	Database Database
-	Log      Log
+	// TickInterval is the longest time between two runs of the decisions.
+	TickInterval time.Duration
+	// SeedAddresses are peer addresses of other instances. One that answers is enough.
+	SeedAddresses []netip.AddrPort
+	Listen        ListenAddresses
+	Platform      Platform
+	Peer          Peer
+	Operator      Operator
+	Caller        Caller
+	Database      DatabaseCredentials
+	Log           Log
 }
 
-// Listen holds the addresses that the instance binds.
-type Listen struct {
+// ListenAddresses holds the addresses that the instance binds.
+type ListenAddresses struct {
 	Callers   netip.AddrPort
 	Peers     netip.AddrPort
 	Operators netip.AddrPort
@@ -62,31 +62,31 @@
 type Platform struct {
 	URL *url.URL
 	// Token is sent with each request, if there is one.
-	Token Secret
+	Token SecretReference
 }
 
 // Peer tells how instances prove themselves to each other: by a shared Key, or
 // by certificates.
 type Peer struct {
-	Key Secret
-	TLS TLS
+	SharedKey SecretReference
+	TLS       TLSFiles
 }
 
 // Operator tells who may use the operators' address.
 type Operator struct {
 	// Token is what operators have to send, if there is one.
-	Token Secret
+	Token SecretReference
 }
 
 // Caller tells who may connect, and how.
 type Caller struct {
-	TLS TLS
-	// Require refuses callers that don't ask for TLS.
-	Require bool
-	// Limit is the greatest number of callers' connections.
-	Limit int
-	// Trust lets everyone in under any name.
-	Trust bool
+	TLS TLSFiles
+	// RequireTLS refuses callers that don't ask for TLS.
+	RequireTLS bool
+	// MaxConnections is the greatest number of callers' connections.
+	MaxConnections int
+	// TrustAnyUser lets everyone in under any name.
+	TrustAnyUser bool
 	// Users are those who may connect.
 	Users []User
 }
@@ -94,25 +94,25 @@
 // User is one name that callers may connect with.
 type User struct {
 	Name     string
-	Password Secret
+	Password SecretReference
 }
 
-// Database tells as whom the instance connects to databases.
-type Database struct {
+// DatabaseCredentials tells as whom the instance connects to databases.
+type DatabaseCredentials struct {
 	User     string
-	Password Secret
+	Password SecretReference
 }
 
-// TLS names a certificate, its private key, and the authority that has to have
+// TLSFiles names a certificate, its private key, and the authority that has to have
 // signed the other side's certificate. All are paths of PEM files.
-type TLS struct {
-	Certificate string
-	Secret      string
-	Authority   string
+type TLSFiles struct {
+	CertificateFile string
+	PrivateKeyFile  string
+	CAFile          string
 }
 
 // IsSet tells whether t names a certificate.
-func (t TLS) IsSet() bool { return t.Certificate != "" }
+func (t TLSFiles) IsSet() bool { return t.CertificateFile != "" }
 
 // Log tells what is logged, and in which form.
 type Log struct {
--- a/internal/config/settings/settings_test.go
+++ b/internal/config/settings/settings_test.go
@@ -26,7 +26,7 @@
 	for _, path := range paths {
 		t.Run(filepath.Base(path), func(t *testing.T) {
 			body, _ := os.ReadFile(path)
-			_, warnings, err := Inspect(body)
+			_, warnings, err := ParseWithWarnings(body)
 			if err == nil {
 				t.Fatal("no faults were found")
 			}
@@ -55,12 +55,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s, warnings, err := Inspect(body)
+		s, warnings, err := ParseWithWarnings(body)
 		if err != nil || len(warnings) > 0 {
 			t.Fatalf("Inspect(%s) = %v, warnings %v", name, err, warnings)
 		}
-		if string(s.Zone) != zone || len(s.Caller.Users) != 3 || len(s.Seeds) != 3 {
-			t.Errorf("%s: zone %s, %d users, %d seeds", name, s.Zone, len(s.Caller.Users), len(s.Seeds))
+		if string(s.Zone) != zone || len(s.Caller.Users) != 3 || len(s.SeedAddresses) != 3 {
+			t.Errorf("%s: zone %s, %d users, %d seeds", name, s.Zone, len(s.Caller.Users), len(s.SeedAddresses))
 		}
 	}
 }
@@ -79,16 +79,16 @@
 	}
 	loopback := netip.MustParseAddrPort("127.0.0.1:0")
 	want := &Settings{
-		Name: "a", Zone: "z", Tick: DefaultTick,
-		Listen:   Listen{Callers: loopback, Peers: netip.MustParseAddrPort("127.0.0.1:7400"), Operators: loopback},
+		Name: "a", Zone: "z", TickInterval: DefaultTickInterval,
+		Listen:   ListenAddresses{Callers: loopback, Peers: netip.MustParseAddrPort("127.0.0.1:7400"), Operators: loopback},
 		Platform: Platform{URL: &url.URL{Scheme: "http", Host: "127.0.0.1:8080"}},
-		Peer:     Peer{Key: Secret{source: sourceEnv, name: "PEER_KEY"}},
-		Caller:   Caller{Trust: true, Limit: DefaultLimit},
-		Database: Database{User: DefaultUser},
+		Peer:     Peer{SharedKey: SecretReference{source: sourceEnv, name: "PEER_KEY"}},
+		Caller:   Caller{TrustAnyUser: true, MaxConnections: DefaultMaxConnections},
+		Database: DatabaseCredentials{User: DefaultDatabaseUser},
 		Log:      Log{Level: event.LevelInfo, Format: FormatJSON},
 	}
 	same := cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })
-	if diff := cmp.Diff(want, got, same, cmp.AllowUnexported(Secret{})); diff != "" {
+	if diff := cmp.Diff(want, got, same, cmp.AllowUnexported(SecretReference{})); diff != "" {
 		t.Errorf("settings (-want +got):\n%s", diff)
 	}
 }
@@ -111,7 +111,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			secret, valid := ParseSecret(c.reference)
+			secret, valid := ParseSecretReference(c.reference)
 			if !valid || fmt.Sprint(secret) != c.reference {
 				t.Fatalf("ParseSecret(%q) = %v, %v", c.reference, secret, valid)
 			}
@@ -134,7 +134,7 @@
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s, err := Parse(body)
-		var faults *FaultsError
+		var faults *ValidationError
 		if (s == nil) == (err == nil) || err != nil && !errors.As(err, &faults) {
 			t.Errorf("Parse = %v, %v", s, err)
 		}
--- a/internal/config/toml/name.go
+++ b/internal/config/toml/name.go
@@ -2,11 +2,11 @@
 
 import "regexp"
 
-// NameForm tells operators what IsName wants.
-const NameForm = "letters, digits, '.', '_' and '-' only, at most 63"
+// NameSyntax tells operators what IsValidName wants.
+const NameSyntax = "letters, digits, '.', '_' and '-' only, at most 63"
 
 var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// IsName reports whether text may name something. Names go into connection
+// IsValidName reports whether text may name something. Names go into connection
 // parameters, log lines and control statements without quoting.
-func IsName(text string) bool { return validName.MatchString(text) }
+func IsValidName(text string) bool { return validName.MatchString(text) }
--- a/internal/config/toml/toml.go
+++ b/internal/config/toml/toml.go
@@ -47,11 +47,11 @@
 type document struct {
 	lines  map[string]int
 	tables []*Table
-	faults []Fault
+	faults []Diagnostic
 }
 
-// Read parses body and returns its root table. Its error is a *FaultsError.
-func Read(body []byte) (*Table, error) {
+// Parse parses body and returns its root table. Its error is a *ValidationError.
+func Parse(body []byte) (*Table, error) {
 	values := map[string]any{}
 	if err := gotoml.Unmarshal(body, &values); err != nil {
 		return nil, syntaxError(err)
@@ -61,12 +61,12 @@
 }
 
 func syntaxError(err error) error {
-	fault := Fault{Line: 1, Text: strings.TrimPrefix(err.Error(), "toml: ")}
+	fault := Diagnostic{Line: 1, Message: strings.TrimPrefix(err.Error(), "toml: ")}
 	var decode *gotoml.DecodeError
 	if errors.As(err, &decode) {
 		fault.Line, _ = decode.Position()
 	}
-	return &FaultsError{Faults: []Fault{fault}}
+	return &ValidationError{Diagnostics: []Diagnostic{fault}}
 }
 
 func (d *document) open(path, name string, values map[string]any) *Table {
@@ -89,7 +89,7 @@
 	}
 }
 
-// Finish ends the reading. It returns a *FaultsError with every fault found,
+// Finish ends the reading. It returns a *ValidationError with every fault found,
 // keys that nobody asked for included, or nil.
 func (t *Table) Finish() error {
 	doc := t.document
@@ -99,8 +99,8 @@
 	if len(doc.faults) == 0 {
 		return nil
 	}
-	SortFaults(doc.faults)
-	return &FaultsError{Faults: doc.faults}
+	SortDiagnostics(doc.faults)
+	return &ValidationError{Diagnostics: doc.faults}
 }
 
 func (t *Table) reportUnknown() {
@@ -111,7 +111,7 @@
 	sort.Strings(known)
 	for key := range t.values {
 		if !t.known[key] {
-			t.Fault(key, "unknown key; the keys here are %s", strings.Join(known, ", "))
+			t.Errorf(key, "unknown key; the keys here are %s", strings.Join(known, ", "))
 		}
 	}
 }
@@ -119,22 +119,22 @@
 // -----------------------------------------------------------------------------
 // Faults of one table.
 
-// Fault reports that the value of key is wrong. An empty key stands for the
+// Errorf reports that the value of key is wrong. An empty key stands for the
 // table.
-func (t *Table) Fault(key, format string, values ...any) {
-	fault := Fault{Line: t.Line(key), Key: join(t.name, key), Text: fmt.Sprintf(format, values...)}
+func (t *Table) Errorf(key, format string, values ...any) {
+	fault := Diagnostic{Line: t.Line(key), Key: join(t.name, key), Message: fmt.Sprintf(format, values...)}
 	t.document.faults = append(t.document.faults, fault)
 }
 
 // Line returns the line of key, from 1. An empty key stands for the table.
 func (t *Table) Line(key string) int { return t.document.line(join(t.path, key)) }
 
-// Need reports each of keys that is missing.
-func (t *Table) Need(keys ...string) {
+// Require reports each of keys that is missing.
+func (t *Table) Require(keys ...string) {
 	for _, key := range keys {
 		t.known[key] = true
 		if _, found := t.values[key]; !found {
-			t.Fault(key, "is missing")
+			t.Errorf(key, "is missing")
 		}
 	}
 }
--- a/internal/config/toml/toml_test.go
+++ b/internal/config/toml/toml_test.go
@@ -27,41 +27,41 @@
 `
 
 func TestFaultsHaveLines(t *testing.T) {
-	root, err := Read([]byte(sample))
+	root, err := Parse([]byte(sample))
 	if err != nil {
 		t.Fatal(err)
 	}
-	root.Need("name", "zone")
+	root.Require("name", "zone")
 	root.Table("limits").Int("slots")
 	for _, group := range root.Tables("group") {
 		group.Text("name")
 		for _, database := range group.Tables("database") {
-			database.Need("name")
+			database.Require("name")
 			database.Text("name")
 			database.Address("address")
 		}
 	}
-	want := []Fault{
-		{Line: 1, Key: "zone", Text: "is missing"},
-		{Line: 4, Key: "limits.odd", Text: "unknown key; the keys here are slots"},
-		{Line: 11, Key: "group.database.name", Text: "wants a string"},
-		{Line: 15, Key: "group.wrong", Text: "unknown key; the keys here are database, name"},
-		{Line: 16, Key: "group.database.name", Text: "is missing"},
-		{Line: 17, Key: "group.database.address", Text: `"localhost:1" is no IP address with a port, such as "10.1.0.11:5432"`},
+	want := []Diagnostic{
+		{Line: 1, Key: "zone", Message: "is missing"},
+		{Line: 4, Key: "limits.odd", Message: "unknown key; the keys here are slots"},
+		{Line: 11, Key: "group.database.name", Message: "wants a string"},
+		{Line: 15, Key: "group.wrong", Message: "unknown key; the keys here are database, name"},
+		{Line: 16, Key: "group.database.name", Message: "is missing"},
+		{Line: 17, Key: "group.database.address", Message: `"localhost:1" is no IP address with a port, such as "10.1.0.11:5432"`},
 	}
-	var faults *FaultsError
+	var faults *ValidationError
 	if !errors.As(root.Finish(), &faults) {
 		t.Fatal("Finish found no faults")
 	}
-	if diff := cmp.Diff(want, faults.Faults); diff != "" {
+	if diff := cmp.Diff(want, faults.Diagnostics); diff != "" {
 		t.Errorf("faults (-want +got):\n%s", diff)
 	}
 }
 
 func TestSyntaxFault(t *testing.T) {
-	_, err := Read([]byte("a = 1\nb = \n"))
-	var faults *FaultsError
-	if !errors.As(err, &faults) || faults.Faults[0].Line != 2 {
+	_, err := Parse([]byte("a = 1\nb = \n"))
+	var faults *ValidationError
+	if !errors.As(err, &faults) || faults.Diagnostics[0].Line != 2 {
 		t.Fatalf("Read error = %v, want one fault on line 2", err)
 	}
 }
--- a/internal/config/toml/value.go
+++ b/internal/config/toml/value.go
@@ -39,7 +39,7 @@
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil {
-		t.Fault(key, "%q is no duration, such as \"250ms\" or \"2s\"", text)
+		t.Errorf(key, "%q is no duration, such as \"250ms\" or \"2s\"", text)
 		return 0, false
 	}
 	return duration, true
@@ -72,7 +72,7 @@
 func (t *Table) address(key, text string) (netip.AddrPort, bool) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		t.Fault(key, "%q is no IP address with a port, such as \"10.1.0.11:5432\"", text)
+		t.Errorf(key, "%q is no IP address with a port, such as \"10.1.0.11:5432\"", text)
 		return netip.AddrPort{}, false
 	}
 	return address, true
@@ -92,7 +92,7 @@
 	for i, entry := range list {
 		values, is := entry.(map[string]any)
 		if !is {
-			t.Fault(key, "wants a list of tables")
+			t.Errorf(key, "wants a list of tables")
 			continue
 		}
 		path := fmt.Sprintf("%s#%d", join(t.path, key), i)
@@ -110,7 +110,7 @@
 	}
 	typed, is := raw.(T)
 	if !is {
-		t.Fault(key, "wants %s", wanted)
+		t.Errorf(key, "wants %s", wanted)
 	}
 	return typed, is
 }
--- a/internal/core/engine/bench_idle_test.go
+++ b/internal/core/engine/bench_idle_test.go
@@ -65,14 +65,14 @@
 func newIdleCore(instances, groups int) *idleCore {
 	f := &idleCore{
 		engine: engine.NewEngine(engine.Options{
-			Instance: "i0", Zone: "z1", Peer: netip.MustParseAddrPort("10.1.0.1:7400"), Start: "1",
+			Instance: "i0", Zone: "z1", PeerAddress: netip.MustParseAddrPort("10.1.0.1:7400"), StartID: "1",
 		}),
 		now: time.Date(2026, 5, 2, 9, 0, 0, 0, time.UTC),
 	}
 	for i := range instances {
 		address := netip.AddrFrom4([4]byte{10, 2, byte(i >> 8), byte(i)})
 		f.listed = append(f.listed, message.ListedInstance{
-			Instance: model.InstanceID(fmt.Sprintf("i%d", i+1)), Zone: "z1", Peer: netip.AddrPortFrom(address, 7400),
+			Instance: model.InstanceID(fmt.Sprintf("i%d", i+1)), Zone: "z1", PeerAddress: netip.AddrPortFrom(address, 7400),
 		})
 	}
 	body := []byte(testManifest)
@@ -83,7 +83,7 @@
 				i, j, i>>8, i&0xff, 5432+j)
 		}
 	}
-	f.events = append(f.events, message.PeerHeard{From: "i1", Body: message.ManifestOffer{
+	f.events = append(f.events, message.PeerMessageReceived{From: "i1", Body: message.ManifestOffer{
 		Number: 1, Digest: manifest.Digest(body), Body: body,
 	}})
 	// The samples of a minute are kept.
@@ -104,22 +104,22 @@
 		switch action := action.(type) {
 		case message.Probe:
 			f.probes++
-			f.events = append(f.events, message.DatabaseAnswered{
-				Database: action.Database, Ask: action.Ask, Asked: f.now, Status: idleStatus(action.Database),
+			f.events = append(f.events, message.ControlAnswered{
+				Database: action.Database, CorrelationID: action.CorrelationID, SentAt: f.now, Status: idleStatus(action.Database),
 			})
 		case message.ListInstances:
-			f.events = append(f.events, message.InstancesListed{Ask: action.Ask, Instances: f.listed})
+			f.events = append(f.events, message.InstancesListed{CorrelationID: action.CorrelationID, Instances: f.listed})
 		case message.ReadRow:
-			f.events = append(f.events, message.RowsRead{Ask: action.Ask})
+			f.events = append(f.events, message.RowsRead{CorrelationID: action.CorrelationID})
 		}
 	}
 }
 
 // idleStatus is what a database of a healthy group answers: the first of each
 // is the primary.
-func idleStatus(name model.DatabaseID) message.Status {
+func idleStatus(name model.DatabaseID) message.DatabaseStatus {
 	at := model.Position{Term: 1, Offset: 1}
-	status := message.Status{Role: model.RoleReplica, Term: 1, Received: at, Applied: at, Streaming: true}
+	status := message.DatabaseStatus{Role: model.RoleReplica, Term: 1, Received: at, Applied: at, Streaming: true}
 	if name == "d1" || name[len(name)-2:] == "-0" {
 		status.Role, status.Streaming = model.RolePrimary, false
 	}
--- a/internal/core/engine/bench_test.go
+++ b/internal/core/engine/bench_test.go
@@ -14,7 +14,7 @@
 	w := newWorld(b, 1)
 	n := w.node("i1")
 	e, now := n.engine, w.now
-	e.Step(now, []message.Event{message.SessionOpened{Session: 1, Group: "ratings", Caller: "sailor", Position: model.Position{Term: 1}}})
+	e.Step(now, []message.Event{message.SessionOpened{Session: 1, Group: "ratings", Caller: "sailor", TokenPosition: model.Position{Term: 1}}})
 	b.ReportAllocs()
 	for i := range b.N {
 		id := model.RequestID(i + 1)
@@ -30,8 +30,8 @@
 			// The proof of the term has run out: virtual time stands still.
 			b.Fatal("not dispatched")
 		}
-		e.Step(now, []message.Event{message.AnswerEnded{
-			Request: id, Attempt: sent.Attempt, Answer: message.AnswerRead{}, Elapsed: time.Millisecond,
+		e.Step(now, []message.Event{message.AttemptEnded{
+			Request: id, Attempt: sent.Attempt, Outcome: message.OutcomeRead{}, Elapsed: time.Millisecond,
 		}})
 	}
 }
--- a/internal/core/engine/engine.go
+++ b/internal/core/engine/engine.go
@@ -59,13 +59,13 @@
 type Options struct {
 	Instance model.InstanceID
 	Zone     model.ZoneID
-	// Peer is the address at which other instances reach this one.
-	Peer netip.AddrPort
-	// Seeds are addresses of other instances, known from the settings.
-	Seeds []netip.AddrPort
-	// Start distinguishes this start of the process from every other. It goes
+	// PeerAddress is the address at which other instances reach this one.
+	PeerAddress netip.AddrPort
+	// SeedAddresses are addresses of other instances, known from the settings.
+	SeedAddresses []netip.AddrPort
+	// StartID distinguishes this start of the process from every other. It goes
 	// into nonces and seeds the jitter.
-	Start string
+	StartID string
 }
 
 // Engine is the state of one instance. It is not safe for concurrent use.
@@ -146,9 +146,9 @@
 	switch incoming := incoming.(type) {
 	case message.SessionOpened, message.SessionClosed, message.RequestArrived, message.RequestCanceled:
 		e.takeCaller(incoming)
-	case message.AnswerHeld:
+	case message.ResultHeld:
 		e.takeHeld(incoming)
-	case message.AnswerEnded:
+	case message.AttemptEnded:
 		e.takeAnswer(incoming)
 	default:
 		e.learned = true
@@ -159,19 +159,19 @@
 // takeControl lets an event that belongs to no request change its tables.
 func (e *Engine) takeControl(incoming message.Event) {
 	switch incoming := incoming.(type) {
-	case message.DatabaseAnswered:
+	case message.ControlAnswered:
 		e.takeStatus(incoming)
-	case message.SettleAnswered:
+	case message.InDoubtResolved:
 		e.takeSettled(incoming)
-	case message.PeerHeard, message.PeerLinked, message.PeerLost:
+	case message.PeerMessageReceived, message.PeerConnected, message.PeerDisconnected:
 		e.takePeer(incoming)
 	case message.RowsRead, message.RowsWritten, message.ObjectRead, message.ObjectWritten, message.InstancesListed:
 		e.takePlatform(incoming)
 	case message.ManifestSubmitted:
 		e.takeSubmission(incoming)
-	case message.StateWanted:
-		e.do(message.Reported{Ask: incoming.Ask, Body: e.report(incoming)})
-	case message.DrainWanted:
+	case message.ReportRequested:
+		e.do(message.ReportAnswered{CorrelationID: incoming.CorrelationID, Body: e.report(incoming)})
+	case message.DrainRequested:
 		e.takeDrain()
 	}
 }
@@ -198,7 +198,7 @@
 
 // note adds a log line to the step's outcome.
 func (e *Engine) note(ev event.Event, fields ...event.Field) {
-	e.do(message.Note{Event: ev, Fields: fields})
+	e.do(message.LogEvent{Event: ev, Fields: fields})
 }
 
 // ask returns a new number for a question.
@@ -210,7 +210,7 @@
 // nonce returns a text that no other instance or start ever makes.
 func (e *Engine) nonce() model.Nonce {
 	e.lastNonce++
-	return model.Nonce(string(e.options.Instance) + "." + e.options.Start + "." + strconv.FormatUint(e.lastNonce, 10))
+	return model.Nonce(string(e.options.Instance) + "." + e.options.StartID + "." + strconv.FormatUint(e.lastNonce, 10))
 }
 
 // jitter spreads d evenly between half and one and a half of it, so that
@@ -218,6 +218,6 @@
 func (e *Engine) jitter(d time.Duration) time.Duration {
 	e.draws++
 	const steps = 1 << 16
-	drawn := xxhash.Sum64String(e.options.Start+strconv.FormatUint(e.draws, 10)) % steps
+	drawn := xxhash.Sum64String(e.options.StartID+strconv.FormatUint(e.draws, 10)) % steps
 	return d/2 + d*time.Duration(drawn)/steps
 }
--- a/internal/core/engine/engine_test.go
+++ b/internal/core/engine/engine_test.go
@@ -80,10 +80,10 @@
 	w := newWorld(t, 1)
 	n := w.node("i1")
 	cut := strings.Index(testManifest, "[[group]]")
-	n.post(message.ManifestSubmitted{Ask: 1, Body: []byte(testManifest + otherGroup), Expected: 1})
+	n.post(message.ManifestSubmitted{CorrelationID: 1, Body: []byte(testManifest + otherGroup), ExpectedNumber: 1})
 	w.run(time.Second)
 	write := w.call(n, "post", "entry-1", model.Token{})
-	n.post(message.ManifestSubmitted{Ask: 2, Body: []byte(testManifest[:cut] + otherGroup), Expected: 2})
+	n.post(message.ManifestSubmitted{CorrelationID: 2, Body: []byte(testManifest[:cut] + otherGroup), ExpectedNumber: 2})
 	w.run(5 * time.Millisecond)
 	refused := w.call(n, "post", "entry-2", model.Token{})
 	w.run(10 * time.Second)
@@ -103,7 +103,7 @@
 func TestRestartInOutage(t *testing.T) {
 	w := newWorld(t, 2)
 	first := w.node("i1")
-	first.post(message.ManifestSubmitted{Ask: 1, Body: []byte(testManifest + "# second\n"), Expected: 1})
+	first.post(message.ManifestSubmitted{CorrelationID: 1, Body: []byte(testManifest + "# second\n"), ExpectedNumber: 1})
 	w.run(time.Second)
 	w.platform.down = true
 	w.node("i2").dead = true
@@ -117,11 +117,11 @@
 	if read.result != resultDone {
 		t.Errorf("read at the restarted instance = %s %s", read.result, read.why)
 	}
-	again.post(message.PeerHeard{From: "i9", Body: message.ManifestOffer{
+	again.post(message.PeerMessageReceived{From: "i9", Body: message.ManifestOffer{
 		Number: 1, Digest: manifest.Digest([]byte(testManifest)), Body: []byte(testManifest),
 	}})
 	w.run(time.Second)
-	again.post(message.PeerHeard{From: "i9", Body: message.ManifestOffer{
+	again.post(message.PeerMessageReceived{From: "i9", Body: message.ManifestOffer{
 		Number: 9, Digest: manifest.Digest([]byte(testManifest)), Body: []byte(testManifest + "# changed on the way\n"),
 	}})
 	w.run(time.Second)
@@ -147,11 +147,11 @@
 			w := newWorld(t, 1)
 			n := w.node("i1")
 			recompute := "[[kind]]\nname = \"recompute\"\nrank = \"background\"\naccess = \"write\"\ndeadline = \"8s\"\nrepeat = true\n"
-			n.post(message.ManifestSubmitted{Ask: 1, Body: []byte(testManifest + recompute), Expected: 1})
+			n.post(message.ManifestSubmitted{CorrelationID: 1, Body: []byte(testManifest + recompute), ExpectedNumber: 1})
 			w.run(time.Second)
 			asked := false
 			w.onAction = func(_ *node, action message.Action) {
-				_, isSettle := action.(message.Settle)
+				_, isSettle := action.(message.ResolveInDoubt)
 				asked = asked || isSettle
 				if dispatch, isDispatch := action.(message.Dispatch); isDispatch && dispatch.Attempt == 1 {
 					// The work arrives; its answer never does.
@@ -198,7 +198,7 @@
 		offer := message.ManifestOffer{
 			Number: uint64(number + 2), Digest: manifest.Digest([]byte(body)), Body: []byte(body),
 		}
-		n.post(message.PeerHeard{From: "i9", Body: offer})
+		n.post(message.PeerMessageReceived{From: "i9", Body: offer})
 	}
 	w.heal()
 	w.run(5 * time.Second)
--- a/internal/core/engine/fake_caller_test.go
+++ b/internal/core/engine/fake_caller_test.go
@@ -60,14 +60,14 @@
 // request.
 func (w *world) call(n *node, kind, value string, token model.Token) *fakeCaller {
 	c := &fakeCaller{node: n, kind: kind, value: value}
-	return w.open(c, message.SessionOpened{Position: token.Position}, message.RequestArrived{})
+	return w.open(c, message.SessionOpened{TokenPosition: token.Position}, message.RequestArrived{})
 }
 
 // callRoaming opens a session that is spread over several connections and sends
 // one request with a token of its own.
 func (w *world) callRoaming(n *node, kind string, token model.Token) *fakeCaller {
 	c := &fakeCaller{node: n, kind: kind}
-	return w.open(c, message.SessionOpened{Roaming: true}, message.RequestArrived{Position: token.Position})
+	return w.open(c, message.SessionOpened{Roaming: true}, message.RequestArrived{TokenPosition: token.Position})
 }
 
 // begin opens a session and sends a transaction that appends a value.
@@ -85,7 +85,7 @@
 	c.node.callers[c.request] = c
 	opened.Session, opened.Group, opened.Caller = c.session, "ratings", "officer"
 	arrived.Session, arrived.Request, arrived.Kind = c.session, c.request, c.kind
-	arrived.Key = fmt.Sprintf("%s-%d", c.node.name, c.request)
+	arrived.IdempotencyKey = fmt.Sprintf("%s-%d", c.node.name, c.request)
 	c.node.post(opened)
 	c.node.post(arrived)
 	return c
@@ -107,30 +107,30 @@
 	switch a := action.(type) {
 	case message.Dispatch:
 		n.dispatch(a)
-	case message.Proven:
+	case message.SetDurablePosition:
 		n.proven = a.Position
-	case message.Release:
+	case message.ReleaseResult:
 		if run := n.running[a.Request]; run != nil && run.dispatch.Attempt == a.Attempt && !run.ended {
 			n.pass(run)
 		}
-	case message.Acknowledge:
+	case message.AcknowledgeCommit:
 		if c := n.callers[a.Request]; c != nil {
 			c.token = a.Token
 			c.end(n.running[a.Request].acknowledged(), "")
 		}
-	case message.Refuse:
+	case message.RefuseRequest:
 		if c := n.callers[a.Request]; c != nil {
-			c.end(resultNotRun, a.Why.String())
+			c.end(resultNotRun, a.Reason.String())
 		}
-	case message.Abandon:
-		if c := n.callers[a.Request]; c != nil && a.Unknown {
-			c.end(resultUnknown, a.Why)
+	case message.AbortRequest:
+		if c := n.callers[a.Request]; c != nil && a.OutcomeUnknown {
+			c.end(resultUnknown, a.Reason)
 		} else if c != nil {
-			c.end(resultFailed, a.Why)
+			c.end(resultFailed, a.Reason)
 		}
-	case message.Drop:
+	case message.CloseConnection:
 		if run := n.running[a.Request]; run != nil && run.dispatch.Attempt == a.Attempt {
-			n.finish(run, message.AnswerLost{Committing: run.isCommitting()})
+			n.finish(run, message.OutcomeConnectionLost{MayHaveCommitted: run.isCommitting()})
 		}
 	}
 }
@@ -152,13 +152,13 @@
 }
 
 // finish ends an attempt towards the engine, once.
-func (n *node) finish(run *attempt, answer message.Answer) {
+func (n *node) finish(run *attempt, answer message.Outcome) {
 	if run.ended {
 		return
 	}
-	_, run.lost = answer.(message.AnswerLost)
+	_, run.lost = answer.(message.OutcomeConnectionLost)
 	run.ended = true
-	n.post(message.AnswerEnded{Request: run.dispatch.Request, Attempt: run.dispatch.Attempt, Answer: answer, Elapsed: workTime})
+	n.post(message.AttemptEnded{Request: run.dispatch.Request, Attempt: run.dispatch.Attempt, Outcome: answer, Elapsed: workTime})
 }
 
 func (n *node) dispatch(a message.Dispatch) {
@@ -170,7 +170,7 @@
 	c.attempts++
 	run := &attempt{dispatch: a, caller: c, step: "work"}
 	n.running[a.Request] = run
-	w.after(a.Expires.Sub(w.now)+tick, func() { n.finish(run, message.AnswerLost{Committing: run.isCommitting()}) })
+	w.after(a.Deadline.Sub(w.now)+tick, func() { n.finish(run, message.OutcomeConnectionLost{MayHaveCommitted: run.isCommitting()}) })
 	if c.transaction {
 		run.step = "begin"
 		n.statement(run, func() { n.statement(run, func() { n.commitWork(run) }) })
@@ -192,9 +192,9 @@
 	})
 }
 
-func (n *node) refused(run *attempt, answer message.Answer) {
+func (n *node) refused(run *attempt, answer message.Outcome) {
 	if run.step == "open" {
-		answer = message.AnswerLost{}
+		answer = message.OutcomeConnectionLost{}
 	}
 	n.finish(run, answer)
 }
@@ -209,11 +209,11 @@
 			return func() { n.finish(run, refused) }
 		}
 		if run.dispatch.Access == model.AccessWrite {
-			position, ok := d.commit(run.dispatch.Key, run.caller.value, false)
+			position, ok := d.commit(run.dispatch.IdempotencyKey, run.caller.value, false)
 			if !ok {
-				return func() { n.finish(run, message.AnswerRefused{Why: message.RefusedDuplicate}) }
+				return func() { n.finish(run, message.OutcomeNotStarted{Reason: message.NotStartedDuplicateKey}) }
 			}
-			return func() { n.finish(run, message.AnswerCommitted{Position: position}) }
+			return func() { n.finish(run, message.OutcomeCommitted{Position: position}) }
 		}
 		position := d.applied()
 		var rows []string
@@ -227,12 +227,12 @@
 }
 
 // refuses tells why a database does not run the work.
-func (d *fakeDatabase) refuses(run *attempt) message.Answer {
+func (d *fakeDatabase) refuses(run *attempt) message.Outcome {
 	switch {
 	case d.term != run.dispatch.Term:
-		return message.AnswerRefused{Why: message.RefusedTerm}
+		return message.OutcomeNotStarted{Reason: message.NotStartedWrongTerm}
 	case run.dispatch.Access == model.AccessWrite && d.role != model.RolePrimary:
-		return message.AnswerRefused{Why: message.RefusedReadOnly}
+		return message.OutcomeNotStarted{Reason: message.NotStartedReadOnly}
 	}
 	return nil
 }
@@ -243,12 +243,12 @@
 	w := n.world
 	d := w.database(run.dispatch.Database)
 	if d.dead && run.step != "open" && run.step != "commit" {
-		w.after(w.delay(), func() { n.finish(run, message.AnswerRefused{Why: message.RefusedUnreachable}) })
+		w.after(w.delay(), func() { n.finish(run, message.OutcomeNotStarted{Reason: message.NotStartedUnreachable}) })
 		return
 	}
 	w.after(w.delay()+workTime, func() {
 		if d.dead {
-			n.finish(run, message.AnswerLost{Committing: run.isCommitting()})
+			n.finish(run, message.OutcomeConnectionLost{MayHaveCommitted: run.isCommitting()})
 			return
 		}
 		if run.ended || !w.linked(n.name, string(d.name)) || d.mute[n.name] {
@@ -261,7 +261,7 @@
 				switch {
 				case n.dead || run.ended:
 				case d.dead:
-					n.finish(run, message.AnswerLost{Committing: run.isCommitting()})
+					n.finish(run, message.OutcomeConnectionLost{MayHaveCommitted: run.isCommitting()})
 				case w.linked(n.name, string(d.name)) && !d.mute[n.name]:
 					answer()
 				default:
@@ -275,7 +275,7 @@
 // suspect stands for the check of a silent connection by a new one, repeated
 // while that one does not work either.
 func (n *node) suspect(run *attempt, d *fakeDatabase) {
-	n.world.after(run.dispatch.Suspect, func() {
+	n.world.after(run.dispatch.SilenceTimeout, func() {
 		if run.ended {
 			return
 		}
@@ -284,26 +284,26 @@
 			return
 		}
 		delete(d.mute, n.name)
-		n.finish(run, message.AnswerLost{Committing: run.isCommitting(), Silent: true})
+		n.finish(run, message.OutcomeConnectionLost{MayHaveCommitted: run.isCommitting(), Unresponsive: true})
 	})
 }
 
 // rows checks the answer's position before the first row goes to the caller.
 func (n *node) rows(run *attempt, position model.Position, rows []string) {
-	if position.Less(run.dispatch.Minimum) {
-		n.finish(run, message.AnswerBehind{Position: position})
+	if position.Less(run.dispatch.MinPosition) {
+		n.finish(run, message.OutcomeBehind{Position: position})
 		return
 	}
 	run.held, run.rows = position, rows
-	if !run.dispatch.Gated || position.IsZero() || position.Term == n.proven.Term && !n.proven.Less(position) {
+	if !run.dispatch.HoldUntilDurable || position.IsZero() || position.Term == n.proven.Term && !n.proven.Less(position) {
 		n.pass(run)
 		return
 	}
-	n.post(message.AnswerHeld{Request: run.dispatch.Request, Attempt: run.dispatch.Attempt, Position: position})
+	n.post(message.ResultHeld{Request: run.dispatch.Request, Attempt: run.dispatch.Attempt, Position: position})
 }
 
 func (n *node) pass(run *attempt) {
 	run.caller.saw, run.caller.position = run.rows, run.held
-	n.finish(run, message.AnswerRead{Position: run.held})
+	n.finish(run, message.OutcomeRead{Position: run.held})
 	run.caller.end(resultDone, string(run.dispatch.Database))
 }
--- a/internal/core/engine/fake_database_test.go
+++ b/internal/core/engine/fake_database_test.go
@@ -98,8 +98,8 @@
 	return log[len(log)-1].position
 }
 
-func (d *fakeDatabase) status() message.Status {
-	s := message.Status{
+func (d *fakeDatabase) status() message.DatabaseStatus {
+	s := message.DatabaseStatus{
 		Role: d.role, Term: d.term, Nonce: d.nonce, Received: d.received(), Applied: d.applied(),
 		Streaming: d.streaming, Leaving: d.leaving,
 	}
@@ -171,30 +171,30 @@
 // -----------------------------------------------------------------------------
 // Control questions.
 
-func (d *fakeDatabase) fence(term model.Term, nonce model.Nonce) message.AskErr {
+func (d *fakeDatabase) fence(term model.Term, nonce model.Nonce) message.ControlErr {
 	if term < d.term || term == d.term && nonce != d.nonce {
-		return message.AskConflict
+		return message.ControlConflict
 	}
 	if term > d.term {
 		d.term, d.nonce, d.role, d.source, d.streaming = term, nonce, model.RoleReplica, nil, false
 	}
-	return message.AskOK
+	return message.ControlOK
 }
 
-func (d *fakeDatabase) promote(term model.Term, nonce model.Nonce) message.AskErr {
+func (d *fakeDatabase) promote(term model.Term, nonce model.Nonce) message.ControlErr {
 	if term != d.term || nonce != d.nonce {
-		return message.AskConflict
+		return message.ControlConflict
 	}
 	if d.role != model.RolePrimary {
 		d.role = model.RolePrimary
 		d.commit("", "term", false)
 	}
-	return message.AskOK
+	return message.ControlOK
 }
 
-func (d *fakeDatabase) follow(term model.Term, source *fakeDatabase) message.AskErr {
+func (d *fakeDatabase) follow(term model.Term, source *fakeDatabase) message.ControlErr {
 	if term < d.term {
-		return message.AskConflict
+		return message.ControlConflict
 	}
 	d.term, d.role, d.source = term, model.RoleReplica, source
 	shared := 0
@@ -204,7 +204,7 @@
 	d.log = d.log[:shared]
 	d.streaming = d.isStreamUp()
 	d.pull()
-	return message.AskOK
+	return message.ControlOK
 }
 
 // actDatabase asks a control question; there is one answer, at the latest when
@@ -216,49 +216,49 @@
 	var name model.DatabaseID
 	var ask uint64
 	var limit time.Duration
-	var answer func(reply func(message.AskErr))
-	now := func(run func() message.AskErr) func(func(message.AskErr)) {
-		return func(reply func(message.AskErr)) { reply(run()) }
+	var answer func(reply func(message.ControlErr))
+	now := func(run func() message.ControlErr) func(func(message.ControlErr)) {
+		return func(reply func(message.ControlErr)) { reply(run()) }
 	}
 	switch a := action.(type) {
 	case message.Probe:
-		d, name, ask, limit = w.database(a.Database), a.Database, a.Ask, a.Timeout
-		answer = now(func() message.AskErr { return message.AskOK })
-	case message.Await:
-		d, name, ask, limit = w.database(a.Database), a.Database, a.Ask, a.Timeout+100*time.Millisecond
-		answer = func(reply func(message.AskErr)) { d.await(a, w.now.Add(a.Timeout), reply) }
+		d, name, ask, limit = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
+		answer = now(func() message.ControlErr { return message.ControlOK })
+	case message.AwaitPosition:
+		d, name, ask, limit = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout+100*time.Millisecond
+		answer = func(reply func(message.ControlErr)) { d.await(a, w.now.Add(a.Timeout), reply) }
 	case message.Fence:
-		d, name, ask, limit = w.database(a.Database), a.Database, a.Ask, a.Timeout
-		answer = now(func() message.AskErr { return d.fence(a.Term, a.Nonce) })
+		d, name, ask, limit = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
+		answer = now(func() message.ControlErr { return d.fence(a.Term, a.Nonce) })
 	case message.Promote:
-		d, name, ask, limit = w.database(a.Database), a.Database, a.Ask, a.Timeout
-		answer = now(func() message.AskErr { return d.promote(a.Term, a.Nonce) })
+		d, name, ask, limit = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
+		answer = now(func() message.ControlErr { return d.promote(a.Term, a.Nonce) })
 	case message.Follow:
-		d, name, ask, limit = w.database(a.Database), a.Database, a.Ask, a.Timeout
-		answer = now(func() message.AskErr { return d.follow(a.Term, w.database(a.Source)) })
-	case message.Settle:
+		d, name, ask, limit = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
+		answer = now(func() message.ControlErr { return d.follow(a.Term, w.database(a.Source)) })
+	case message.ResolveInDoubt:
 		n.settle(a)
 		return
 	}
 	done := false
-	finish := func(status message.Status, err message.AskErr) {
+	finish := func(status message.DatabaseStatus, err message.ControlErr) {
 		if !done {
 			done = true
-			n.post(message.DatabaseAnswered{Database: name, Ask: ask, Asked: asked, Status: status, Err: err})
+			n.post(message.ControlAnswered{Database: name, CorrelationID: ask, SentAt: asked, Status: status, Err: err})
 		}
 	}
 	n.exchange(d, limit, func(back func(func())) {
-		answer(func(err message.AskErr) {
+		answer(func(err message.ControlErr) {
 			status := d.status()
 			back(func() { finish(status, err) })
 		})
-	}, func(err message.AskErr) { finish(message.Status{}, err) })
+	}, func(err message.ControlErr) { finish(message.DatabaseStatus{}, err) })
 }
 
 // exchange carries a question to a database and its answer back.
-func (n *node) exchange(d *fakeDatabase, limit time.Duration, ask func(back func(func())), failed func(message.AskErr)) {
+func (n *node) exchange(d *fakeDatabase, limit time.Duration, ask func(back func(func())), failed func(message.ControlErr)) {
 	w := n.world
-	w.after(limit, func() { failed(message.AskTimeout) })
+	w.after(limit, func() { failed(message.ControlTimeout) })
 	if d == nil {
 		return
 	}
@@ -267,7 +267,7 @@
 			return
 		}
 		if d.dead {
-			w.after(w.delay(), func() { failed(message.AskUnreachable) })
+			w.after(w.delay(), func() { failed(message.ControlUnreachable) })
 			return
 		}
 		d.do(func() {
@@ -282,33 +282,33 @@
 	})
 }
 
-func (d *fakeDatabase) await(a message.Await, until time.Time, reply func(message.AskErr)) {
+func (d *fakeDatabase) await(a message.AwaitPosition, until time.Time, reply func(message.ControlErr)) {
 	if !d.received().Less(a.Position) || d.term > a.Position.Term || !d.world.now.Before(until) {
-		reply(message.AskOK)
+		reply(message.ControlOK)
 		return
 	}
 	d.world.after(time.Millisecond, func() { d.do(func() { d.await(a, until, reply) }) })
 }
 
-func (n *node) settle(a message.Settle) {
+func (n *node) settle(a message.ResolveInDoubt) {
 	d := n.world.database(a.Database)
 	done := false
-	finish := func(answered message.SettleAnswered) {
+	finish := func(answered message.InDoubtResolved) {
 		if !done {
 			done = true
-			answered.Database, answered.Ask, answered.Key = d.name, a.Ask, a.Key
+			answered.Database, answered.CorrelationID, answered.IdempotencyKey = d.name, a.CorrelationID, a.IdempotencyKey
 			n.post(answered)
 		}
 	}
 	n.exchange(d, a.Timeout, func(back func(func())) {
-		answered := message.SettleAnswered{}
+		answered := message.InDoubtResolved{}
 		if d.role != model.RolePrimary || d.term != a.Term {
-			answered.Err = message.AskConflict
-		} else if e, found := d.find(a.Key); found {
+			answered.Err = message.ControlConflict
+		} else if e, found := d.find(a.IdempotencyKey); found {
 			answered.Committed, answered.Position = !e.never, e.position
 		} else {
-			answered.Position, _ = d.commit(a.Key, "", true)
+			answered.Position, _ = d.commit(a.IdempotencyKey, "", true)
 		}
 		back(func() { finish(answered) })
-	}, func(err message.AskErr) { finish(message.SettleAnswered{Err: err}) })
+	}, func(err message.ControlErr) { finish(message.InDoubtResolved{Err: err}) })
 }
--- a/internal/core/engine/fake_platform_test.go
+++ b/internal/core/engine/fake_platform_test.go
@@ -69,35 +69,47 @@
 	case message.ReadRow:
 		n.ask(a.Timeout, false, func() message.Event {
 			if row, found := p.rows[a.Table+"/"+a.Key]; found {
-				return message.RowsRead{Ask: a.Ask, Rows: []message.Row{row}}
+				return message.RowsRead{CorrelationID: a.CorrelationID, Rows: []message.Row{row}}
 			}
-			return message.RowsRead{Ask: a.Ask, Err: message.PlatformMissing}
-		}, func(err message.PlatformErr) message.Event { return message.RowsRead{Ask: a.Ask, Err: err} })
+			return message.RowsRead{CorrelationID: a.CorrelationID, Err: message.PlatformNotFound}
+		}, func(err message.PlatformErr) message.Event {
+			return message.RowsRead{CorrelationID: a.CorrelationID, Err: err}
+		})
 	case message.ScanRows:
 		n.ask(a.Timeout, false, func() message.Event {
-			return message.RowsRead{Ask: a.Ask, Rows: p.scan(a.Table, a.Prefix)}
-		}, func(err message.PlatformErr) message.Event { return message.RowsRead{Ask: a.Ask, Err: err} })
+			return message.RowsRead{CorrelationID: a.CorrelationID, Rows: p.scan(a.Table, a.Prefix)}
+		}, func(err message.PlatformErr) message.Event {
+			return message.RowsRead{CorrelationID: a.CorrelationID, Err: err}
+		})
 	case message.WriteRows:
 		n.ask(a.Timeout, true, func() message.Event {
 			rows, err := p.write(a.Rows)
-			return message.RowsWritten{Ask: a.Ask, Rows: rows, Err: err}
-		}, func(err message.PlatformErr) message.Event { return message.RowsWritten{Ask: a.Ask, Err: err} })
+			return message.RowsWritten{CorrelationID: a.CorrelationID, Rows: rows, Err: err}
+		}, func(err message.PlatformErr) message.Event {
+			return message.RowsWritten{CorrelationID: a.CorrelationID, Err: err}
+		})
 	case message.ReadObject:
 		n.ask(a.Timeout, false, func() message.Event {
 			body, found := p.objects[a.Name]
 			if !found {
-				return message.ObjectRead{Ask: a.Ask, Err: message.PlatformMissing}
+				return message.ObjectRead{CorrelationID: a.CorrelationID, Err: message.PlatformNotFound}
 			}
-			return message.ObjectRead{Ask: a.Ask, Name: a.Name, Body: body}
-		}, func(err message.PlatformErr) message.Event { return message.ObjectRead{Ask: a.Ask, Err: err} })
+			return message.ObjectRead{CorrelationID: a.CorrelationID, Name: a.Name, Body: body}
+		}, func(err message.PlatformErr) message.Event {
+			return message.ObjectRead{CorrelationID: a.CorrelationID, Err: err}
+		})
 	case message.WriteObject:
 		n.ask(a.Timeout, false, func() message.Event {
 			p.objects[a.Name] = a.Body
-			return message.ObjectWritten{Ask: a.Ask, Name: a.Name}
-		}, func(err message.PlatformErr) message.Event { return message.ObjectWritten{Ask: a.Ask, Err: err} })
+			return message.ObjectWritten{CorrelationID: a.CorrelationID, Name: a.Name}
+		}, func(err message.PlatformErr) message.Event {
+			return message.ObjectWritten{CorrelationID: a.CorrelationID, Err: err}
+		})
 	case message.ListInstances:
-		n.ask(a.Timeout, false, func() message.Event { return message.InstancesListed{Ask: a.Ask} },
-			func(err message.PlatformErr) message.Event { return message.InstancesListed{Ask: a.Ask, Err: err} })
+		n.ask(a.Timeout, false, func() message.Event { return message.InstancesListed{CorrelationID: a.CorrelationID} },
+			func(err message.PlatformErr) message.Event {
+				return message.InstancesListed{CorrelationID: a.CorrelationID, Err: err}
+			})
 	}
 }
 
@@ -105,7 +117,7 @@
 func (n *node) ask(limit time.Duration, changes bool, serve func() message.Event, fail func(message.PlatformErr) message.Event) {
 	w := n.world
 	if w.platform.down || !w.linked(n.name, "platform") {
-		w.after(w.delay(), func() { n.post(fail(message.PlatformUnsent)) })
+		w.after(w.delay(), func() { n.post(fail(message.PlatformUnreachable)) })
 		return
 	}
 	done := false
--- a/internal/core/engine/matrix_test.go
+++ b/internal/core/engine/matrix_test.go
@@ -79,7 +79,7 @@
 	}},
 	{"rival manifest", func(w *world, n *node) {
 		other := w.nodes[indexOf(n.name)%len(w.nodes)]
-		other.post(message.ManifestSubmitted{Ask: 2, Body: []byte(testManifest + "# rival\n"), Expected: 1, Who: "rival"})
+		other.post(message.ManifestSubmitted{CorrelationID: 2, Body: []byte(testManifest + "# rival\n"), ExpectedNumber: 1, Submitter: "rival"})
 	}},
 	{"flood of the least urgent", func(w *world, n *node) { w.flood(n, "pull") }},
 	{"flood of the most urgent", func(w *world, n *node) { w.flood(n, "post") }},
@@ -222,7 +222,7 @@
 }
 
 func isAwait(n *node, action message.Action) bool {
-	_, ok := action.(message.Await)
+	_, ok := action.(message.AwaitPosition)
 	return ok && n.name == "i1"
 }
 
@@ -251,7 +251,7 @@
 	return step{name: name, arm: func(w *world, strike func(n *node)) func() string {
 		atAction(w, strike, matches)
 		n := w.node("i1")
-		n.post(message.ManifestSubmitted{Ask: 1, Body: []byte(testManifest + "# second\n"), Expected: 1, Who: "pipeline"})
+		n.post(message.ManifestSubmitted{CorrelationID: 1, Body: []byte(testManifest + "# second\n"), ExpectedNumber: 1, Submitter: "pipeline"})
 		return func() string { return w.submitCell(n) }
 	}}
 }
@@ -275,7 +275,7 @@
 var drainStep = step{name: "shutdown: a write in flight", arm: func(w *world, strike func(n *node)) func() string {
 	c := writeOne(w)
 	n := w.node("i1")
-	n.post(message.DrainWanted{})
+	n.post(message.DrainRequested{})
 	strike(n)
 	return func() string {
 		left := "still draining"
--- a/internal/core/engine/report.go
+++ b/internal/core/engine/report.go
@@ -11,7 +11,7 @@
 // Reports for operators.
 
 // report returns the report on a topic.
-func (e *Engine) report(wanted message.StateWanted) any {
+func (e *Engine) report(wanted message.ReportRequested) any {
 	switch wanted.Topic {
 	case message.TopicLogbook:
 		return e.reportLogbook(wanted.Group)
@@ -27,8 +27,8 @@
 func (e *Engine) reportStatus(only string) status.Status {
 	report := status.Status{
 		Instance: string(e.options.Instance), Zone: string(e.options.Zone),
-		Manifest: e.declared.number, Digest: e.declared.digest, Draining: e.drain.started,
-		Sessions: len(e.sessions), Requests: len(e.requests.byID), Ranks: e.scheduler.Report(e.now),
+		ManifestNumber: e.declared.number, ManifestDigest: e.declared.digest, Draining: e.drain.started,
+		OpenSessions: len(e.sessions), OpenRequests: len(e.requests.byID), Ranks: e.scheduler.Report(e.now),
 	}
 	for _, g := range e.groups {
 		if only == "" || only == string(g.name) {
@@ -38,7 +38,7 @@
 	for _, entry := range e.instances.sorted() {
 		report.Peers = append(report.Peers, status.Peer{
 			Instance: string(entry.id), Zone: string(entry.zone), Address: entry.peer, Alive: entry.alive,
-			Leaving: entry.leaving, Manifest: entry.manifest, Silent: since(e.now, entry.heard),
+			Leaving: entry.leaving, ManifestNumber: entry.manifest, TimeSinceHeartbeat: since(e.now, entry.heard),
 		})
 	}
 	return report
@@ -55,25 +55,25 @@
 // reportGroup returns the state of one group.
 func (e *Engine) reportGroup(g *group) status.Group {
 	report := status.Group{
-		Name: string(g.name), Term: uint64(g.term), Primary: string(g.primaryName()), Proven: g.proven.String(),
-		Proving: len(g.proving), Change: g.steward.step.String(),
+		Name: string(g.name), Term: uint64(g.term), Primary: string(g.primaryName()), DurablePosition: g.proven.String(),
+		CommitsAwaitingQuorum: len(g.proving), FailoverStep: g.steward.step.String(),
 	}
-	report.Proof = since(e.now, g.proof)
+	report.TermConfirmationAge = since(e.now, g.proof)
 	if !g.steward.suspected.IsZero() {
 		report.Evidence = g.steward.evidence
 	}
 	for _, r := range e.requests.settling {
 		if r.group == g {
-			report.Settling++
+			report.InDoubtCommits++
 		}
 	}
 	for _, d := range g.databases {
 		report.Databases = append(report.Databases, status.Database{
 			Name: string(d.name), Zone: string(d.declared.Zone), Address: d.declared.Address,
 			Role: d.status.Role.String(), Term: uint64(d.status.Term),
-			Received: d.status.Received.String(), Applied: d.applied.String(),
+			ReceivedPosition: d.status.Received.String(), AppliedPosition: d.applied.String(),
 			Streaming: d.status.Streaming, Leaving: d.isLeaving(), Reachable: d.isReachable(e.now),
-			Silent: since(e.now, d.heard), Lag: d.lag, Latency: d.latency, Running: d.running,
+			TimeSinceAnswer: since(e.now, d.heard), ReplicationLag: d.lag, Latency: d.latency, RunningRequests: d.running,
 		})
 	}
 	return report
@@ -88,7 +88,7 @@
 			continue
 		}
 		e.readLogbook(g)
-		report.Asked = g.logbookAt
+		report.QueriedAt = g.logbookAt
 		for _, record := range g.logbook {
 			report.Records = append(report.Records, record)
 		}
--- a/internal/core/engine/steward_claim.go
+++ b/internal/core/engine/steward_claim.go
@@ -11,14 +11,14 @@
 // readRow asks for the group's row.
 func (e *Engine) readRow(g *group) {
 	g.steward.ask = e.ask()
-	e.do(message.ReadRow{Ask: g.steward.ask, Table: groupTable, Key: string(g.name), Timeout: rowTimeout})
+	e.do(message.ReadRow{CorrelationID: g.steward.ask, Table: groupTable, Key: string(g.name), Timeout: rowTimeout})
 }
 
 // takeGroupRow decides after the row was read.
 func (e *Engine) takeGroupRow(g *group, read message.RowsRead) {
 	st := &g.steward
 	st.ask = 0
-	if read.Err != message.PlatformOK && read.Err != message.PlatformMissing {
+	if read.Err != message.PlatformOK && read.Err != message.PlatformNotFound {
 		e.waitFor(g, "the platform does not answer: "+read.Err.String())
 		e.giveUpUnneeded(g)
 		return
@@ -115,9 +115,9 @@
 	st.step = conductClaim
 	st.ask = e.ask()
 	e.do(message.WriteRows{
-		Ask:     st.ask,
-		Rows:    []message.Row{{Table: groupTable, Key: string(g.name), Version: st.version, Body: encode(st.claim)}},
-		Timeout: rowTimeout,
+		CorrelationID: st.ask,
+		Rows:          []message.Row{{Table: groupTable, Key: string(g.name), Version: st.version, Body: encode(st.claim)}},
+		Timeout:       rowTimeout,
 	})
 }
 
@@ -144,7 +144,7 @@
 		st.resume = st.step
 		st.unsure = st.step == conductRecord
 		st.step = conductRead
-	case message.PlatformUnsent, message.PlatformRefused, message.PlatformMissing:
+	case message.PlatformUnreachable, message.PlatformRefused, message.PlatformNotFound:
 		e.waitFor(g, "the platform does not take the row: "+written.Err.String())
 		e.giveUpUnneeded(g)
 	}
--- a/internal/core/engine/steward_detect.go
+++ b/internal/core/engine/steward_detect.go
@@ -157,5 +157,5 @@
 			live = append(live, peer.id)
 		}
 	}
-	return model.Place(e.options.Instance, live, g.name)
+	return model.RendezvousRank(e.options.Instance, live, g.name)
 }
--- a/internal/core/engine/steward_promote.go
+++ b/internal/core/engine/steward_promote.go
@@ -17,7 +17,7 @@
 	st := &g.steward
 	st.claimed = e.now
 	st.fences = map[uint64]*database{}
-	st.fenced = map[model.DatabaseID]message.Status{}
+	st.fenced = map[model.DatabaseID]message.DatabaseStatus{}
 	st.chosen = nil
 	st.step = conductFence
 	e.note(event.TermClaimed,
@@ -47,7 +47,7 @@
 		ask := e.ask()
 		st.fences[ask] = d
 		e.do(message.Fence{
-			Database: d.name, Ask: ask, Term: st.claim.Term, Nonce: st.claim.Nonce, Timeout: controlTimeout,
+			Database: d.name, CorrelationID: ask, Term: st.claim.Term, Nonce: st.claim.Nonce, Timeout: controlTimeout,
 		})
 	}
 	st.notBefore = e.now.Add(retryPause)
@@ -55,15 +55,15 @@
 
 // takeStewardAnswer takes the answer to a fence or a promotion. It reports
 // whether the answer belonged to one.
-func (e *Engine) takeStewardAnswer(d *database, answered message.DatabaseAnswered) bool {
+func (e *Engine) takeStewardAnswer(d *database, answered message.ControlAnswered) bool {
 	g := d.group
 	st := &g.steward
-	if _, found := st.fences[answered.Ask]; found {
-		delete(st.fences, answered.Ask)
+	if _, found := st.fences[answered.CorrelationID]; found {
+		delete(st.fences, answered.CorrelationID)
 		e.takeFenced(g, d, answered)
 		return true
 	}
-	if answered.Ask == st.ask && st.step == conductPromote {
+	if answered.CorrelationID == st.ask && st.step == conductPromote {
 		st.ask = 0
 		e.takePromoted(g, d, answered)
 		return true
@@ -73,16 +73,16 @@
 
 // takeFenced counts a fenced database; with a majority the longest log among
 // them is chosen.
-func (e *Engine) takeFenced(g *group, d *database, answered message.DatabaseAnswered) {
+func (e *Engine) takeFenced(g *group, d *database, answered message.ControlAnswered) {
 	st := &g.steward
 	if st.step != conductFence {
 		return
 	}
-	if answered.Err == message.AskConflict {
+	if answered.Err == message.ControlConflict {
 		e.yield(g, fmt.Sprintf("%s is in a later term", d.name))
 		return
 	}
-	if answered.Err != message.AskOK || answered.Status.Term != st.claim.Term {
+	if answered.Err != message.ControlOK || answered.Status.Term != st.claim.Term {
 		return
 	}
 	st.fenced[d.name] = answered.Status
@@ -146,19 +146,19 @@
 	st := &g.steward
 	st.ask = e.ask()
 	e.do(message.Promote{
-		Database: st.chosen.name, Ask: st.ask, Term: st.claim.Term, Nonce: st.claim.Nonce, Timeout: controlTimeout,
+		Database: st.chosen.name, CorrelationID: st.ask, Term: st.claim.Term, Nonce: st.claim.Nonce, Timeout: controlTimeout,
 	})
 }
 
 // takePromoted goes on to record the change. A database that does not answer
 // any more is asked again; the fence of the others holds meanwhile, and another
 // claim follows where it stays mute.
-func (e *Engine) takePromoted(g *group, d *database, answered message.DatabaseAnswered) {
+func (e *Engine) takePromoted(g *group, d *database, answered message.ControlAnswered) {
 	st := &g.steward
 	switch {
-	case answered.Err == message.AskOK && answered.Status.Role == model.RolePrimary:
+	case answered.Err == message.ControlOK && answered.Status.Role == model.RolePrimary:
 		e.promoted(g, d, answered.Status)
-	case answered.Err == message.AskConflict || answered.Err == message.AskRefused:
+	case answered.Err == message.ControlConflict || answered.Err == message.ControlRefused:
 		e.yield(g, fmt.Sprintf("%s is in a later term", d.name))
 	case e.now.Sub(st.claimed) > claimLease:
 		st.step = conductRead
@@ -171,22 +171,22 @@
 }
 
 // promoted notes the change and tells replicas and peers.
-func (e *Engine) promoted(g *group, d *database, status message.Status) {
+func (e *Engine) promoted(g *group, d *database, status message.DatabaseStatus) {
 	st := &g.steward
 	e.note(event.DatabasePromoted,
 		event.F("group", g.name), event.F("term", st.claim.Term), event.F("primary", d.name),
 		event.F("position", status.Received.String()), event.F("took", e.now.Sub(st.suspected).String()))
-	st.record = Record{
-		Group: g.name, Term: st.claim.Term, Before: st.before, Primary: d.name,
-		Steward: e.options.Instance, Reason: st.reason, Evidence: st.evidence,
-		Fenced: e.fencedList(g), Position: status.Received.String(),
-		Suspected: st.suspected, Claimed: st.claimed, Promoted: e.now,
+	st.record = PromotionRecord{
+		Group: g.name, Term: st.claim.Term, PreviousPrimary: st.before, Primary: d.name,
+		Coordinator: e.options.Instance, Reason: st.reason, Evidence: st.evidence,
+		FencedDatabases: e.fencedList(g), Position: status.Received.String(),
+		SuspectedAt: st.suspected, ClaimedAt: st.claimed, PromotedAt: e.now,
 	}
 	st.claim.Phase = rowPromoted
 	st.claim.Primary = d.name
 	st.step = conductRecord
 	e.keepRecord(g, st.record)
-	e.tellPeers(message.GroupNews{Group: g.name, Row: encode(st.claim), Record: encode(st.record)})
+	e.tellPeers(message.GroupUpdate{Group: g.name, Row: encode(st.claim), Record: encode(st.record)})
 }
 
 // fencedList lists the fenced databases in the order of the manifest.
--- a/internal/core/engine/steward_record.go
+++ b/internal/core/engine/steward_record.go
@@ -17,7 +17,7 @@
 	st.ask = e.ask()
 	key := logbookKey(g.name, st.record.Term)
 	e.do(message.WriteRows{
-		Ask: st.ask,
+		CorrelationID: st.ask,
 		Rows: []message.Row{
 			{Table: groupTable, Key: string(g.name), Version: st.version, Body: encode(st.claim)},
 			{Table: logbookTable, Key: key, Body: encode(st.record)},
@@ -57,10 +57,10 @@
 		Term: g.term, Phase: rowPromoted, Primary: g.primary.name,
 		Steward: e.options.Instance, Nonce: e.nonce(), Reason: reason,
 	}
-	st.record = Record{
-		Group: g.name, Term: g.term, Before: st.row.Primary, Primary: g.primary.name, Steward: e.options.Instance,
+	st.record = PromotionRecord{
+		Group: g.name, Term: g.term, PreviousPrimary: st.row.Primary, Primary: g.primary.name, Coordinator: e.options.Instance,
 		Reason: reason, Position: g.primary.status.Received.String(),
-		Suspected: e.now, Claimed: e.now, Promoted: e.now,
+		SuspectedAt: e.now, ClaimedAt: e.now, PromotedAt: e.now,
 	}
 	e.keepRecord(g, st.record)
 	st.step = conductRecord
@@ -89,7 +89,7 @@
 			event.F("group", g.name), event.F("database", d.name), event.F("term", g.term),
 			event.F("primary", g.primary.name))
 		e.do(message.Follow{
-			Database: d.name, Ask: d.following, Term: g.term,
+			Database: d.name, CorrelationID: d.following, Term: g.term,
 			Source: g.primary.name, Address: g.primary.declared.Address, Timeout: controlTimeout,
 		})
 	}
@@ -113,8 +113,8 @@
 
 // takeRepairAnswer takes the answer to a Follow, which carries the status that
 // any other question would. It reports whether the answer belonged to one.
-func (e *Engine) takeRepairAnswer(d *database, answered message.DatabaseAnswered) bool {
-	if answered.Ask != d.following {
+func (e *Engine) takeRepairAnswer(d *database, answered message.ControlAnswered) bool {
+	if answered.CorrelationID != d.following {
 		return false
 	}
 	d.following = 0
--- a/internal/core/engine/system_answer.go
+++ b/internal/core/engine/system_answer.go
@@ -30,43 +30,43 @@
 // Ends of attempts.
 
 // takeAnswer learns how an attempt ended.
-func (e *Engine) takeAnswer(ended message.AnswerEnded) {
+func (e *Engine) takeAnswer(ended message.AttemptEnded) {
 	r, found := e.requests.byID[ended.Request]
 	if !found || r.attempt != ended.Attempt || r.phase != phaseRunning {
 		return
 	}
 	delete(r.group.held, r.id)
-	switch answer := ended.Answer.(type) {
-	case message.AnswerCommitted:
+	switch answer := ended.Outcome.(type) {
+	case message.OutcomeCommitted:
 		e.takeCommitted(r, answer, ended)
-	case message.AnswerRead:
+	case message.OutcomeRead:
 		e.takeRead(r, answer, ended)
-	case message.AnswerBehind:
+	case message.OutcomeBehind:
 		e.takeBehind(r, answer, ended)
-	case message.AnswerFailed:
+	case message.OutcomeDatabaseError:
 		e.measure(r, ended)
 		e.free(r, endingOf(ended, false))
 		e.forget(r)
-	case message.AnswerRefused:
+	case message.OutcomeNotStarted:
 		e.takeRefused(r, answer, ended)
-	case message.AnswerLost:
+	case message.OutcomeConnectionLost:
 		e.takeLost(r, answer, ended)
 	}
 }
 
 // endingOf tells the scheduler how the use of a slot ended.
-func endingOf(ended message.AnswerEnded, failed bool) rank.Ending {
-	return rank.Ending{Elapsed: ended.Elapsed - ended.Opened, Failed: failed}
+func endingOf(ended message.AttemptEnded, failed bool) rank.SlotCompletion {
+	return rank.SlotCompletion{Elapsed: ended.Elapsed - ended.ConnectTime, Failed: failed}
 }
 
 // measure updates the estimate of how fast the database answers.
-func (e *Engine) measure(r *request, ended message.AnswerEnded) {
-	r.database.latency = smooth(r.database.latency, ended.Elapsed-ended.Opened)
+func (e *Engine) measure(r *request, ended message.AttemptEnded) {
+	r.database.latency = smooth(r.database.latency, ended.Elapsed-ended.ConnectTime)
 }
 
 // takeCommitted waits for the proof of a commit. One of a replaced primary is
 // settled instead: the group alone knows whether it survived.
-func (e *Engine) takeCommitted(r *request, answer message.AnswerCommitted, ended message.AnswerEnded) {
+func (e *Engine) takeCommitted(r *request, answer message.OutcomeCommitted, ended message.AttemptEnded) {
 	e.measure(r, ended)
 	e.free(r, endingOf(ended, false))
 	r.position = answer.Position
@@ -81,12 +81,12 @@
 }
 
 // takeRead ends a request whose rows have gone to the caller.
-func (e *Engine) takeRead(r *request, answer message.AnswerRead, ended message.AnswerEnded) {
+func (e *Engine) takeRead(r *request, answer message.OutcomeRead, ended message.AttemptEnded) {
 	e.measure(r, ended)
 	e.free(r, endingOf(ended, false))
 	r.database.applied = r.database.applied.Max(answer.Position)
 	if r.isRead() {
-		e.do(message.Count{Name: "reads", Key: r.database.status.Role.String()})
+		e.do(message.IncrementCounter{Name: "reads", Key: r.database.status.Role.String()})
 	}
 	if r.database != r.group.primary {
 		r.database.lag = min(r.database.lag, e.now.Sub(r.minimumAt))
@@ -96,7 +96,7 @@
 }
 
 // takeBehind runs a read again after a replica was found to lag too far.
-func (e *Engine) takeBehind(r *request, answer message.AnswerBehind, ended message.AnswerEnded) {
+func (e *Engine) takeBehind(r *request, answer message.OutcomeBehind, ended message.AttemptEnded) {
 	e.note(event.ReadBehind,
 		event.F("request", r.id), event.F("attempt", r.attempt), event.F("group", r.group.name),
 		event.F("database", r.database.name), event.F("position", answer.Position.String()),
@@ -115,43 +115,43 @@
 }
 
 // takeRefused runs a request again that was not started.
-func (e *Engine) takeRefused(r *request, answer message.AnswerRefused, ended message.AnswerEnded) {
-	if answer.Why == message.RefusedDuplicate {
+func (e *Engine) takeRefused(r *request, answer message.OutcomeNotStarted, ended message.AttemptEnded) {
+	if answer.Reason == message.NotStartedDuplicateKey {
 		e.takeDuplicate(r, ended)
 		return
 	}
 	e.note(event.RequestRetried,
 		event.F("request", r.id), event.F("attempt", r.attempt), event.F("group", r.group.name),
-		event.F("database", r.database.name), event.F("why", answer.Why.String()))
+		event.F("database", r.database.name), event.F("why", answer.Reason.String()))
 	failed := false
 	pause := time.Duration(0)
-	switch answer.Why {
-	case message.RefusedUnreachable:
+	switch answer.Reason {
+	case message.NotStartedUnreachable:
 		failed = true
 		r.database.unusable = e.now.Add(unreachablePause)
 		e.probeGroup(r.group)
-	case message.RefusedTerm, message.RefusedReadOnly:
+	case message.NotStartedWrongTerm, message.NotStartedReadOnly:
 		pause = termPause
 		e.probeGroup(r.group)
-	case message.RefusedFull:
+	case message.NotStartedTooManyConnections:
 		pause = e.jitter(fullPause)
-	case message.RefusedLeaving:
+	case message.NotStartedShuttingDown:
 		r.database.unusable = e.now.Add(unreachablePause)
 		e.probeGroup(r.group)
-	case message.RefusedStale, message.RefusedDuplicate:
+	case message.NotStartedBrokenConnection, message.NotStartedDuplicateKey:
 	}
 	e.retry(r, endingOf(ended, failed), pause)
 }
 
 // retry queues another attempt, or ends the request where there have been too
 // many.
-func (e *Engine) retry(r *request, ending rank.Ending, pause time.Duration) {
+func (e *Engine) retry(r *request, ending rank.SlotCompletion, pause time.Duration) {
 	if r.attempt >= maxAttempts || !e.now.Before(r.deadline) {
 		e.free(r, ending)
-		e.refuseRequest(r, rank.Refusal{Why: r.why, Detail: "no attempt could be started inside the deadline"})
+		e.refuseRequest(r, rank.Refusal{Reason: r.why, Detail: "no attempt could be started inside the deadline"})
 		return
 	}
-	if !e.scheduler.AllowRetry(e.now, r.group.name) {
+	if !e.scheduler.TakeRetry(e.now, r.group.name) {
 		pause = max(pause, e.jitter(budgetPause))
 	}
 	e.again(r, ending, pause)
@@ -160,11 +160,11 @@
 // takeDuplicate ends a request whose key the group already knows. A key that
 // the caller chose tells of its own earlier request; for one of this instance
 // the group is asked what became of it.
-func (e *Engine) takeDuplicate(r *request, ended message.AnswerEnded) {
+func (e *Engine) takeDuplicate(r *request, ended message.AttemptEnded) {
 	e.free(r, endingOf(ended, false))
 	if r.ownKey {
 		e.refuseRequest(r, rank.Refusal{
-			Why: message.RefuseDuplicate, Detail: "a request with this key was committed or settled before",
+			Reason: message.RefuseDuplicateKey, Detail: "a request with this key was committed or settled before",
 		})
 		return
 	}
@@ -173,8 +173,8 @@
 
 // takeLostCommit asks the group what became of a commit. Work that may be done
 // twice without harm is sent again at once instead, under a new key.
-func (e *Engine) takeLostCommit(r *request, answer message.AnswerLost, ending rank.Ending) {
-	if r.kind.Repeat && r.isRepeatable() && !answer.Passed && e.now.Before(r.deadline) {
+func (e *Engine) takeLostCommit(r *request, answer message.OutcomeConnectionLost, ending rank.SlotCompletion) {
+	if r.kind.Retryable && r.isRepeatable() && !answer.PartlySent && e.now.Before(r.deadline) {
 		r.key += "+"
 		e.retry(r, ending, 0)
 		return
@@ -184,14 +184,14 @@
 }
 
 // takeLost decides after a connection broke with an answer outstanding.
-func (e *Engine) takeLost(r *request, answer message.AnswerLost, ended message.AnswerEnded) {
+func (e *Engine) takeLost(r *request, answer message.OutcomeConnectionLost, ended message.AttemptEnded) {
 	e.probeGroup(r.group)
 	ending := endingOf(ended, true)
-	if answer.Committing && !r.isRead() {
+	if answer.MayHaveCommitted && !r.isRead() {
 		e.takeLostCommit(r, answer, ending)
 		return
 	}
-	if answer.Passed {
+	if answer.PartlySent {
 		e.free(r, ending)
 		e.abandon(r, false, "the connection to the database broke inside the answer")
 		return
@@ -203,7 +203,7 @@
 	}
 	if !e.now.Before(r.deadline) {
 		e.free(r, ending)
-		e.refuseRequest(r, rank.Refusal{Why: message.RefuseDeadline, Detail: "no answer inside the deadline; nothing was committed"})
+		e.refuseRequest(r, rank.Refusal{Reason: message.RefuseDeadline, Detail: "no answer inside the deadline; nothing was committed"})
 		return
 	}
 	e.retry(r, ending, 0)
--- a/internal/core/engine/system_drain.go
+++ b/internal/core/engine/system_drain.go
@@ -37,9 +37,9 @@
 	now := message.Readiness{Ready: true}
 	switch {
 	case e.drain.started:
-		now = message.Readiness{Why: "draining"}
+		now = message.Readiness{Reason: "draining"}
 	case e.declared.current == nil:
-		now = message.Readiness{Why: "no manifest is in force"}
+		now = message.Readiness{Reason: "no manifest is in force"}
 	}
 	if now == e.drain.published {
 		return
@@ -63,7 +63,7 @@
 	e.drain.ended = true
 	e.note(event.DrainEnded,
 		event.F("sessions", len(e.sessions)), event.F("requests", len(e.requests.byID)), event.F("took", took.String()))
-	e.do(message.Leave{})
+	e.do(message.Terminate{})
 }
 
 // isConducting reports whether a change of primary is under way here.
--- a/internal/core/engine/system_manifest.go
+++ b/internal/core/engine/system_manifest.go
@@ -25,7 +25,7 @@
 	}
 	s.nextRead = e.now.Add(e.jitter(interval))
 	s.rowAsk = e.ask()
-	e.do(message.ReadRow{Ask: s.rowAsk, Table: manifestTable, Key: manifestKey, Timeout: platformTimeout})
+	e.do(message.ReadRow{CorrelationID: s.rowAsk, Table: manifestTable, Key: manifestKey, Timeout: platformTimeout})
 }
 
 // takeManifestRow reads the object of a newer row.
@@ -47,7 +47,7 @@
 	s := &e.declared
 	s.wanted = row
 	s.objectAsk = e.ask()
-	e.do(message.ReadObject{Ask: s.objectAsk, Name: row.Digest, Timeout: platformTimeout})
+	e.do(message.ReadObject{CorrelationID: s.objectAsk, Name: row.Digest, Timeout: platformTimeout})
 }
 
 // takeManifestObject adopts the body that was asked for.
--- a/internal/core/engine/system_member.go
+++ b/internal/core/engine/system_member.go
@@ -21,13 +21,13 @@
 // takePeer learns from a link or from what a peer says on it.
 func (e *Engine) takePeer(incoming message.Event) {
 	switch incoming := incoming.(type) {
-	case message.PeerLinked:
+	case message.PeerConnected:
 		e.greet(incoming.Peer)
-	case message.PeerHeard:
+	case message.PeerMessageReceived:
 		if incoming.From != e.options.Instance {
 			e.takeMessage(incoming)
 		}
-	case message.PeerLost:
+	case message.PeerDisconnected:
 	}
 }
 
@@ -42,20 +42,20 @@
 }
 
 // takeMessage hands a peer's word to the system that it concerns.
-func (e *Engine) takeMessage(heard message.PeerHeard) {
+func (e *Engine) takeMessage(heard message.PeerMessageReceived) {
 	switch body := heard.Body.(type) {
 	case message.Heartbeat:
 		e.takeHeartbeat(heard.From, body)
 	case message.ManifestOffer:
 		e.takeOffer(heard.From, body)
-	case message.ManifestWanted:
-		e.offerManifest(heard.From, body.Above)
-	case message.GroupNews:
+	case message.ManifestRequest:
+		e.offerManifest(heard.From, body.NewerThan)
+	case message.GroupUpdate:
 		e.takeNews(body)
 	case message.DatabaseLeaving:
 		e.takeLeaving(body)
-	case message.Demand, message.Permit:
-		e.scheduler.Hear(e.now, heard.From, body)
+	case message.LeaseRequest, message.LeaseGrant:
+		e.scheduler.HandlePeerMessage(e.now, heard.From, body)
 	}
 }
 
@@ -70,16 +70,16 @@
 		e.note(event.InstanceLeaving, event.F("instance", from))
 		e.instances.changed = true
 	}
-	if entry.peer != beat.Peer {
+	if entry.peer != beat.PeerAddress {
 		e.instances.changed = true
 	}
-	entry.zone, entry.peer, entry.leaving = beat.Zone, beat.Peer, beat.Leaving
+	entry.zone, entry.peer, entry.leaving = beat.Zone, beat.PeerAddress, beat.Leaving
 	entry.alive, entry.heard, entry.manifest = true, e.now, beat.Manifest
 	for _, known := range beat.Known {
 		e.hear(known)
 	}
 	if beat.Manifest > e.declared.number {
-		e.do(message.SendPeer{To: from, Body: message.ManifestWanted{Above: e.declared.number}})
+		e.do(message.SendPeer{To: from, Body: message.ManifestRequest{NewerThan: e.declared.number}})
 	}
 }
 
@@ -90,19 +90,19 @@
 	}
 	entry := e.instances.get(known.Instance)
 	if !entry.peer.IsValid() {
-		entry.peer = known.Peer
+		entry.peer = known.PeerAddress
 		e.instances.changed = true
 	}
 }
 
 // takeNews takes in a change of primary that another instance has made. It is a
 // hint: the databases are asked at once.
-func (e *Engine) takeNews(news message.GroupNews) {
+func (e *Engine) takeNews(news message.GroupUpdate) {
 	g, found := e.byGroup[news.Group]
 	if !found {
 		return
 	}
-	var record Record
+	var record PromotionRecord
 	if err := json.Unmarshal(news.Record, &record); err == nil && record.Group == g.name {
 		e.keepRecord(g, record)
 	}
@@ -163,7 +163,7 @@
 			e.instances.changed = true
 			e.note(event.InstanceGone, event.F("instance", entry.id), event.F("silent", silent.String()))
 			if entry.leaving {
-				e.scheduler.Forget(e.now, entry.id)
+				e.scheduler.RemovePeer(e.now, entry.id)
 			}
 		}
 		if !entry.alive && !entry.listed && !entry.heard.IsZero() && silent > instanceKept {
@@ -180,7 +180,7 @@
 	}
 	t.listAsk = e.ask()
 	t.listAt = e.now.Add(e.jitter(listInterval))
-	e.do(message.ListInstances{Ask: t.listAsk, Timeout: platformTimeout})
+	e.do(message.ListInstances{CorrelationID: t.listAsk, Timeout: platformTimeout})
 }
 
 // takeList takes in the platform's list as a hint of whom to speak to.
@@ -199,7 +199,7 @@
 		entry := e.instances.get(l.Instance)
 		entry.listed = true
 		if !entry.peer.IsValid() {
-			entry.peer = l.Peer
+			entry.peer = l.PeerAddress
 			entry.zone = l.Zone
 			e.instances.changed = true
 		}
@@ -225,10 +225,10 @@
 func (e *Engine) linkTargets() []message.PeerTarget {
 	known := slices.Clone(e.instances.sorted())
 	sort.SliceStable(known, func(i, j int) bool {
-		return model.Weight(known[i].id, e.options.Instance) > model.Weight(known[j].id, e.options.Instance)
+		return model.RendezvousWeight(known[i].id, e.options.Instance) > model.RendezvousWeight(known[j].id, e.options.Instance)
 	})
 	var targets []message.PeerTarget
-	addresses := map[string]bool{e.options.Peer.String(): true}
+	addresses := map[string]bool{e.options.PeerAddress.String(): true}
 	for _, entry := range known {
 		if !entry.peer.IsValid() || len(targets) >= maxLinks {
 			continue
@@ -236,7 +236,7 @@
 		targets = append(targets, message.PeerTarget{Instance: entry.id, Address: entry.peer})
 		addresses[entry.peer.String()] = true
 	}
-	for _, seed := range e.options.Seeds {
+	for _, seed := range e.options.SeedAddresses {
 		if !addresses[seed.String()] {
 			targets = append(targets, message.PeerTarget{Address: seed})
 		}
@@ -260,13 +260,13 @@
 // heartbeat returns this instance's introduction.
 func (e *Engine) heartbeat() message.Heartbeat {
 	return message.Heartbeat{
-		Instance: e.options.Instance,
-		Zone:     e.options.Zone,
-		Peer:     e.options.Peer,
-		Sequence: e.instances.sequence,
-		Manifest: e.declared.number,
-		Leaving:  e.drain.started,
-		Known:    e.knownPeers(),
+		Instance:    e.options.Instance,
+		Zone:        e.options.Zone,
+		PeerAddress: e.options.PeerAddress,
+		Sequence:    e.instances.sequence,
+		Manifest:    e.declared.number,
+		Leaving:     e.drain.started,
+		Known:       e.knownPeers(),
 	}
 }
 
@@ -276,7 +276,7 @@
 	var known []message.KnownPeer
 	for i := range min(len(alive), maxKnown) {
 		id := alive[(int(e.instances.sequence)+i)%len(alive)]
-		known = append(known, message.KnownPeer{Instance: id, Peer: e.instances.byID[id].peer})
+		known = append(known, message.KnownPeer{Instance: id, PeerAddress: e.instances.byID[id].peer})
 	}
 	return known
 }
--- a/internal/core/engine/system_platform.go
+++ b/internal/core/engine/system_platform.go
@@ -24,15 +24,15 @@
 	case message.RowsWritten:
 		e.takeWritten(incoming)
 	case message.ObjectRead:
-		if incoming.Ask == e.declared.objectAsk {
+		if incoming.CorrelationID == e.declared.objectAsk {
 			e.takeManifestObject(incoming)
 		}
 	case message.ObjectWritten:
-		if sub, found := e.submitOf(incoming.Ask); found {
+		if sub, found := e.submitOf(incoming.CorrelationID); found {
 			e.takeStored(sub, incoming)
 		}
 	case message.InstancesListed:
-		if incoming.Ask == e.instances.listAsk {
+		if incoming.CorrelationID == e.instances.listAsk {
 			e.takeList(incoming)
 		}
 	}
@@ -40,20 +40,20 @@
 
 // takeRows hands rows to the system that asked for them.
 func (e *Engine) takeRows(read message.RowsRead) {
-	if read.Ask == e.declared.rowAsk {
+	if read.CorrelationID == e.declared.rowAsk {
 		e.takeManifestRow(read)
 		return
 	}
-	if sub, found := e.submitOf(read.Ask); found {
+	if sub, found := e.submitOf(read.CorrelationID); found {
 		e.takeSubmitRow(sub, read)
 		return
 	}
 	for _, g := range e.groups {
-		if g.steward.ask == read.Ask && g.steward.step == conductRead {
+		if g.steward.ask == read.CorrelationID && g.steward.step == conductRead {
 			e.takeGroupRow(g, read)
 			return
 		}
-		if g.logbookAsk == read.Ask {
+		if g.logbookAsk == read.CorrelationID {
 			e.takeLogbook(g, read)
 			return
 		}
@@ -62,12 +62,12 @@
 
 // takeWritten hands the answer of a write to the system that wrote.
 func (e *Engine) takeWritten(written message.RowsWritten) {
-	if sub, found := e.submitOf(written.Ask); found {
+	if sub, found := e.submitOf(written.CorrelationID); found {
 		e.takeSubmitWrite(sub, written)
 		return
 	}
 	for _, g := range e.groups {
-		if g.steward.ask == written.Ask {
+		if g.steward.ask == written.CorrelationID {
 			e.takeGroupWrite(g, written)
 			return
 		}
@@ -89,7 +89,7 @@
 	}
 	g.logbookAt = e.now
 	g.logbookAsk = e.ask()
-	e.do(message.ScanRows{Ask: g.logbookAsk, Table: logbookTable, Prefix: string(g.name) + "/", Timeout: platformTimeout})
+	e.do(message.ScanRows{CorrelationID: g.logbookAsk, Table: logbookTable, Prefix: string(g.name) + "/", Timeout: platformTimeout})
 }
 
 // takeLogbook keeps the records that the platform holds.
@@ -99,7 +99,7 @@
 		return
 	}
 	for _, row := range read.Rows {
-		var record Record
+		var record PromotionRecord
 		if json.Unmarshal(row.Body, &record) == nil {
 			e.keepRecord(g, record)
 		}
@@ -107,12 +107,12 @@
 }
 
 // keepRecord adds a record, ordered by term; the newest ones are kept.
-func (e *Engine) keepRecord(g *group, record Record) {
+func (e *Engine) keepRecord(g *group, record PromotionRecord) {
 	i := sort.Search(len(g.logbook), func(i int) bool { return g.logbook[i].Term >= record.Term })
 	if i < len(g.logbook) && g.logbook[i].Term == record.Term {
 		return
 	}
-	g.logbook = append(g.logbook, Record{})
+	g.logbook = append(g.logbook, PromotionRecord{})
 	copy(g.logbook[i+1:], g.logbook[i:])
 	g.logbook[i] = record
 	if extra := len(g.logbook) - logbookKept; extra > 0 {
--- a/internal/core/engine/system_prove.go
+++ b/internal/core/engine/system_prove.go
@@ -29,7 +29,7 @@
 		return
 	}
 	g.proven = position
-	e.do(message.Proven{Group: g.name, Position: position})
+	e.do(message.SetDurablePosition{Group: g.name, Position: position})
 }
 
 // releaseHeld lets held answers go whose position is proven.
@@ -43,7 +43,7 @@
 			continue
 		}
 		delete(g.held, r.id)
-		e.do(message.Release{Request: r.id, Attempt: r.attempt})
+		e.do(message.ReleaseResult{Request: r.id, Attempt: r.attempt})
 	}
 }
 
@@ -87,7 +87,7 @@
 			continue
 		}
 		d.awaiting = e.ask()
-		e.do(message.Await{Database: d.name, Ask: d.awaiting, Position: position, Timeout: awaitTimeout})
+		e.do(message.AwaitPosition{Database: d.name, CorrelationID: d.awaiting, Position: position, Timeout: awaitTimeout})
 	}
 }
 
@@ -113,7 +113,7 @@
 }
 
 // takeHeld notes an answer that waits at the edge for its proof.
-func (e *Engine) takeHeld(held message.AnswerHeld) {
+func (e *Engine) takeHeld(held message.ResultHeld) {
 	r, found := e.requests.byID[held.Request]
 	if !found || r.attempt != held.Attempt || r.phase != phaseRunning {
 		return
--- a/internal/core/engine/system_schedule.go
+++ b/internal/core/engine/system_schedule.go
@@ -20,18 +20,18 @@
 // runSchedule ends what has passed its deadline and dispatches what the
 // scheduler grants.
 func (e *Engine) runSchedule() {
-	for _, id := range e.scheduler.Expired(e.now) {
+	for _, id := range e.scheduler.TakeExpired(e.now) {
 		if r, found := e.requests.byID[id]; found {
-			e.refuseRequest(r, rank.Refusal{Why: r.missing(), Detail: "the deadline ended before the work could be sent"})
+			e.refuseRequest(r, rank.Refusal{Reason: r.missing(), Detail: "the deadline ended before the work could be sent"})
 		}
 	}
 	for _, g := range e.groups {
 		g.wanting = time.Time{}
 	}
-	for _, grant := range e.scheduler.Grant(e.now, e.candidates) {
+	for _, grant := range e.scheduler.AssignSlots(e.now, e.candidates) {
 		r, found := e.requests.byID[grant.Request]
 		if !found {
-			e.scheduler.Finish(e.now, grant.Request, rank.Ending{})
+			e.scheduler.Finish(e.now, grant.Request, rank.SlotCompletion{})
 			continue
 		}
 		e.dispatch(r, e.databases[grant.Database])
@@ -39,18 +39,18 @@
 	for _, g := range e.groups {
 		e.probeWanted(g)
 	}
-	for _, send := range e.scheduler.Messages(e.now) {
+	for _, send := range e.scheduler.TakeMessages(e.now) {
 		e.do(send)
 	}
-	for _, note := range e.scheduler.Notes() {
+	for _, note := range e.scheduler.TakeLogEvents() {
 		e.do(note)
 	}
 }
 
 // missing tells what the request lacked at its deadline.
-func (r *request) missing() message.RefuseWhy {
+func (r *request) missing() message.RefusalReason {
 	if r.behind >= maxBehind {
-		return message.RefuseStale
+		return message.RefuseNoFreshDatabase
 	}
 	return r.why
 }
@@ -96,7 +96,7 @@
 
 // readCandidates names the databases that are thought to be fresh enough.
 func (e *Engine) readCandidates(r *request) []model.DatabaseID {
-	r.why = message.RefuseStale
+	r.why = message.RefuseNoFreshDatabase
 	if !e.findMinimum(r) {
 		return nil
 	}
@@ -158,13 +158,13 @@
 	if !r.session.anchored && r.token.IsZero() {
 		return r.arrived, true
 	}
-	if !r.kind.Bounded {
+	if !r.kind.HasStalenessBound {
 		return time.Time{}, false
 	}
-	if r.kind.Stale < barrierBound {
+	if r.kind.MaxStaleness < barrierBound {
 		return r.arrived, true
 	}
-	return e.now.Add(staleMargin - r.kind.Stale), true
+	return e.now.Add(staleMargin - r.kind.MaxStaleness), true
 }
 
 // want asks for a sample that is not older than since. Questions are sent now,
@@ -265,17 +265,17 @@
 	}
 	e.noteDispatch(r, d, primary)
 	e.do(message.Dispatch{
-		Request:  r.id,
-		Attempt:  r.attempt,
-		Database: d.name,
-		Access:   r.kind.Access,
-		Gated:    primary || e.isGated(r.group, d),
-		Term:     r.term,
-		Key:      key,
-		Minimum:  r.minimum,
-		Token:    r.given,
-		Expires:  r.deadline,
-		Suspect:  silentAfter,
+		Request:          r.id,
+		Attempt:          r.attempt,
+		Database:         d.name,
+		Access:           r.kind.Access,
+		HoldUntilDurable: primary || e.isGated(r.group, d),
+		Term:             r.term,
+		IdempotencyKey:   key,
+		MinPosition:      r.minimum,
+		Token:            r.given,
+		Deadline:         r.deadline,
+		SilenceTimeout:   silentAfter,
 	})
 }
 
--- a/internal/core/engine/system_session.go
+++ b/internal/core/engine/system_session.go
@@ -25,9 +25,9 @@
 		name:     opened.Group,
 		group:    e.byGroup[opened.Group],
 		caller:   opened.Caller,
-		written:  floor{position: opened.Position, at: e.now},
-		seen:     floor{position: opened.Position, at: e.now},
-		anchored: !opened.Position.IsZero(),
+		written:  floor{position: opened.TokenPosition, at: e.now},
+		seen:     floor{position: opened.TokenPosition, at: e.now},
+		anchored: !opened.TokenPosition.IsZero(),
 		roaming:  opened.Roaming,
 	}
 }
@@ -51,24 +51,24 @@
 func (e *Engine) admit(arrived message.RequestArrived) {
 	s, found := e.sessions[arrived.Session]
 	if !found {
-		e.refuse(arrived.Request, "", arrived.Kind, rank.Refusal{Why: message.RefuseCanceled, Detail: "the session is closed"})
+		e.refuse(arrived.Request, "", arrived.Kind, rank.Refusal{Reason: message.RefuseCanceled, Detail: "the session is closed"})
 		return
 	}
 	if s.group == nil {
 		e.refuse(arrived.Request, "", arrived.Kind, rank.Refusal{
-			Why: message.RefuseUnknownGroup, Detail: "the manifest in force has no such group",
+			Reason: message.RefuseUnknownGroup, Detail: "the manifest in force has no such group",
 		})
 		return
 	}
 	kind, found := e.declared.kind(arrived.Kind)
 	if !found {
 		e.refuse(arrived.Request, s.group.name, arrived.Kind, rank.Refusal{
-			Why: message.RefuseUnknownKind, Detail: "the manifest in force has no kind of work " + strconv.Quote(arrived.Kind),
+			Reason: message.RefuseUnknownKind, Detail: "the manifest in force has no kind of work " + strconv.Quote(arrived.Kind),
 		})
 		return
 	}
 	r := e.newRequest(arrived, s, kind)
-	refusal, admitted := e.scheduler.Offer(e.now, r.work())
+	refusal, admitted := e.scheduler.Enqueue(e.now, r.work())
 	if !admitted {
 		e.refuse(r.id, r.group.name, kind.Name, refusal)
 		return
@@ -81,7 +81,7 @@
 }
 
 // newRequest makes the table's entry for an arrival.
-func (e *Engine) newRequest(arrived message.RequestArrived, s *session, kind manifest.Kind) *request {
+func (e *Engine) newRequest(arrived message.RequestArrived, s *session, kind manifest.RequestKind) *request {
 	limit := kind.Deadline
 	if arrived.Deadline > 0 && arrived.Deadline < limit {
 		limit = arrived.Deadline
@@ -92,10 +92,10 @@
 		group:       s.group,
 		kind:        kind,
 		target:      e.declared.target(kind.Rank),
-		key:         arrived.Key,
-		ownKey:      arrived.OwnKey,
+		key:         arrived.IdempotencyKey,
+		ownKey:      arrived.CallerSuppliedKey,
 		transaction: arrived.Transaction,
-		token:       arrived.Position,
+		token:       arrived.TokenPosition,
 		arrived:     e.now,
 		deadline:    e.now.Add(limit),
 		why:         message.RefuseDeadline,
@@ -124,10 +124,10 @@
 	}
 	switch r.phase {
 	case phaseWaiting:
-		e.scheduler.Withdraw(id)
-		e.refuseRequest(r, rank.Refusal{Why: message.RefuseCanceled})
+		e.scheduler.Cancel(id)
+		e.refuseRequest(r, rank.Refusal{Reason: message.RefuseCanceled})
 	case phaseRunning:
-		e.do(message.Interrupt{Request: id, Attempt: r.attempt})
+		e.do(message.CancelStatement{Request: id, Attempt: r.attempt})
 	case phaseProving, phaseSettling, phaseSettled:
 	}
 }
@@ -144,8 +144,8 @@
 // refuse tells a caller that its request did not run.
 func (e *Engine) refuse(id model.RequestID, group model.GroupID, kind string, refusal rank.Refusal) {
 	e.note(event.RequestRefused,
-		event.F("request", id), event.F("group", group), event.F("kind", kind), event.F("why", refusal.Why.String()))
-	e.do(message.Refuse{Request: id, Why: refusal.Why, Again: refusal.Again, Detail: refusal.Detail})
+		event.F("request", id), event.F("group", group), event.F("kind", kind), event.F("why", refusal.Reason.String()))
+	e.do(message.RefuseRequest{Request: id, Reason: refusal.Reason, RetryAfter: refusal.RetryAfter, Detail: refusal.Detail})
 }
 
 // abandon ends a request with an error after it was sent.
@@ -158,7 +158,7 @@
 		e.note(event.RequestAbandoned,
 			event.F("request", r.id), event.F("group", r.group.name), event.F("why", why))
 	}
-	e.do(message.Abandon{Request: r.id, Attempt: r.attempt, Unknown: unknown, Why: why})
+	e.do(message.AbortRequest{Request: r.id, Attempt: r.attempt, OutcomeUnknown: unknown, Reason: why})
 }
 
 // acknowledge lets the answer of a commit go to the caller.
@@ -169,12 +169,12 @@
 	e.note(event.WriteAcknowledged,
 		event.F("request", r.id), event.F("group", r.group.name), event.F("position", r.position.String()))
 	token := model.Token{Group: r.group.name, Position: r.session.written.position}
-	e.do(message.Acknowledge{Request: r.id, Attempt: r.attempt, Token: token})
+	e.do(message.AcknowledgeCommit{Request: r.id, Attempt: r.attempt, Token: token})
 }
 
 // forget takes a request out of all tables.
 func (e *Engine) forget(r *request) {
-	e.free(r, rank.Ending{})
+	e.free(r, rank.SlotCompletion{})
 	delete(e.requests.byID, r.id)
 	delete(e.requests.settling, r.id)
 	delete(e.requests.bySettle, r.settleAsk)
@@ -187,7 +187,7 @@
 }
 
 // free gives back the slot of a running request.
-func (e *Engine) free(r *request, ending rank.Ending) {
+func (e *Engine) free(r *request, ending rank.SlotCompletion) {
 	if r.phase != phaseRunning {
 		return
 	}
@@ -197,7 +197,7 @@
 }
 
 // again puts a running request back into the queue.
-func (e *Engine) again(r *request, ending rank.Ending, pause time.Duration) {
+func (e *Engine) again(r *request, ending rank.SlotCompletion, pause time.Duration) {
 	delete(r.group.held, r.id)
 	r.database.running--
 	r.phase = phaseWaiting
--- a/internal/core/engine/system_settle.go
+++ b/internal/core/engine/system_settle.go
@@ -48,20 +48,20 @@
 	e.note(event.OutcomeAsked,
 		event.F("request", r.id), event.F("group", g.name), event.F("database", g.primary.name),
 		event.F("term", g.term), event.F("key", r.key))
-	e.do(message.Settle{
-		Database: g.primary.name, Ask: r.settleAsk, Key: r.key, Term: g.term, Timeout: controlTimeout,
+	e.do(message.ResolveInDoubt{
+		Database: g.primary.name, CorrelationID: r.settleAsk, IdempotencyKey: r.key, Term: g.term, Timeout: controlTimeout,
 	})
 }
 
 // takeSettled learns the outcome of a key.
-func (e *Engine) takeSettled(answered message.SettleAnswered) {
-	r, found := e.requests.bySettle[answered.Ask]
+func (e *Engine) takeSettled(answered message.InDoubtResolved) {
+	r, found := e.requests.bySettle[answered.CorrelationID]
 	if !found {
 		return
 	}
-	delete(e.requests.bySettle, answered.Ask)
+	delete(e.requests.bySettle, answered.CorrelationID)
 	r.settleAsk = 0
-	if answered.Err != message.AskOK || r.term != r.group.term {
+	if answered.Err != message.ControlOK || r.term != r.group.term {
 		r.settleAt = e.now.Add(e.jitter(retryPause))
 		e.probeGroup(r.group)
 		return
@@ -97,7 +97,7 @@
 		e.repeat(r)
 	default:
 		e.refuseRequest(r, rank.Refusal{
-			Why: message.RefuseSettled, Detail: "the group has proved that the work was not committed and never will be",
+			Reason: message.RefuseNotCommitted, Detail: "the group has proved that the work was not committed and never will be",
 		})
 	}
 }
--- a/internal/core/engine/system_submit.go
+++ b/internal/core/engine/system_submit.go
@@ -42,7 +42,7 @@
 // takeSubmission checks a submitted manifest whole and begins to store it.
 func (e *Engine) takeSubmission(submitted message.ManifestSubmitted) {
 	sub := &submission{
-		ask: submitted.Ask, body: submitted.Body, want: submitted.Expected, who: submitted.Who,
+		ask: submitted.CorrelationID, body: submitted.Body, want: submitted.ExpectedNumber, who: submitted.Submitter,
 		digest: manifest.Digest(submitted.Body), started: e.now,
 	}
 	if _, err := manifest.Parse(submitted.Body); err != nil {
@@ -50,8 +50,8 @@
 		return
 	}
 	sub.row = manifestRow{
-		Number: submitted.Expected + 1, Digest: sub.digest, Nonce: e.nonce(),
-		Who: submitted.Who, At: e.now, By: e.options.Instance,
+		Number: submitted.ExpectedNumber + 1, Digest: sub.digest, Nonce: e.nonce(),
+		Who: submitted.Submitter, At: e.now, By: e.options.Instance,
 	}
 	e.declared.submits = append(e.declared.submits, sub)
 }
@@ -83,9 +83,9 @@
 	sub.sent = e.ask()
 	switch sub.step {
 	case submitStore:
-		e.do(message.WriteObject{Ask: sub.sent, Name: sub.digest, Body: sub.body, Timeout: platformTimeout})
+		e.do(message.WriteObject{CorrelationID: sub.sent, Name: sub.digest, Body: sub.body, Timeout: platformTimeout})
 	case submitRead, submitVerify:
-		e.do(message.ReadRow{Ask: sub.sent, Table: manifestTable, Key: manifestKey, Timeout: platformTimeout})
+		e.do(message.ReadRow{CorrelationID: sub.sent, Table: manifestTable, Key: manifestKey, Timeout: platformTimeout})
 	case submitWrite:
 	}
 }
@@ -120,7 +120,7 @@
 // takeSubmitRow compares the row with what was reviewed and writes it, or, after
 // a lost answer, finds this submission's nonce in it.
 func (e *Engine) takeSubmitRow(sub *submission, read message.RowsRead) {
-	if read.Err != message.PlatformOK && read.Err != message.PlatformMissing {
+	if read.Err != message.PlatformOK && read.Err != message.PlatformNotFound {
 		sub.again(e.now, e.jitter(retryPause))
 		return
 	}
@@ -141,9 +141,9 @@
 	sub.step = submitWrite
 	sub.sent = e.ask()
 	e.do(message.WriteRows{
-		Ask:     sub.sent,
-		Rows:    []message.Row{{Table: manifestTable, Key: manifestKey, Version: version, Body: encode(sub.row)}},
-		Timeout: platformTimeout,
+		CorrelationID: sub.sent,
+		Rows:          []message.Row{{Table: manifestTable, Key: manifestKey, Version: version, Body: encode(sub.row)}},
+		Timeout:       platformTimeout,
 	})
 }
 
@@ -171,7 +171,7 @@
 	case message.PlatformConflict:
 		sub.step = submitVerify
 		sub.again(e.now, 0)
-	case message.PlatformUnsent, message.PlatformRefused, message.PlatformMissing:
+	case message.PlatformUnreachable, message.PlatformRefused, message.PlatformNotFound:
 		sub.step = submitRead
 		sub.again(e.now, e.jitter(retryPause))
 	}
@@ -198,7 +198,7 @@
 		}
 	}
 	e.declared.submits = kept
-	e.do(message.ManifestDecided{Ask: sub.ask, Number: number, Err: err, Detail: detail})
+	e.do(message.ManifestDecided{CorrelationID: sub.ask, Number: number, Err: err, Detail: detail})
 }
 
 // decodeManifestRow reads a row's body; one that can't be read counts as none.
--- a/internal/core/engine/system_watch.go
+++ b/internal/core/engine/system_watch.go
@@ -17,17 +17,17 @@
 // Answers.
 
 // takeStatus learns from the answer to a control question.
-func (e *Engine) takeStatus(answered message.DatabaseAnswered) {
+func (e *Engine) takeStatus(answered message.ControlAnswered) {
 	d, found := e.databases[answered.Database]
 	if !found {
 		return
 	}
-	if answered.Ask == d.awaiting {
+	if answered.CorrelationID == d.awaiting {
 		d.awaiting = 0
 	} else if !e.takeStewardAnswer(d, answered) && d.probes > 0 {
 		d.probes--
 	}
-	if answered.Err != message.AskOK && answered.Err != message.AskConflict {
+	if answered.Err != message.ControlOK && answered.Err != message.ControlConflict {
 		e.noteFailure(d, answered)
 		return
 	}
@@ -35,8 +35,8 @@
 }
 
 // noteFailure remembers since when a database has not answered.
-func (e *Engine) noteFailure(d *database, answered message.DatabaseAnswered) {
-	if answered.Asked.Before(d.heard) {
+func (e *Engine) noteFailure(d *database, answered message.ControlAnswered) {
+	if answered.SentAt.Before(d.heard) {
 		return
 	}
 	if d.failing.IsZero() {
@@ -49,8 +49,8 @@
 
 // noteStatus takes in what a database says of itself. Answers that were asked
 // for earlier than the last one taken in are dropped, since they are older.
-func (e *Engine) noteStatus(d *database, answered message.DatabaseAnswered) {
-	if d.known && answered.Asked.Before(d.asked) {
+func (e *Engine) noteStatus(d *database, answered message.ControlAnswered) {
+	if d.known && answered.SentAt.Before(d.asked) {
 		return
 	}
 	status := answered.Status
@@ -62,13 +62,13 @@
 	if status.Leaving && !d.isLeaving() {
 		e.noteLeaving(d, "database")
 	}
-	if answered.Asked.After(d.hintedAt) {
+	if answered.SentAt.After(d.hintedAt) {
 		d.hinted = false
 	}
 	d.status = status
 	d.applied = status.Applied
 	d.known = true
-	d.asked = answered.Asked
+	d.asked = answered.SentAt
 	d.heard = e.now
 	d.failing = time.Time{}
 	e.adoptTerm(d)
@@ -79,7 +79,7 @@
 
 // noteLeaving logs that a database leaves and passes the word on.
 func (e *Engine) noteLeaving(d *database, source string) {
-	e.note(event.DatabaseLeft,
+	e.note(event.DatabaseLeaving,
 		event.F("group", d.group.name), event.F("database", d.name), event.F("source", source))
 	if source == "database" {
 		e.tellPeers(message.DatabaseLeaving{Database: d.name, Leaving: true})
@@ -127,7 +127,7 @@
 	e.note(event.AttemptDropped,
 		event.F("request", r.id), event.F("attempt", r.attempt), event.F("group", r.group.name),
 		event.F("database", r.database.name), event.F("term", r.term))
-	e.do(message.Drop{Request: r.id, Attempt: r.attempt})
+	e.do(message.CloseConnection{Request: r.id, Attempt: r.attempt})
 }
 
 // sampleGroup keeps the proof that the latest answers give together.
@@ -197,7 +197,7 @@
 func (e *Engine) probe(d *database) {
 	d.probes++
 	d.lastProbe = e.now
-	e.do(message.Probe{Database: d.name, Ask: e.ask(), Timeout: probeTimeout})
+	e.do(message.Probe{Database: d.name, CorrelationID: e.ask(), Timeout: probeTimeout})
 }
 
 // probeGroup asks all databases of a group that no question is on its way to.
--- a/internal/core/engine/table_group.go
+++ b/internal/core/engine/table_group.go
@@ -19,7 +19,7 @@
 	declared manifest.Database
 	group    *group
 	// status is the last answer, sent for at asked and arrived at heard.
-	status message.Status
+	status message.DatabaseStatus
 	known  bool
 	asked  time.Time
 	heard  time.Time
@@ -104,7 +104,7 @@
 	// wanting is the newest time that a waiting read wants a sample of.
 	wanting time.Time
 	steward stewardState
-	logbook []Record
+	logbook []PromotionRecord
 	// logbookAsk and logbookAt are the last question for the records and its time.
 	logbookAsk uint64
 	logbookAt  time.Time
--- a/internal/core/engine/table_manifest.go
+++ b/internal/core/engine/table_manifest.go
@@ -33,12 +33,12 @@
 }
 
 // kind returns the kind of work of that name. No name means the default.
-func (s *manifestState) kind(name string) (manifest.Kind, bool) {
+func (s *manifestState) kind(name string) (manifest.RequestKind, bool) {
 	if name == "" {
 		name = defaultKind
 	}
 	if s.current == nil {
-		return manifest.Kind{}, false
+		return manifest.RequestKind{}, false
 	}
 	for _, kind := range s.current.Kinds {
 		if kind.Name == name {
@@ -46,9 +46,9 @@
 		}
 	}
 	if name == defaultKind {
-		return manifest.Kind{Name: name, Rank: model.Rank(len(s.current.Ranks) / 2), Deadline: defaultDeadline}, true
+		return manifest.RequestKind{Name: name, Rank: model.Rank(len(s.current.Ranks) / 2), Deadline: defaultDeadline}, true
 	}
-	return manifest.Kind{}, false
+	return manifest.RequestKind{}, false
 }
 
 // target returns the time within which a rank's answers are worth their full
@@ -57,7 +57,7 @@
 	if s.current == nil || int(rank) >= len(s.current.Ranks) {
 		return defaultDeadline
 	}
-	return s.current.Ranks[rank].Target
+	return s.current.Ranks[rank].LatencyTarget
 }
 
 // defaultDeadline is the deadline of work that names no kind.
--- a/internal/core/engine/table_request.go
+++ b/internal/core/engine/table_request.go
@@ -56,7 +56,7 @@
 // floor returns the floor for a read: of what the session has written where the
 // read bears data of a stated age, else of all that it has seen.
 func (r *request) floor() floor {
-	if r.kind.Bounded && r.kind.Stale >= barrierBound {
+	if r.kind.HasStalenessBound && r.kind.MaxStaleness >= barrierBound {
 		return r.session.written
 	}
 	return r.session.seen
@@ -87,7 +87,7 @@
 	id      model.RequestID
 	session *session
 	group   *group
-	kind    manifest.Kind
+	kind    manifest.RequestKind
 	target  time.Duration
 	// key is the idempotency key of the current attempt; ownKey says that the
 	// caller chose it.
@@ -122,7 +122,7 @@
 	settleAsk uint64
 	settleAt  time.Time
 	// why tells what the request last waited for.
-	why message.RefuseWhy
+	why message.RefusalReason
 	// notBefore delays the next attempt.
 	notBefore time.Time
 }
--- a/internal/core/engine/table_steward.go
+++ b/internal/core/engine/table_steward.go
@@ -36,28 +36,28 @@
 	Reason  string           `json:"reason"`
 }
 
-// Record is one entry of a group's logbook: who was made primary, by whom, when
+// PromotionRecord is one entry of a group's logbook: who was made primary, by whom, when
 // and on what evidence.
-type Record struct {
+type PromotionRecord struct {
 	Group model.GroupID `json:"group"`
 	Term  model.Term    `json:"term"`
-	// Before is the primary that was replaced, where one was known.
-	Before  model.DatabaseID `json:"before,omitempty"`
-	Primary model.DatabaseID `json:"primary"`
-	Steward model.InstanceID `json:"steward"`
-	Reason  string           `json:"reason"`
+	// PreviousPrimary is the primary that was replaced, where one was known.
+	PreviousPrimary model.DatabaseID `json:"before,omitempty"`
+	Primary         model.DatabaseID `json:"primary"`
+	Coordinator     model.InstanceID `json:"steward"`
+	Reason          string           `json:"reason"`
 	// Evidence lists what spoke against the primary that was replaced.
 	Evidence []string `json:"evidence,omitempty"`
-	// Fenced lists the databases that refused the older term before the
+	// FencedDatabases lists the databases that refused the older term before the
 	// promotion, with the positions that they held.
-	Fenced []FencedDatabase `json:"fenced,omitempty"`
+	FencedDatabases []FencedDatabase `json:"fenced,omitempty"`
 	// Position is that of the promoted database's log at its promotion.
 	Position string `json:"position"`
-	// Suspected, Claimed and Promoted are times of the conducting instance's
+	// SuspectedAt, Claimed and Promoted are times of the conducting instance's
 	// clock.
-	Suspected time.Time `json:"suspected"`
-	Claimed   time.Time `json:"claimed"`
-	Promoted  time.Time `json:"promoted"`
+	SuspectedAt time.Time `json:"suspected"`
+	ClaimedAt   time.Time `json:"claimed"`
+	PromotedAt  time.Time `json:"promoted"`
 }
 
 // FencedDatabase is one database of Record.Fenced.
@@ -120,9 +120,9 @@
 	// fences are the databases asked to fence, by question; fenced those that
 	// have, with their status.
 	fences map[uint64]*database
-	fenced map[model.DatabaseID]message.Status
+	fenced map[model.DatabaseID]message.DatabaseStatus
 	chosen *database
-	record Record
+	record PromotionRecord
 	// checked is when the row was last read while nothing was to be done.
 	checked time.Time
 	noted   string
--- a/internal/core/engine/world_test.go
+++ b/internal/core/engine/world_test.go
@@ -187,8 +187,8 @@
 	}
 	n.engine = engine.NewEngine(engine.Options{
 		Instance: model.InstanceID(name), Zone: model.ZoneID(fmt.Sprintf("z%d", (index-1)%3+1)),
-		Peer: peerAddress(index), Seeds: []netip.AddrPort{peerAddress(1), peerAddress(2), peerAddress(3)},
-		Start: fmt.Sprint(w.order),
+		PeerAddress: peerAddress(index), SeedAddresses: []netip.AddrPort{peerAddress(1), peerAddress(2), peerAddress(3)},
+		StartID: fmt.Sprint(w.order),
 	})
 	w.nodes = append(w.nodes, n)
 	w.after(0, n.tick)
@@ -314,10 +314,10 @@
 // act carries out an action by the fakes of the edges.
 func (n *node) act(action message.Action) {
 	switch action := action.(type) {
-	case message.Dispatch, message.Release, message.Proven, message.Acknowledge, message.Refuse,
-		message.Abandon, message.Interrupt, message.Drop:
+	case message.Dispatch, message.ReleaseResult, message.SetDurablePosition, message.AcknowledgeCommit, message.RefuseRequest,
+		message.AbortRequest, message.CancelStatement, message.CloseConnection:
 		n.actCaller(action)
-	case message.Probe, message.Await, message.Fence, message.Promote, message.Follow, message.Settle:
+	case message.Probe, message.AwaitPosition, message.Fence, message.Promote, message.Follow, message.ResolveInDoubt:
 		n.actDatabase(action)
 	case message.ReadRow, message.ScanRows, message.WriteRows, message.ReadObject, message.WriteObject, message.ListInstances:
 		n.actPlatform(action)
@@ -329,12 +329,12 @@
 		}
 		n.greet()
 	case message.ManifestDecided:
-		n.decided[action.Ask] = action
+		n.decided[action.CorrelationID] = action
 	case message.Readiness:
 		n.ready = action.Ready
-	case message.Leave:
+	case message.Terminate:
 		n.left = true
-	case message.Note:
+	case message.LogEvent:
 		n.take(action)
 	}
 }
@@ -347,8 +347,8 @@
 			continue
 		}
 		n.world.after(n.world.delay(), func() {
-			n.post(message.PeerLinked{Peer: model.InstanceID(peer.name)})
-			peer.post(message.PeerLinked{Peer: model.InstanceID(n.name)})
+			n.post(message.PeerConnected{Peer: model.InstanceID(peer.name)})
+			peer.post(message.PeerConnected{Peer: model.InstanceID(n.name)})
 		})
 	}
 }
@@ -375,13 +375,13 @@
 	}
 	n.world.after(n.world.delay(), func() {
 		if n.world.linked(n.name, to.name) {
-			to.post(message.PeerHeard{From: model.InstanceID(n.name), Body: action.Body})
+			to.post(message.PeerMessageReceived{From: model.InstanceID(n.name), Body: action.Body})
 		}
 	})
 }
 
 // take keeps the log lines of promotions, terms and manifests.
-func (n *node) take(note message.Note) {
+func (n *node) take(note message.LogEvent) {
 	if note.Event.Name == "manifest-in-force" {
 		number := note.Fields[0].Value.(uint64)
 		if number <= n.number {
--- a/internal/core/fresh/fresh.go
+++ b/internal/core/fresh/fresh.go
@@ -34,21 +34,21 @@
 	kept = 128
 )
 
-// Sample says that every commit acknowledged before At is at or below Position.
-type Sample struct {
+// PositionSample says that every commit acknowledged before At is at or below Position.
+type PositionSample struct {
 	At       time.Time
 	Position model.Position
 }
 
-// Samples are those of one group, ordered by time. The zero value is ready; it
+// PositionSamples are those of one group, ordered by time. The zero value is ready; it
 // may be used from many goroutines.
-type Samples struct {
+type PositionSamples struct {
 	mu      sync.Mutex
-	samples []Sample
+	samples []PositionSample
 }
 
-// Offer takes in a sample where it is newer than what is known by the spacing.
-func (s *Samples) Offer(sample Sample) {
+// AddSpaced takes in a sample where it is newer than what is known by the spacing.
+func (s *PositionSamples) AddSpaced(sample PositionSample) {
 	if newest, found := s.Newest(); !found || sample.At.Sub(newest.At) >= spacing {
 		s.Add(sample.At, sample.Position)
 	}
@@ -56,7 +56,7 @@
 
 // Add takes in a sample. Samples that are older than the newest kept one, or
 // that follow it closely, are dropped, unless their position is higher.
-func (s *Samples) Add(at time.Time, position model.Position) {
+func (s *PositionSamples) Add(at time.Time, position model.Position) {
 	if position.IsZero() {
 		return
 	}
@@ -72,40 +72,40 @@
 			position = newest.Position
 		}
 		if last > 0 && at.Sub(s.samples[last-1].At) < spacing {
-			s.samples[last] = Sample{At: at, Position: position}
+			s.samples[last] = PositionSample{At: at, Position: position}
 			return
 		}
 	}
-	s.samples = append(s.samples, Sample{At: at, Position: position})
+	s.samples = append(s.samples, PositionSample{At: at, Position: position})
 	if extra := len(s.samples) - kept; extra > 0 {
 		s.samples = append(s.samples[:0], s.samples[extra:]...)
 	}
 }
 
-// Since returns the lowest known position that covers all commits acknowledged
+// LowestCovering returns the lowest known position that covers all commits acknowledged
 // before moment, and whether there is one.
-func (s *Samples) Since(moment time.Time) (Sample, bool) {
+func (s *PositionSamples) LowestCovering(moment time.Time) (PositionSample, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	i := sort.Search(len(s.samples), func(i int) bool { return !s.samples[i].At.Before(moment) })
 	if i == len(s.samples) {
-		return Sample{}, false
+		return PositionSample{}, false
 	}
 	return s.samples[i], true
 }
 
 // Newest returns the newest sample, and whether there is one.
-func (s *Samples) Newest() (Sample, bool) {
+func (s *PositionSamples) Newest() (PositionSample, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.samples) == 0 {
-		return Sample{}, false
+		return PositionSample{}, false
 	}
 	return s.samples[len(s.samples)-1], true
 }
 
 // Reset forgets all samples: the log that they spoke of has been replaced.
-func (s *Samples) Reset() {
+func (s *PositionSamples) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.samples = nil
--- a/internal/core/fresh/fresh_test.go
+++ b/internal/core/fresh/fresh_test.go
@@ -19,8 +19,8 @@
 }
 
 func TestSince(t *testing.T) {
-	var samples Samples
-	for _, s := range []Sample{
+	var samples PositionSamples
+	for _, s := range []PositionSample{
 		{at(0), position(1, 10)},
 		{at(100), position(1, 20)},
 		{at(90), position(1, 19)},  // older than the newest one
@@ -43,7 +43,7 @@
 		{301, model.Position{}, false},
 	}
 	for _, c := range cases {
-		got, found := samples.Since(at(c.moment))
+		got, found := samples.LowestCovering(at(c.moment))
 		if diff := cmp.Diff([]any{c.want, c.found}, []any{got.Position, found}); diff != "" {
 			t.Errorf("since %d: %s", c.moment, diff)
 		}
@@ -54,18 +54,18 @@
 // added for an earlier time.
 func TestSinceCoversAllEarlierPositions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var samples Samples
-		var added []Sample
+		var samples PositionSamples
+		var added []PositionSample
 		now, offset := 0, 0
 		for range rapid.IntRange(1, 300).Draw(t, "n") {
 			now += rapid.IntRange(0, 100).Draw(t, "pause")
 			offset += rapid.IntRange(0, 3).Draw(t, "writes")
-			s := Sample{At: at(now), Position: position(1, offset)}
+			s := PositionSample{At: at(now), Position: position(1, offset)}
 			samples.Add(s.At, s.Position)
 			added = append(added, s)
 		}
 		moment := at(rapid.IntRange(0, now+1).Draw(t, "moment"))
-		got, found := samples.Since(moment)
+		got, found := samples.LowestCovering(moment)
 		for _, s := range added {
 			if found && s.At.Before(moment) && got.Position.Less(s.Position) {
 				t.Fatalf("%v was known before %v, and %v is given out", s, moment, got)
@@ -75,9 +75,9 @@
 }
 
 func TestOfferKeepsTheSpacing(t *testing.T) {
-	var samples Samples
-	samples.Offer(Sample{at(0), position(1, 1)})
-	samples.Offer(Sample{at(10), position(1, 2)})
+	var samples PositionSamples
+	samples.AddSpaced(PositionSample{at(0), position(1, 1)})
+	samples.AddSpaced(PositionSample{at(10), position(1, 2)})
 	newest, _ := samples.Newest()
 	if diff := cmp.Diff(position(1, 1), newest.Position); diff != "" {
 		t.Error(diff)
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -34,10 +34,10 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// Length is how long after its beginning a view proves the primaries that it
+// Duration is how long after its beginning a view proves the primaries that it
 // shows. It is a part of the gap of each failover, and the time for which the
 // store may be slow without a pause in service.
-const Length = 900 * time.Millisecond
+const Duration = 900 * time.Millisecond
 
 // Phase tells what happens to a group's primary.
 type Phase int
@@ -53,8 +53,8 @@
 // String names p for log lines.
 func (p Phase) String() string { return [...]string{"stable", "changing"}[p] }
 
-// Row is a group's entry in the table of groups.
-type Row struct {
+// GroupRow is a group's entry in the table of groups.
+type GroupRow struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads the tag.
 	// Epoch counts the changes of the row.
 	Epoch uint64
@@ -63,21 +63,21 @@
 	Primary model.DatabaseID
 	// Term is the least term in which Primary leads.
 	Term model.Term
-	// Steward is the instance that wrote the row, Reason why.
-	Steward model.InstanceID
-	Reason  string
+	// Coordinator is the instance that wrote the row, Reason why.
+	Coordinator model.InstanceID
+	Reason      string
 	// Version is the store's for the row's last change, as the store tells it.
 	Version uint64
 }
 
-// Duty tells which instance may change primaries. Like a primary, a holder acts
+// CoordinatorLease tells which instance may change primaries. Like a primary, a holder acts
 // only under a view that proves it, and a new one waits Length before it acts.
-type Duty struct {
+type CoordinatorLease struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads the tag.
-	// Holder is one start of an instance, Name what the instance is called.
-	Holder, Name model.InstanceID
-	// Token rises with each change of the holder.
-	Token uint64
+	// Holder is one start of an instance, HolderName what the instance is called.
+	Holder, HolderName model.InstanceID
+	// FencingToken rises with each change of the holder.
+	FencingToken uint64
 	// Challenger is an instance that does not hear the holder. The holder takes
 	// the challenge away; one that stands shows that there is no holder.
 	Challenger model.InstanceID
@@ -89,15 +89,15 @@
 type View struct {
 	// Version orders views: the store's counter when the table was read.
 	Version uint64
-	// Began is a time, on this instance's clock, before which the read of the
+	// ReadStartedAt is a time, on this instance's clock, before which the read of the
 	// table had not begun.
-	Began time.Time
-	Rows  map[model.GroupID]Row
-	Duty  Duty
-	// Member says that this instance is listed among those that use leases. A
+	ReadStartedAt    time.Time
+	Rows             map[model.GroupID]GroupRow
+	CoordinatorLease CoordinatorLease
+	// IsMember says that this instance is listed among those that use leases. A
 	// view without it proves nothing: whoever changes a primary asks the
 	// members only whether they have seen the change.
-	Member bool
+	IsMember bool
 }
 
 // Grant names a primary for one use.
@@ -107,21 +107,21 @@
 	Epoch   uint64
 }
 
-// Verdict tells whether the database of a Grant was the primary.
-type Verdict int
+// Validity tells whether the database of a Grant was the primary.
+type Validity int
 
 // The values of Verdict.
 const (
-	// VerdictPending: a newer view has to tell.
-	VerdictPending Verdict = iota
-	// VerdictPrimary: it was the primary when it answered.
-	VerdictPrimary
-	// VerdictReplaced: its row has changed since; nothing is known.
-	VerdictReplaced
+	// ValidityPending: a newer view has to tell.
+	ValidityPending Validity = iota
+	// ValidityConfirmed: it was the primary when it answered.
+	ValidityConfirmed
+	// ValidityReplaced: its row has changed since; nothing is known.
+	ValidityReplaced
 )
 
 // String names v for log lines.
-func (v Verdict) String() string { return [...]string{"pending", "primary", "replaced"}[v] }
+func (v Validity) String() string { return [...]string{"pending", "primary", "replaced"}[v] }
 
 // Table holds the newest view. NewTable makes one; it may be used from many
 // goroutines.
@@ -140,20 +140,20 @@
 	return &Table{learned: map[model.GroupID]time.Time{}, changed: make(chan struct{})}
 }
 
-// Learn takes in a view and reports whether it tells anything new.
-func (t *Table) Learn(view View) bool {
+// Update takes in a view and reports whether it tells anything new.
+func (t *Table) Update(view View) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if view.Version < t.view.Version || view.Version == t.view.Version && !view.Began.After(t.view.Began) {
+	if view.Version < t.view.Version || view.Version == t.view.Version && !view.ReadStartedAt.After(t.view.ReadStartedAt) {
 		return false
 	}
-	if view.Began.Before(t.view.Began) {
+	if view.ReadStartedAt.Before(t.view.ReadStartedAt) {
 		// A newer version can't be of an older moment; the bound known before
 		// holds for it as well.
-		view.Began = t.view.Began
+		view.ReadStartedAt = t.view.ReadStartedAt
 	}
 	now := clock.Now()
-	wasCutOff := !now.Before(t.view.Began.Add(Length))
+	wasCutOff := !now.Before(t.view.ReadStartedAt.Add(Duration))
 	for group, row := range view.Rows {
 		if known, found := t.view.Rows[group]; !found || known.Epoch != row.Epoch || wasCutOff {
 			t.learned[group] = now
@@ -173,17 +173,17 @@
 }
 
 // Row returns a group's row as last seen.
-func (t *Table) Row(group model.GroupID) (Row, bool) {
+func (t *Table) Row(group model.GroupID) (GroupRow, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	row, found := t.view.Rows[group]
 	return row, found
 }
 
-// Learned returns since when views have shown a group's present epoch without a
+// EpochSeenSince returns since when views have shown a group's present epoch without a
 // gap between them: what an instance without views has not heard of a primary
 // tells nothing, since it was cut off itself.
-func (t *Table) Learned(group model.GroupID) time.Time {
+func (t *Table) EpochSeenSince(group model.GroupID) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.learned[group]
@@ -199,46 +199,46 @@
 	return Grant{Group: group, Primary: row.Primary, Epoch: row.Epoch}, true
 }
 
-// IsProven reports whether the newest view proves its primaries at now.
-func (t *Table) IsProven(now time.Time) bool {
+// IsConfirmed reports whether the newest view proves its primaries at now.
+func (t *Table) IsConfirmed(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.view.Member && now.Before(t.view.Began.Add(Length))
+	return t.view.IsMember && now.Before(t.view.ReadStartedAt.Add(Duration))
 }
 
-// Judge tells whether the primary of grant was the primary until answered.
-func (t *Table) Judge(grant Grant, answered time.Time) Verdict {
+// Validate tells whether the primary of grant was the primary until answered.
+func (t *Table) Validate(grant Grant, answered time.Time) Validity {
 	verdict, _ := t.judge(grant, answered)
 	return verdict
 }
 
 // judge is Judge; the channel is closed when the verdict may have changed.
-func (t *Table) judge(grant Grant, answered time.Time) (Verdict, <-chan struct{}) {
+func (t *Table) judge(grant Grant, answered time.Time) (Validity, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	row, found := t.view.Rows[grant.Group]
 	switch {
 	case !found || row.Epoch != grant.Epoch || row.Phase != PhaseStable:
-		return VerdictReplaced, t.changed
-	case t.view.Member && answered.Before(t.view.Began.Add(Length)):
-		return VerdictPrimary, t.changed
+		return ValidityReplaced, t.changed
+	case t.view.IsMember && answered.Before(t.view.ReadStartedAt.Add(Duration)):
+		return ValidityConfirmed, t.changed
 	default:
-		return VerdictPending, t.changed
+		return ValidityPending, t.changed
 	}
 }
 
-// Await judges like Judge and waits for views while the verdict is pending,
+// AwaitValidity judges like Judge and waits for views while the verdict is pending,
 // until done is closed.
-func (t *Table) Await(grant Grant, answered time.Time, done <-chan struct{}) Verdict {
+func (t *Table) AwaitValidity(grant Grant, answered time.Time, done <-chan struct{}) Validity {
 	for {
 		verdict, changed := t.judge(grant, answered)
-		if verdict != VerdictPending {
+		if verdict != ValidityPending {
 			return verdict
 		}
 		select {
 		case <-changed:
 		case <-done:
-			return VerdictPending
+			return ValidityPending
 		}
 	}
 }
--- a/internal/core/message/action_database.go
+++ b/internal/core/message/action_database.go
@@ -9,58 +9,58 @@
 
 // Probe asks a database for its status.
 type Probe struct {
-	Database model.DatabaseID
-	Ask      uint64
-	Timeout  time.Duration
+	Database      model.DatabaseID
+	CorrelationID uint64
+	Timeout       time.Duration
 }
 
-// Await asks a database to answer with its status as soon as its log has
+// AwaitPosition asks a database to answer with its status as soon as its log has
 // received Position, or its term has changed, or Timeout has passed.
-type Await struct {
-	Database model.DatabaseID
-	Ask      uint64
-	Position model.Position
-	Timeout  time.Duration
+type AwaitPosition struct {
+	Database      model.DatabaseID
+	CorrelationID uint64
+	Position      model.Position
+	Timeout       time.Duration
 }
 
 // Fence raises a database's term: it then refuses commits and streams of lower
 // terms.
 type Fence struct {
-	Database model.DatabaseID
-	Ask      uint64
-	Term     model.Term
-	Nonce    model.Nonce
-	Timeout  time.Duration
+	Database      model.DatabaseID
+	CorrelationID uint64
+	Term          model.Term
+	Nonce         model.Nonce
+	Timeout       time.Duration
 }
 
 // Promote makes a database that is fenced at Term with Nonce the primary.
 type Promote struct {
-	Database model.DatabaseID
-	Ask      uint64
-	Term     model.Term
-	Nonce    model.Nonce
-	Timeout  time.Duration
+	Database      model.DatabaseID
+	CorrelationID uint64
+	Term          model.Term
+	Nonce         model.Nonce
+	Timeout       time.Duration
 }
 
 // Follow tells a database to follow Source in Term; it drops what its log
 // holds beyond the common prefix.
 type Follow struct {
-	Database model.DatabaseID
-	Ask      uint64
-	Term     model.Term
-	Source   model.DatabaseID
-	Address  netip.AddrPort
-	Timeout  time.Duration
+	Database      model.DatabaseID
+	CorrelationID uint64
+	Term          model.Term
+	Source        model.DatabaseID
+	Address       netip.AddrPort
+	Timeout       time.Duration
 }
 
-// Settle asks the primary of Term whether Key was committed, and if not, to
+// ResolveInDoubt asks the primary of Term whether Key was committed, and if not, to
 // log that it never will be.
-type Settle struct {
-	Database model.DatabaseID
-	Ask      uint64
-	Key      string
-	Term     model.Term
-	Timeout  time.Duration
+type ResolveInDoubt struct {
+	Database       model.DatabaseID
+	CorrelationID  uint64
+	IdempotencyKey string
+	Term           model.Term
+	Timeout        time.Duration
 }
 
 // SetDatabases tells the database edge which databases exist, with their
@@ -78,10 +78,10 @@
 	Leaving bool
 }
 
-func (Probe) isAction()        {}
-func (Await) isAction()        {}
-func (Fence) isAction()        {}
-func (Promote) isAction()      {}
-func (Follow) isAction()       {}
-func (Settle) isAction()       {}
-func (SetDatabases) isAction() {}
+func (Probe) isAction()          {}
+func (AwaitPosition) isAction()  {}
+func (Fence) isAction()          {}
+func (Promote) isAction()        {}
+func (Follow) isAction()         {}
+func (ResolveInDoubt) isAction() {}
+func (SetDatabases) isAction()   {}
--- a/internal/core/message/event_caller.go
+++ b/internal/core/message/event_caller.go
@@ -14,9 +14,9 @@
 	Session model.SessionID
 	Group   model.GroupID
 	Caller  model.CallerID
-	// Position is the position of the token that the caller handed back, or
+	// TokenPosition is the position of the token that the caller handed back, or
 	// zero where it handed none.
-	Position model.Position
+	TokenPosition model.Position
 	// Roaming says that the caller spreads one session over several
 	// connections: each read then needs a token of its own or waits for a
 	// position barrier.
@@ -37,16 +37,16 @@
 	Session model.SessionID
 	// Kind names the kind of work, or is empty.
 	Kind string
-	// Key is the idempotency key under which the databases log the commit;
+	// IdempotencyKey is the idempotency key under which the databases log the commit;
 	// it is unique over all instances and restarts.
-	Key string
-	// OwnKey says that the caller chose Key itself.
-	OwnKey bool
+	IdempotencyKey string
+	// CallerSuppliedKey says that the caller chose Key itself.
+	CallerSuppliedKey bool
 	// Transaction says that the request keeps its backend connection from
 	// BEGIN to COMMIT or ROLLBACK.
 	Transaction bool
-	// Position is that of a token named by the statement itself, or zero.
-	Position model.Position
+	// TokenPosition is that of a token named by the statement itself, or zero.
+	TokenPosition model.Position
 	// Deadline is the caller's own limit, or zero for that of the kind.
 	Deadline time.Duration
 }
@@ -55,84 +55,84 @@
 // CancelRequest or by closing its connection.
 type RequestCanceled struct{ Request model.RequestID }
 
-// AnswerHeld tells that an answer of the primary waits at the edge, since its
+// ResultHeld tells that an answer of the primary waits at the edge, since its
 // position is not known to be proven yet. The core answers by Release or
 // Abandon.
-type AnswerHeld struct {
+type ResultHeld struct {
 	Request  model.RequestID
 	Attempt  model.Attempt
 	Position model.Position
 }
 
-// AnswerEnded tells how a dispatched attempt ended.
-type AnswerEnded struct {
+// AttemptEnded tells how a dispatched attempt ended.
+type AttemptEnded struct {
 	Request model.RequestID
 	Attempt model.Attempt
-	Answer  Answer
+	Outcome Outcome
 	// Elapsed is the time since the statement was sent to the database.
 	Elapsed time.Duration
-	// Opened is the part of it that went into opening a connection.
-	Opened time.Duration
+	// ConnectTime is the part of it that went into opening a connection.
+	ConnectTime time.Duration
 }
 
-// Answer is how an attempt ended, as seen at the edge.
-type Answer interface{ isAnswer() }
+// Outcome is how an attempt ended, as seen at the edge.
+type Outcome interface{ isAnswer() }
 
-// AnswerCommitted means that the database reports a commit at Position. The answer is
+// OutcomeCommitted means that the database reports a commit at Position. The answer is
 // held at the edge until Acknowledge.
-type AnswerCommitted struct{ Position model.Position }
+type OutcomeCommitted struct{ Position model.Position }
 
-// AnswerRead means that rows of a state at Position went to the caller, whole.
-type AnswerRead struct{ Position model.Position }
+// OutcomeRead means that rows of a state at Position went to the caller, whole.
+type OutcomeRead struct{ Position model.Position }
 
-// AnswerBehind means that the database's state at Position is older than Dispatch
+// OutcomeBehind means that the database's state at Position is older than Dispatch
 // allowed. Nothing went to the caller.
-type AnswerBehind struct{ Position model.Position }
+type OutcomeBehind struct{ Position model.Position }
 
-// AnswerFailed means that the database answered with an error, and it is certain that
+// OutcomeDatabaseError means that the database answered with an error, and it is certain that
 // nothing was committed. The error went to the caller, whole.
-type AnswerFailed struct{ State string }
+type OutcomeDatabaseError struct{ SQLState string }
 
-// AnswerRefused means that the work was not started, with proof: it was never sent, or
+// OutcomeNotStarted means that the work was not started, with proof: it was never sent, or
 // the database said so. Nothing went to the caller.
-type AnswerRefused struct{ Why RefusedWhy }
+type OutcomeNotStarted struct{ Reason NotStartedReason }
 
-// AnswerLost means that the connection broke, went silent or timed out after the work
+// OutcomeConnectionLost means that the connection broke, went silent or timed out after the work
 // was sent.
-type AnswerLost struct {
-	// Committing says that a commit may have happened: an autocommit
+type OutcomeConnectionLost struct {
+	// MayHaveCommitted says that a commit may have happened: an autocommit
 	// statement or a COMMIT was sent. Without it nothing was committed.
-	Committing bool
-	// Passed says that a part of the answer has gone to the caller.
-	Passed bool
-	// Silent says that the connection was closed as mute, not broken.
-	Silent bool
+	MayHaveCommitted bool
+	// PartlySent says that a part of the answer has gone to the caller.
+	PartlySent bool
+	// Unresponsive says that the connection was closed as mute, not broken.
+	Unresponsive bool
 }
 
-// RefusedWhy tells why work was not started.
-type RefusedWhy int
+// NotStartedReason tells why work was not started.
+type NotStartedReason int
 
-// The values of RefusedWhy.
+// The values of NotStartedReason.
 const (
-	// RefusedUnreachable: no connection could be opened.
-	RefusedUnreachable RefusedWhy = iota
-	// RefusedTerm: the database is in another term than Dispatch names.
-	RefusedTerm
-	// RefusedReadOnly: the database is no primary.
-	RefusedReadOnly
-	// RefusedFull: the database accepts no further connection.
-	RefusedFull
-	// RefusedDuplicate: the key has been committed or settled before.
-	RefusedDuplicate
-	// RefusedStale: the pooled connection was found broken before the work
+	// NotStartedUnreachable: no connection could be opened.
+	NotStartedUnreachable NotStartedReason = iota
+	// NotStartedWrongTerm: the database is in another term than Dispatch names.
+	NotStartedWrongTerm
+	// NotStartedReadOnly: the database is no primary.
+	NotStartedReadOnly
+	// NotStartedTooManyConnections: the database accepts no further connection.
+	NotStartedTooManyConnections
+	// NotStartedDuplicateKey: the key has been committed or settled before.
+	NotStartedDuplicateKey
+	// NotStartedBrokenConnection: the pooled connection was found broken before the work
 	// was sent.
-	RefusedStale
-	// RefusedLeaving: the database is shutting down.
-	RefusedLeaving
+	NotStartedBrokenConnection
+	// NotStartedShuttingDown: the database is shutting down.
+	NotStartedShuttingDown
 )
 
 // String names w for log lines.
-func (w RefusedWhy) String() string {
+func (w NotStartedReason) String() string {
 	return [...]string{"unreachable", "term", "read-only", "full", "duplicate", "stale", "leaving"}[w]
 }
 
@@ -140,12 +140,12 @@
 func (SessionClosed) isEvent()   {}
 func (RequestArrived) isEvent()  {}
 func (RequestCanceled) isEvent() {}
-func (AnswerHeld) isEvent()      {}
-func (AnswerEnded) isEvent()     {}
-
-func (AnswerCommitted) isAnswer() {}
-func (AnswerRead) isAnswer()      {}
-func (AnswerBehind) isAnswer()    {}
-func (AnswerFailed) isAnswer()    {}
-func (AnswerRefused) isAnswer()   {}
-func (AnswerLost) isAnswer()      {}
+func (ResultHeld) isEvent()      {}
+func (AttemptEnded) isEvent()    {}
+
+func (OutcomeCommitted) isAnswer()      {}
+func (OutcomeRead) isAnswer()           {}
+func (OutcomeBehind) isAnswer()         {}
+func (OutcomeDatabaseError) isAnswer()  {}
+func (OutcomeNotStarted) isAnswer()     {}
+func (OutcomeConnectionLost) isAnswer() {}
--- a/internal/core/message/event_database.go
+++ b/internal/core/message/event_database.go
@@ -6,8 +6,8 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// Status is what a database says of itself.
-type Status struct {
+// DatabaseStatus is what a database says of itself.
+type DatabaseStatus struct {
 	Role model.Role
 	// Term is the highest term that the database has accepted, by fence,
 	// promotion or following.
@@ -25,58 +25,58 @@
 	Streaming bool
 	// Leaving says that the database is shutting down.
 	Leaving bool
-	// Slots and Busy are the statements it can run and is running.
-	Slots, Busy int
+	// Slots and SlotsInUse are the statements it can run and is running.
+	Slots, SlotsInUse int
 }
 
-// DatabaseAnswered carries the answer to a control question: Probe, Await,
+// ControlAnswered carries the answer to a control question: Probe, Await,
 // Fence, Promote or Follow.
-type DatabaseAnswered struct {
+type ControlAnswered struct {
 	Database model.DatabaseID
-	// Ask repeats the number of the question.
-	Ask uint64
-	// Asked is when the question was sent, on this instance's clock.
-	Asked time.Time
+	// CorrelationID repeats the number of the question.
+	CorrelationID uint64
+	// SentAt is when the question was sent, on this instance's clock.
+	SentAt time.Time
 	// Status holds the database's state after the question took effect. It
-	// is valid where Err is AskOK or AskConflict.
-	Status Status
-	Err    AskErr
+	// is valid where Err is ControlOK or ControlConflict.
+	Status DatabaseStatus
+	Err    ControlErr
 }
 
-// SettleAnswered carries the answer to Settle.
-type SettleAnswered struct {
-	Database model.DatabaseID
-	Ask      uint64
-	Key      string
+// InDoubtResolved carries the answer to Settle.
+type InDoubtResolved struct {
+	Database       model.DatabaseID
+	CorrelationID  uint64
+	IdempotencyKey string
 	// Committed says that the key was committed, at Position. Without it the
 	// database has logged, at Position, that the key never will be. Both
 	// count only once Position is proven.
 	Committed bool
 	Position  model.Position
-	Err       AskErr
+	Err       ControlErr
 }
 
-// AskErr tells how a control question failed.
-type AskErr int
+// ControlErr tells how a control question failed.
+type ControlErr int
 
-// The values of AskErr.
+// The values of ControlErr.
 const (
-	// AskOK: it was answered.
-	AskOK AskErr = iota
-	// AskUnreachable: no connection, or it broke.
-	AskUnreachable
-	// AskTimeout: no answer in time.
-	AskTimeout
-	// AskConflict: the database is in a later term or holds another nonce.
-	AskConflict
-	// AskRefused: the database answered with another error.
-	AskRefused
+	// ControlOK: it was answered.
+	ControlOK ControlErr = iota
+	// ControlUnreachable: no connection, or it broke.
+	ControlUnreachable
+	// ControlTimeout: no answer in time.
+	ControlTimeout
+	// ControlConflict: the database is in a later term or holds another nonce.
+	ControlConflict
+	// ControlRefused: the database answered with another error.
+	ControlRefused
 )
 
 // String names e for log lines.
-func (e AskErr) String() string {
+func (e ControlErr) String() string {
 	return [...]string{"ok", "unreachable", "timeout", "conflict", "refused"}[e]
 }
 
-func (DatabaseAnswered) isEvent() {}
-func (SettleAnswered) isEvent()   {}
+func (ControlAnswered) isEvent() {}
+func (InDoubtResolved) isEvent() {}
--- a/internal/core/message/event_operator.go
+++ b/internal/core/message/event_operator.go
@@ -4,26 +4,26 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// DrainWanted tells that an operator or a signal wants the instance to finish
+// DrainRequested tells that an operator or a signal wants the instance to finish
 // its work and leave.
-type DrainWanted struct{}
+type DrainRequested struct{}
 
 // ManifestSubmitted carries a manifest that an operator wants accepted,
 // against the number that was reviewed.
 type ManifestSubmitted struct {
-	Ask  uint64
-	Body []byte
-	// Expected is the number of the manifest that the change was reviewed
+	CorrelationID uint64
+	Body          []byte
+	// ExpectedNumber is the number of the manifest that the change was reviewed
 	// against; 0 where there was none.
-	Expected uint64
-	// Who names the submitter, for the record.
-	Who string
+	ExpectedNumber uint64
+	// Submitter names the submitter, for the record.
+	Submitter string
 }
 
-// StateWanted asks for a report on a matter of ReportTopic.
-type StateWanted struct {
-	Ask   uint64
-	Topic ReportTopic
+// ReportRequested asks for a report on a matter of ReportTopic.
+type ReportRequested struct {
+	CorrelationID uint64
+	Topic         ReportTopic
 	// Group limits the report to a group, or is empty.
 	Group string
 }
@@ -41,16 +41,16 @@
 	TopicManifest
 )
 
-// Reported answers StateWanted. Body is a JSON document whose type stands in
+// ReportAnswered answers ReportRequested. Body is a JSON document whose type stands in
 // package report/status.
-type Reported struct {
-	Ask  uint64
-	Body any
+type ReportAnswered struct {
+	CorrelationID uint64
+	Body          any
 }
 
 // ManifestDecided answers ManifestSubmitted.
 type ManifestDecided struct {
-	Ask uint64
+	CorrelationID uint64
 	// Number is that of the manifest now accepted.
 	Number uint64
 	Err    SubmitErr
@@ -82,33 +82,33 @@
 	return [...]string{"ok", "invalid", "conflict", "unavailable", "unknown"}[e]
 }
 
-// Note writes one numbered line to the log and counts it.
-type Note struct {
+// LogEvent writes one numbered line to the log and counts it.
+type LogEvent struct {
 	Event  event.Event
 	Fields []event.Field
 }
 
-// Count adds one to a counter: Key in the map Name.
-type Count struct{ Name, Key string }
+// IncrementCounter adds one to a counter: Key in the map Name.
+type IncrementCounter struct{ Name, Key string }
 
 // Readiness tells the operators' edge whether the instance can take callers. It
 // is sent when it changes.
 type Readiness struct {
 	Ready bool
-	// Why tells what is missing.
-	Why string
+	// Reason tells what is missing.
+	Reason string
 }
 
-// Leave tells the process that the instance is drained and may end.
-type Leave struct{}
+// Terminate tells the process that the instance is drained and may end.
+type Terminate struct{}
 
-func (DrainWanted) isEvent()       {}
+func (DrainRequested) isEvent()    {}
 func (ManifestSubmitted) isEvent() {}
-func (StateWanted) isEvent()       {}
-
-func (Reported) isAction()        {}
-func (ManifestDecided) isAction() {}
-func (Note) isAction()            {}
-func (Count) isAction()           {}
-func (Readiness) isAction()       {}
-func (Leave) isAction()           {}
+func (ReportRequested) isEvent()   {}
+
+func (ReportAnswered) isAction()   {}
+func (ManifestDecided) isAction()  {}
+func (LogEvent) isAction()         {}
+func (IncrementCounter) isAction() {}
+func (Readiness) isAction()        {}
+func (Terminate) isAction()        {}
--- a/internal/core/message/event_peer.go
+++ b/internal/core/message/event_peer.go
@@ -7,19 +7,19 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// PeerHeard carries a message of an authenticated peer.
-type PeerHeard struct {
+// PeerMessageReceived carries a message of an authenticated peer.
+type PeerMessageReceived struct {
 	From model.InstanceID
 	Body PeerMessage
 }
 
-// PeerLinked tells that a link to an authenticated peer stands, whoever made it.
+// PeerConnected tells that a link to an authenticated peer stands, whoever made it.
 // A seed's name is learnt so.
-type PeerLinked struct{ Peer model.InstanceID }
+type PeerConnected struct{ Peer model.InstanceID }
 
-// PeerLost tells that the link to a peer broke or could not be made. It says
+// PeerDisconnected tells that the link to a peer broke or could not be made. It says
 // nothing of the peer's health: only heartbeats do.
-type PeerLost struct {
+type PeerDisconnected struct {
 	Peer    model.InstanceID
 	Address netip.AddrPort
 }
@@ -31,9 +31,9 @@
 
 // Heartbeat proves that an instance is alive and introduces it.
 type Heartbeat struct {
-	Instance model.InstanceID `msgpack:"id"`
-	Zone     model.ZoneID     `msgpack:"zone"`
-	Peer     netip.AddrPort   `msgpack:"peer"`
+	Instance    model.InstanceID `msgpack:"id"`
+	Zone        model.ZoneID     `msgpack:"zone"`
+	PeerAddress netip.AddrPort   `msgpack:"peer"`
 	// Sequence counts the sender's heartbeats.
 	Sequence uint64 `msgpack:"seq"`
 	// Manifest is the number of the manifest in force at the sender.
@@ -47,8 +47,8 @@
 
 // KnownPeer is one entry of Heartbeat.Known.
 type KnownPeer struct {
-	Instance model.InstanceID `msgpack:"id"`
-	Peer     netip.AddrPort   `msgpack:"peer"`
+	Instance    model.InstanceID `msgpack:"id"`
+	PeerAddress netip.AddrPort   `msgpack:"peer"`
 }
 
 // ManifestOffer passes on a manifest that the platform has accepted.
@@ -58,14 +58,14 @@
 	Body   []byte `msgpack:"body"`
 }
 
-// ManifestWanted asks a peer for the manifest in force there.
-type ManifestWanted struct {
-	Above uint64 `msgpack:"above"`
+// ManifestRequest asks a peer for the manifest in force there.
+type ManifestRequest struct {
+	NewerThan uint64 `msgpack:"above"`
 }
 
-// GroupNews passes on a group's row as the platform last held it, and records
+// GroupUpdate passes on a group's row as the platform last held it, and records
 // of its logbook. It is a hint: only databases prove a term.
-type GroupNews struct {
+type GroupUpdate struct {
 	Group  model.GroupID `msgpack:"grp"`
 	Row    []byte        `msgpack:"row"`
 	Record []byte        `msgpack:"rec"`
@@ -77,39 +77,39 @@
 	Leaving  bool             `msgpack:"leave"`
 }
 
-// Demand tells the arbiter of a group what the sender wants and which leases it
-// holds. Each Demand replaces the one before, so that a lost one does no harm.
+// LeaseRequest tells the arbiter of a group what the sender wants and which leases it
+// holds. Each LeaseRequest replaces the one before, so that a lost one does no harm.
 // See core/rank.
-type Demand struct {
+type LeaseRequest struct {
 	Group model.GroupID `msgpack:"grp"`
 	// Sequence counts the sender's demands for this group.
 	Sequence uint64 `msgpack:"seq"`
-	// Seen is the sequence of the newest Permit that the sender has heard
-	// from this arbiter. A lease granted up to Seen that is not in Held has
+	// LastGrantSeen is the sequence of the newest Permit that the sender has heard
+	// from this arbiter. A lease granted up to LastGrantSeen that is not in Held has
 	// been given back.
-	Seen  uint64      `msgpack:"seen"`
-	Wants []Want      `msgpack:"wants"`
-	Held  []HeldLease `msgpack:"held"`
+	LastGrantSeen uint64       `msgpack:"seen"`
+	Demands       []SlotDemand `msgpack:"wants"`
+	HeldLeases    []HeldLease  `msgpack:"held"`
 	// Limits lists the databases for which the sender has lowered its limit.
 	Limits []SlotLimit `msgpack:"lim"`
 }
 
-// Want is the demand of one rank on any one of a set of databases.
-type Want struct {
+// SlotDemand is the demand of one rank on any one of a set of databases.
+type SlotDemand struct {
 	Databases []model.DatabaseID `msgpack:"dbs"`
 	Rank      model.Rank         `msgpack:"rank"`
-	// Late says that they can no longer be answered inside their target; they
+	// PastTarget says that they can no longer be answered inside their target; they
 	// are served after those of the same rank that can.
-	Late bool `msgpack:"late"`
+	PastTarget bool `msgpack:"late"`
 	// Waiting counts the requests that wait for a slot.
 	Waiting int `msgpack:"wait"`
-	// Slack is the time until the earliest deadline among those waiting.
-	Slack time.Duration `msgpack:"slack"`
+	// TimeToDeadline is the time until the earliest deadline among those waiting.
+	TimeToDeadline time.Duration `msgpack:"slack"`
 }
 
 // HeldLease is one lease in a Demand.
 type HeldLease struct {
-	Lease    uint64           `msgpack:"id"`
+	ID       uint64           `msgpack:"id"`
 	Database model.DatabaseID `msgpack:"db"`
 	Rank     model.Rank       `msgpack:"rank"`
 }
@@ -120,38 +120,38 @@
 	Slots    int              `msgpack:"n"`
 }
 
-// Permit tells an instance which leases it has, from the arbiter of the group.
-// Each Permit replaces the one before and renews the leases that it lists.
-type Permit struct {
+// LeaseGrant tells an instance which leases it has, from the arbiter of the group.
+// Each LeaseGrant replaces the one before and renews the leases that it lists.
+type LeaseGrant struct {
 	Group model.GroupID `msgpack:"grp"`
 	// Sequence counts the arbiter's permits to this instance.
 	Sequence uint64 `msgpack:"seq"`
-	// Seen is the sequence of the newest Demand that the arbiter has heard
+	// LastRequestSeen is the sequence of the newest Demand that the arbiter has heard
 	// from this instance.
-	Seen   uint64  `msgpack:"seen"`
-	Leases []Lease `msgpack:"leases"`
-	// Valid is how long the leases hold from the arrival of the permit.
-	Valid time.Duration `msgpack:"valid"`
+	LastRequestSeen uint64  `msgpack:"seen"`
+	Leases          []Lease `msgpack:"leases"`
+	// ValidFor is how long the leases hold from the arrival of the permit.
+	ValidFor time.Duration `msgpack:"valid"`
 }
 
 // Lease lets an instance use one slot of a database for one rank, for one
 // request after another.
 type Lease struct {
-	Lease    uint64           `msgpack:"id"`
+	ID       uint64           `msgpack:"id"`
 	Database model.DatabaseID `msgpack:"db"`
 	Rank     model.Rank       `msgpack:"rank"`
-	// Recall asks for the lease back after the request that uses it.
-	Recall bool `msgpack:"back"`
+	// Recalled asks for the lease back after the request that uses it.
+	Recalled bool `msgpack:"back"`
 }
 
-func (PeerHeard) isEvent()  {}
-func (PeerLinked) isEvent() {}
-func (PeerLost) isEvent()   {}
+func (PeerMessageReceived) isEvent() {}
+func (PeerConnected) isEvent()       {}
+func (PeerDisconnected) isEvent()    {}
 
 func (Heartbeat) isPeerMessage()       {}
 func (ManifestOffer) isPeerMessage()   {}
-func (ManifestWanted) isPeerMessage()  {}
-func (GroupNews) isPeerMessage()       {}
+func (ManifestRequest) isPeerMessage() {}
+func (GroupUpdate) isPeerMessage()     {}
 func (DatabaseLeaving) isPeerMessage() {}
-func (Demand) isPeerMessage()          {}
-func (Permit) isPeerMessage()          {}
+func (LeaseRequest) isPeerMessage()    {}
+func (LeaseGrant) isPeerMessage()      {}
--- a/internal/core/message/event_platform.go
+++ b/internal/core/message/event_platform.go
@@ -18,47 +18,47 @@
 
 // RowsRead answers ReadRow (one row) and ScanRows (any number, by key).
 type RowsRead struct {
-	Ask  uint64
-	Rows []Row
-	Err  PlatformErr
+	CorrelationID uint64
+	Rows          []Row
+	Err           PlatformErr
 }
 
 // RowsWritten answers WriteRows. Rows holds the new versions in the order of
 // the question, or, with PlatformConflict, the rows as they stand.
 type RowsWritten struct {
-	Ask  uint64
-	Rows []Row
-	Err  PlatformErr
+	CorrelationID uint64
+	Rows          []Row
+	Err           PlatformErr
 }
 
 // ObjectRead answers ReadObject.
 type ObjectRead struct {
-	Ask  uint64
-	Name string
-	Body []byte
-	Err  PlatformErr
+	CorrelationID uint64
+	Name          string
+	Body          []byte
+	Err           PlatformErr
 }
 
 // ObjectWritten answers WriteObject.
 type ObjectWritten struct {
-	Ask  uint64
-	Name string
-	Err  PlatformErr
+	CorrelationID uint64
+	Name          string
+	Err           PlatformErr
 }
 
 // InstancesListed answers ListInstances.
 type InstancesListed struct {
-	Ask       uint64
-	Instances []ListedInstance
-	Err       PlatformErr
+	CorrelationID uint64
+	Instances     []ListedInstance
+	Err           PlatformErr
 }
 
 // ListedInstance is one entry of the platform's lagging list.
 type ListedInstance struct {
 	Instance model.InstanceID
 	Zone     model.ZoneID
-	// Peer is the address at which the instance speaks to its peers.
-	Peer netip.AddrPort
+	// PeerAddress is the address at which the instance speaks to its peers.
+	PeerAddress netip.AddrPort
 	// Leaving says that the platform is about to take the instance away.
 	Leaving bool
 }
@@ -73,10 +73,10 @@
 	// PlatformConflict: a row was not at the expected version; nothing
 	// changed.
 	PlatformConflict
-	// PlatformMissing: there is no such row or object.
-	PlatformMissing
-	// PlatformUnsent: the platform was not reached; nothing changed.
-	PlatformUnsent
+	// PlatformNotFound: there is no such row or object.
+	PlatformNotFound
+	// PlatformUnreachable: the platform was not reached; nothing changed.
+	PlatformUnreachable
 	// PlatformUnknown: there was no answer; a change may have happened.
 	PlatformUnknown
 	// PlatformRefused: the platform answered with another error; nothing
--- a/internal/core/model/rendezvous_test.go
+++ b/internal/core/model/rendezvous_test.go
@@ -13,7 +13,7 @@
 	order := func(ids []InstanceID) []InstanceID {
 		sorted := make([]InstanceID, len(ids))
 		for _, id := range ids {
-			sorted[Place(id, ids, "ratings")] = id
+			sorted[RendezvousRank(id, ids, "ratings")] = id
 		}
 		return sorted
 	}
