--- a/internal/core/placement/belief.go
+++ b/internal/core/placement/belief.go
@@ -43,36 +43,36 @@
 	Elapsed time.Duration
 	// Position is how far the database's log reached, where it answered.
 	Position model.Position
-	Ending   Ending
-	// Behind is, with EndingBehind, how long ago the position was written that
+	Outcome  Outcome
+	// Lag is, with OutcomeBehind, how long ago the position was written that
 	// the database's log lacked.
-	Behind time.Duration
+	Lag time.Duration
 }
 
-// Ending tells what a statement's end says of its database.
-type Ending int
+// Outcome tells what a statement's end says of its database.
+type Outcome int
 
 // The values of Ending.
 const (
-	// EndingAnswered: it answered.
-	EndingAnswered Ending = iota
-	// EndingWritten: it carried out a write or a commit.
-	EndingWritten
-	// EndingNotPrimary: it refused as a replica what only a primary does.
-	EndingNotPrimary
-	// EndingBehind: its log lacked a position.
-	EndingBehind
-	// EndingBusy: it had no room for the statement.
-	EndingBusy
-	// EndingFull: it takes no further connection.
-	EndingFull
-	// EndingUnreachable: no connection could be opened.
-	EndingUnreachable
-	// EndingBroken: a connection broke before the answer. Whether the database
+	// OutcomeAnswered: it answered.
+	OutcomeAnswered Outcome = iota
+	// OutcomeWritten: it carried out a write or a commit.
+	OutcomeWritten
+	// OutcomeNotPrimary: it refused as a replica what only a primary does.
+	OutcomeNotPrimary
+	// OutcomeBehind: its log lacked a position.
+	OutcomeBehind
+	// OutcomeBusy: it had no room for the statement.
+	OutcomeBusy
+	// OutcomeConnectionLimit: it takes no further connection.
+	OutcomeConnectionLimit
+	// OutcomeUnreachable: no connection could be opened.
+	OutcomeUnreachable
+	// OutcomeConnectionLost: a connection broke before the answer. Whether the database
 	// is there, the next connection tells.
-	EndingBroken
-	// EndingUnused: nothing was sent.
-	EndingUnused
+	OutcomeConnectionLost
+	// OutcomeNotSent: nothing was sent.
+	OutcomeNotSent
 )
 
 // belief is a database with what answers have told of it.
@@ -114,36 +114,36 @@
 
 // learn takes in how a statement ended.
 func (b *belief) learn(now time.Time, result Result) {
-	switch result.Ending {
-	case EndingAnswered:
+	switch result.Outcome {
+	case OutcomeAnswered:
 		b.answered(now)
 		b.measure(now, result.Elapsed)
 		b.lag -= time.Duration(float64(b.lag) * lagShare)
-	case EndingBehind:
+	case OutcomeBehind:
 		b.answered(now)
-		b.lag = max(b.lagAt(now), result.Behind) + time.Millisecond
+		b.lag = max(b.lagAt(now), result.Lag) + time.Millisecond
 		b.lagged = now
-	case EndingBusy:
+	case OutcomeBusy:
 		b.answered(now)
 		b.measure(now, max(result.Elapsed, 2*b.latency))
-	case EndingFull:
+	case OutcomeConnectionLimit:
 		b.full = now.Add(fullPause)
 		b.fullAt = b.leased - 1
-	case EndingUnreachable:
+	case OutcomeUnreachable:
 		b.owed = time.Time{}
 		b.unreachable(now)
-	case EndingBroken:
+	case OutcomeConnectionLost:
 		b.owed = time.Time{}
-	case EndingNotPrimary:
+	case OutcomeNotPrimary:
 		b.answered(now)
 		if b.denied.IsZero() {
 			b.denied = now
 		}
-	case EndingWritten:
+	case OutcomeWritten:
 		b.answered(now)
 		b.measure(now, result.Elapsed)
 		b.denied = time.Time{}
-	case EndingUnused:
+	case OutcomeNotSent:
 	}
 	if b.running == 0 {
 		b.owed = time.Time{}
@@ -189,12 +189,12 @@
 
 // pauseOf returns the time after which what waits shall be looked at again.
 func (b *belief) pauseOf(result Result) time.Duration {
-	switch result.Ending {
-	case EndingUnreachable:
+	switch result.Outcome {
+	case OutcomeUnreachable:
 		return b.pause()
-	case EndingFull:
+	case OutcomeConnectionLimit:
 		return fullPause
-	case EndingAnswered, EndingWritten, EndingNotPrimary, EndingBehind, EndingBusy, EndingBroken, EndingUnused:
+	case OutcomeAnswered, OutcomeWritten, OutcomeNotPrimary, OutcomeBehind, OutcomeBusy, OutcomeConnectionLost, OutcomeNotSent:
 	}
 	return 0
 }
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -31,39 +31,39 @@
 )
 
 // choose returns a seat for a need, without a belief where no database has room.
-func (s *Scheduler) choose(now time.Time, g *group, need *Need, primary lease.Grant, known bool) Seat {
-	if need.Primary {
+func (s *Scheduler) choose(now time.Time, g *group, need *Requirements, primary lease.Grant, known bool) Reservation {
+	if need.RequiresPrimary {
 		if !known {
-			return Seat{}
+			return Reservation{}
 		}
 		b := s.byID[primary.Primary]
 		if b == nil || b.Group != g.name || !s.hasRoom(now, b, need.Rank) || b.isSilent(now) && b.running > 0 {
-			return Seat{}
+			return Reservation{}
 		}
-		return Seat{Database: b.Database, IsPrimary: true, Grant: primary, belief: b}
+		return Reservation{Database: b.Database, IsPrimary: true, Grant: primary, belief: b}
 	}
 	after, since, isFresh := need.freshness()
 	best := s.chooseReader(now, g, need, primary, known, after, since, isFresh)
 	if best == nil {
-		return Seat{}
+		return Reservation{}
 	}
-	return Seat{
+	return Reservation{
 		Database: best.Database, IsPrimary: known && best.ID == primary.Primary, Grant: primary,
-		After: after, Since: since, belief: best,
+		MinPosition: after, MinPositionAsOf: since, belief: best,
 	}
 }
 
 // chooseReader returns the database that should answer a read first, of those
 // that were not tried in vain yet.
 func (s *Scheduler) chooseReader(
-	now time.Time, g *group, need *Need, primary lease.Grant, known bool,
+	now time.Time, g *group, need *Requirements, primary lease.Grant, known bool,
 	after model.Position, since time.Time, isFresh bool,
 ) *belief {
 	var best *belief
 	var least time.Duration
 	for _, b := range g.databases {
 		isPrimary := known && b.ID == primary.Primary
-		if b.Leaving || b.isSilent(now) || !s.hasRoom(now, b, need.Rank) || slices.Contains(need.Avoid, b.ID) {
+		if b.Leaving || b.isSilent(now) || !s.hasRoom(now, b, need.Rank) || slices.Contains(need.ExcludedDatabases, b.ID) {
 			continue
 		}
 		if !isPrimary && (!isFresh || !b.hasLikely(now, after, since)) {
@@ -99,7 +99,7 @@
 		return false
 	}
 	limit := (b.Slots+s.instances-1)/s.instances + statementsAhead
-	if b.IsScarce {
+	if b.HasScarceConnections {
 		// One more on its way needs a connection more.
 		limit = 1
 	}
@@ -112,8 +112,8 @@
 // connectionShare returns how many connections of a database this instance may
 // use.
 func (s *Scheduler) connectionShare(b *belief) int {
-	if b.IsScarce {
+	if b.HasScarceConnections {
 		return scarceShare
 	}
-	return max(1, (b.Connections-connectionsKept)/s.instances)
+	return max(1, (b.MaxConnections-connectionsKept)/s.instances)
 }
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -44,67 +44,67 @@
 	Address netip.AddrPort
 	// Slots is the number of statements that it runs at once.
 	Slots int
-	// Connections is the number of connections that it takes from all
+	// MaxConnections is the number of connections that it takes from all
 	// instances together.
-	Connections int
-	// IsScarce says that there are fewer connections than instances: each holds
+	MaxConnections int
+	// HasScarceConnections says that there are fewer connections than instances: each holds
 	// one only while it uses it.
-	IsScarce bool
+	HasScarceConnections bool
 	// Leaving says that it takes no new work, unless it is the primary and no
 	// other has taken over yet.
 	Leaving bool
 	// ClaimsPrimary says that the database itself says it is the primary.
 	ClaimsPrimary bool
-	// Born tells one start of the database from another under the same ID.
-	Born int64
+	// Incarnation tells one start of the database from another under the same ID.
+	Incarnation int64
 }
 
-// Need is what a session wants a seat for.
-type Need struct {
-	Group   model.GroupID
-	Rank    model.Rank
-	Arrived time.Time
-	// Primary says that no replica will do.
-	Primary bool
+// Requirements is what a session wants a seat for.
+type Requirements struct {
+	Group     model.GroupID
+	Rank      model.Rank
+	ArrivedAt time.Time
+	// RequiresPrimary says that no replica will do.
+	RequiresPrimary bool
 	// AsOf and Samples give the position that a replica must have reached: the
 	// lowest that covers all commits acknowledged before AsOf. Without such a
 	// sample only the primary will do.
 	AsOf    time.Time
-	Samples *fresh.Samples
-	// Floor is a further position that must have been reached, written before
-	// FloorAt.
-	Floor   model.Position
-	FloorAt time.Time
-	// Avoid lists databases that have just been tried in vain.
-	Avoid []model.DatabaseID
+	Samples *fresh.PositionSamples
+	// MinPosition is a further position that must have been reached, written before
+	// MinPositionAsOf.
+	MinPosition     model.Position
+	MinPositionAsOf time.Time
+	// ExcludedDatabases lists databases that have just been tried in vain.
+	ExcludedDatabases []model.DatabaseID
 }
 
-// Seat is a place at a database.
-type Seat struct {
+// Reservation is a place at a database.
+type Reservation struct {
 	Database Database
 	// IsPrimary says that the database was taken as the primary, under Grant.
 	IsPrimary bool
 	Grant     lease.Grant
-	// After is the position that the database must have reached, written before
+	// MinPosition is the position that the database must have reached, written before
 	// Since. It is zero where only a proof that the database is the primary can
 	// tell that its answer is fresh.
-	After  model.Position
-	Since  time.Time
-	belief *belief
+	MinPosition     model.Position
+	MinPositionAsOf time.Time
+	belief          *belief
 }
 
 // freshness returns the position that a replica must have reached, the time
 // before which it was written, and whether that is known.
-func (n *Need) freshness() (model.Position, time.Time, bool) {
+func (n *Requirements) freshness() (model.Position, time.Time, bool) {
 	if n.Samples == nil {
 		return model.Position{}, time.Time{}, false
 	}
-	sample, found := n.Samples.Since(n.AsOf)
+	sample, found := n.Samples.LowestCovering(n.AsOf)
 	if !found {
 		return model.Position{}, time.Time{}, false
 	}
-	if sample.Position.Less(n.Floor) {
-		return n.Floor, n.FloorAt, true
+	if sample.Position.Less(n.MinPosition) {
+		return n.MinPosition, n.MinPositionAsOf, true
 	}
 	return sample.Position, sample.At, true
 }
@@ -131,9 +131,9 @@
 
 // waiter is a need that has no seat yet.
 type waiter struct {
-	need Need
+	need Requirements
 	// seat takes the seat; it has room for one.
-	seat chan Seat
+	seat chan Reservation
 }
 
 // NewScheduler returns a scheduler without databases.
@@ -151,7 +151,7 @@
 	defer s.mu.Unlock()
 	s.instances = max(1, instances)
 	for i := range databases {
-		databases[i].IsScarce = databases[i].Connections-connectionsKept < s.instances
+		databases[i].HasScarceConnections = databases[i].MaxConnections-connectionsKept < s.instances
 	}
 	known := s.byID
 	s.byID = make(map[model.DatabaseID]*belief, len(databases))
@@ -160,7 +160,7 @@
 	}
 	for _, d := range databases {
 		b, found := known[d.ID]
-		if !found || b.Born != d.Born {
+		if !found || b.Incarnation != d.Incarnation {
 			b = &belief{}
 		}
 		b.Database = d
@@ -190,8 +190,8 @@
 // Seats.
 
 // Acquire waits for a seat until ctx ends. Its errors are those of ctx.
-func (s *Scheduler) Acquire(ctx context.Context, need Need) (Seat, error) {
-	w := &waiter{need: need, seat: make(chan Seat, 1)}
+func (s *Scheduler) Acquire(ctx context.Context, need Requirements) (Reservation, error) {
+	w := &waiter{need: need, seat: make(chan Reservation, 1)}
 	s.mu.Lock()
 	g := s.group(need.Group)
 	at, _ := slices.BinarySearchFunc(g.waiting, w, compareWaiters)
@@ -213,13 +213,13 @@
 
 // withdraw takes a waiter out of its queue. A seat that came at the same moment
 // is returned.
-func (s *Scheduler) withdraw(w *waiter) (Seat, error) {
+func (s *Scheduler) withdraw(w *waiter) (Reservation, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	g := s.group(w.need.Group)
 	if i := slices.Index(g.waiting, w); i >= 0 {
 		g.waiting = slices.Delete(g.waiting, i, i+1)
-		return Seat{}, context.DeadlineExceeded
+		return Reservation{}, context.DeadlineExceeded
 	}
 	return <-w.seat, nil
 }
@@ -230,14 +230,14 @@
 	if a.need.Rank != b.need.Rank {
 		return int(a.need.Rank - b.need.Rank)
 	}
-	if c := a.need.Arrived.Compare(b.need.Arrived); c != 0 {
+	if c := a.need.ArrivedAt.Compare(b.need.ArrivedAt); c != 0 {
 		return c
 	}
 	return -1
 }
 
-// Wake looks again at everything that waits: the leases may have changed.
-func (s *Scheduler) Wake() {
+// Reschedule looks again at everything that waits: the leases may have changed.
+func (s *Scheduler) Reschedule() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, g := range s.groups {
@@ -245,8 +245,8 @@
 	}
 }
 
-// Waiting returns the number of needs in a group's queue.
-func (s *Scheduler) Waiting(name model.GroupID) int {
+// QueueLength returns the number of needs in a group's queue.
+func (s *Scheduler) QueueLength(name model.GroupID) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if g, found := s.groups[name]; found {
@@ -255,35 +255,35 @@
 	return 0
 }
 
-// FailingUnknown is what Failing returns for a primary that was not heard lately
+// FailureDurationUnknown is what Failing returns for a primary that was not heard lately
 // and was asked nothing.
-const FailingUnknown = -time.Nanosecond
+const FailureDurationUnknown = -time.Nanosecond
 
-// Failing returns for how long a group's primary has given no answer although it
-// was asked, zero where it answers, or FailingUnknown.
-func (s *Scheduler) Failing(name model.GroupID) time.Duration {
+// FailureDuration returns for how long a group's primary has given no answer although it
+// was asked, zero where it answers, or FailureDurationUnknown.
+func (s *Scheduler) FailureDuration(name model.GroupID) time.Duration {
 	primary, found := s.leases.Grant(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.byID[primary.Primary]
 	if !found || b == nil {
-		return FailingUnknown
+		return FailureDurationUnknown
 	}
 	now := clock.Now()
 	// What happened before the database was known as the primary, or while this
 	// instance was cut off, says nothing of it as the primary.
-	known := now.Sub(s.leases.Learned(name))
+	known := now.Sub(s.leases.EpochSeenSince(name))
 	if failing := min(b.failing(now), known); failing > 0 || now.Sub(b.heard) < heardFor {
 		return failing
 	}
-	return FailingUnknown
+	return FailureDurationUnknown
 }
 
-// Unheard returns the primaries whose silence tells nothing: those that owe an
+// PrimariesToProbe returns the primaries whose silence tells nothing: those that owe an
 // answer, which may be held up on an old connection only, those that failed
 // last, and, of the groups that this instance witnesses, those that have not
 // answered for a while and have nothing to answer.
-func (s *Scheduler) Unheard(after time.Duration, witnesses func(model.GroupID) bool) []Database {
+func (s *Scheduler) PrimariesToProbe(after time.Duration, witnesses func(model.GroupID) bool) []Database {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
@@ -302,17 +302,17 @@
 	return unheard
 }
 
-// IsDoubted reports whether a database owes an answer for long or failed last.
-func (s *Scheduler) IsDoubted(id model.DatabaseID) bool {
+// IsSuspected reports whether a database owes an answer for long or failed last.
+func (s *Scheduler) IsSuspected(id model.DatabaseID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b, now := s.byID[id], clock.Now()
 	return b != nil && (b.isDoubted(now) || b.failing(now) > 0)
 }
 
-// Observe notes that a database has answered a question of the control, or has
+// RecordProbe notes that a database has answered a question of the control, or has
 // not.
-func (s *Scheduler) Observe(id model.DatabaseID, answered bool) {
+func (s *Scheduler) RecordProbe(id model.DatabaseID, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := s.byID[id]
@@ -348,30 +348,30 @@
 	g.waiting = left
 }
 
-// Start notes that another statement goes to the database of a seat that is
+// StartStatement notes that another statement goes to the database of a seat that is
 // held, as those of a transaction do.
-func (s *Scheduler) Start(seat Seat) {
+func (s *Scheduler) StartStatement(seat Reservation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seat.belief.running++
 	seat.belief.sent(clock.Now())
 }
 
-// Finish notes how a statement ended.
-func (s *Scheduler) Finish(seat Seat, result Result) {
+// FinishStatement notes how a statement ended.
+func (s *Scheduler) FinishStatement(seat Reservation, result Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b := seat.belief
 	b.running--
 	b.learn(clock.Now(), result)
 	if pause := b.pauseOf(result); pause > 0 {
-		time.AfterFunc(pause, s.Wake)
+		time.AfterFunc(pause, s.Reschedule)
 	}
 	s.pump(s.group(b.Group))
 }
 
-// Leave gives the connection of a seat back.
-func (s *Scheduler) Leave(seat Seat) {
+// Release gives the connection of a seat back.
+func (s *Scheduler) Release(seat Reservation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	seat.belief.leased--
--- a/internal/core/rank/admission.go
+++ b/internal/core/rank/admission.go
@@ -130,9 +130,9 @@
 // The door.
 
 // refuse counts and returns a refusal.
-func (q *queue) refuse(why message.RefuseWhy, again time.Duration, detail string) (Refusal, bool) {
+func (q *queue) refuse(why message.RefusalReason, again time.Duration, detail string) (Refusal, bool) {
 	q.count.refused[why]++
-	return Refusal{Why: why, Again: again, Detail: detail}, false
+	return Refusal{Reason: why, RetryAfter: again, Detail: detail}, false
 }
 
 // admit decides whether an item is taken in, and as which class.
--- a/internal/core/rank/bench_test.go
+++ b/internal/core/rank/bench_test.go
@@ -12,9 +12,9 @@
 	s := newTestScheduler()
 	for id := model.RequestID(1); id <= 1000; id++ {
 		w := work(id, 2, 5*time.Second)
-		s.Offer(start, w)
+		s.Enqueue(start, w)
 	}
-	s.Grant(start, on("a"))
+	s.AssignSlots(start, on("a"))
 	return s
 }
 
@@ -26,13 +26,13 @@
 		now = now.Add(5 * ms)
 		w := work(model.RequestID(b.N)+2000, 0, 0)
 		w.Arrived, w.Deadline = now, now.Add(time.Second)
-		s.Offer(now, w)
-		s.Expired(now)
-		for _, grant := range s.Grant(now, on("a")) {
-			s.Finish(now.Add(ms), grant.Request, Ending{Elapsed: ms})
+		s.Enqueue(now, w)
+		s.TakeExpired(now)
+		for _, grant := range s.AssignSlots(now, on("a")) {
+			s.Finish(now.Add(ms), grant.Request, SlotCompletion{Elapsed: ms})
 		}
-		s.Messages(now)
-		s.Notes()
+		s.TakeMessages(now)
+		s.TakeLogEvents()
 	}
 }
 
@@ -41,10 +41,10 @@
 	s := loaded()
 	w := work(5000, 2, 5*time.Second)
 	for taken := true; taken; w.Request++ {
-		_, taken = s.Offer(start, w)
+		_, taken = s.Enqueue(start, w)
 	}
 	for b.Loop() {
-		if _, ok := s.Offer(start, w); ok {
+		if _, ok := s.Enqueue(start, w); ok {
 			b.Fatal("taken in")
 		}
 	}
@@ -53,12 +53,12 @@
 // BenchmarkIdle measures a tick in which nothing waits.
 func BenchmarkIdle(b *testing.B) {
 	s := newTestScheduler()
-	s.Grant(start, on("a"))
+	s.AssignSlots(start, on("a"))
 	now := start
 	for b.Loop() {
 		now = now.Add(5 * ms)
-		s.Expired(now)
-		s.Grant(now, on("a"))
-		s.Messages(now)
+		s.TakeExpired(now)
+		s.AssignSlots(now, on("a"))
+		s.TakeMessages(now)
 	}
 }
--- a/internal/core/rank/decision_test.go
+++ b/internal/core/rank/decision_test.go
@@ -139,7 +139,7 @@
 		for _, s := range outbox {
 			out = append(out, fmt.Sprintf("%s>%s %s", s.from, s.sent.To, strings.TrimPrefix(fmt.Sprintf("%T", s.sent.Body), "message.")))
 			to := string(s.sent.To)
-			p.instances[to].Hear(p.now, model.InstanceID(s.from), s.sent.Body)
+			p.instances[to].HandlePeerMessage(p.now, model.InstanceID(s.from), s.sent.Body)
 			out = append(out, p.grant(to)...)
 		}
 	}
@@ -149,7 +149,7 @@
 // grant lets an instance grant and speak.
 func (p *scriptRun) grant(name string) []string {
 	var out []string
-	for _, grant := range p.instances[name].Grant(p.now, on(p.databases[name]...)) {
+	for _, grant := range p.instances[name].AssignSlots(p.now, on(p.databases[name]...)) {
 		out = append(out, fmt.Sprintf("%s runs %d on %s", name, grant.Request, grant.Database))
 	}
 	p.gather(name)
@@ -157,7 +157,7 @@
 }
 
 func (p *scriptRun) gather(name string) {
-	for _, sent := range p.instances[name].Messages(p.now) {
+	for _, sent := range p.instances[name].TakeMessages(p.now) {
 		p.outbox = append(p.outbox, envelope{from: name, sent: sent})
 	}
 }
@@ -175,26 +175,26 @@
 		p.databases[words[0]] = databases
 		return strings.Join(p.grant(words[0]), ", ")
 	case "finish":
-		ending := Ending{Elapsed: 10 * ms}
+		ending := SlotCompletion{Elapsed: 10 * ms}
 		if len(words) > 3 {
 			ending.Elapsed = p.span(strings.TrimPrefix(words[3], "took="))
 		}
 		s.Finish(p.now, p.id(words[2]), ending)
 	case "fail":
-		s.Finish(p.now, p.id(words[2]), Ending{Failed: true})
+		s.Finish(p.now, p.id(words[2]), SlotCompletion{Failed: true})
 	case "requeue":
-		s.Requeue(p.now, p.id(words[2]), Ending{Failed: true})
+		s.Requeue(p.now, p.id(words[2]), SlotCompletion{Failed: true})
 	case "withdraw":
-		return fmt.Sprint(s.Withdraw(p.id(words[2])))
+		return fmt.Sprint(s.Cancel(p.id(words[2])))
 	case "expired":
-		return fmt.Sprint(s.Expired(p.now))
+		return fmt.Sprint(s.TakeExpired(p.now))
 	case "retry":
-		return fmt.Sprint(s.AllowRetry(p.now, "g"))
+		return fmt.Sprint(s.TakeRetry(p.now, "g"))
 	case "connections":
 		return strconv.Itoa(s.Connections("a"))
 	case "notes":
 		var out []string
-		for _, note := range s.Notes() {
+		for _, note := range s.TakeLogEvents() {
 			out = append(out, note.Event.Name)
 		}
 		slices.Sort(out)
@@ -236,11 +236,11 @@
 	}
 	taken, why := 0, ""
 	for range times {
-		refusal, ok := s.Offer(p.now, w)
+		refusal, ok := s.Enqueue(p.now, w)
 		if ok {
 			taken++
 		} else {
-			why = fmt.Sprintf(", then %s: %s, again in %s", refusal.Why, refusal.Detail, refusal.Again)
+			why = fmt.Sprintf(", then %s: %s, again in %s", refusal.Reason, refusal.Detail, refusal.RetryAfter)
 		}
 		w.Request++
 	}
--- a/internal/core/rank/group.go
+++ b/internal/core/rank/group.go
@@ -81,7 +81,7 @@
 
 func newQueue(r model.Rank, width time.Duration) *queue {
 	q := &queue{rank: r, callers: map[model.CallerID]*caller{}, pruneAt: pruneCount}
-	q.count.refused = map[message.RefuseWhy]uint64{}
+	q.count.refused = map[message.RefusalReason]uint64{}
 	for a := range q.backlog {
 		for c := range q.backlog[a] {
 			q.backlog[a][c].width = width
@@ -360,7 +360,7 @@
 	d.group.leasing.holder.started(now, it)
 	s.charge(now, q, it, it.cost)
 	q.count.running++
-	s.grants = append(s.grants, Grant{Request: it.work.Request, Database: d.id})
+	s.grants = append(s.grants, SlotAssignment{Request: it.work.Request, Database: d.id})
 }
 
 // charge adds slot-time to the accounts of an item's caller and rank.
--- a/internal/core/rank/lease.go
+++ b/internal/core/rank/lease.go
@@ -38,11 +38,11 @@
 // hear takes in a Demand or Permit.
 func (w *leasing) hear(s *Scheduler, now time.Time, g *group, from model.InstanceID, body message.PeerMessage) {
 	switch body := body.(type) {
-	case message.Demand:
+	case message.LeaseRequest:
 		if w.arbiter != nil {
 			w.arbiter.hear(s, now, g, from, &body)
 		}
-	case message.Permit:
+	case message.LeaseGrant:
 		if from == w.holder.arbiter {
 			w.holder.hear(s, now, &body)
 		}
@@ -86,20 +86,20 @@
 // What waits.
 
 // wants returns the demand of this instance on a group.
-func (g *group) wants(now time.Time) []message.Want {
-	var wants []message.Want
+func (g *group) wants(now time.Time) []message.SlotDemand {
+	var wants []message.SlotDemand
 	for _, q := range g.queues {
 		for _, l := range q.lanes {
 			mask := g.usable(now, l.mask)
 			if mask == 0 || len(l.lines) == 0 {
 				continue
 			}
-			wants = append(wants, message.Want{
-				Databases: g.names(mask),
-				Rank:      q.rank,
-				Late:      l.class == classLate,
-				Waiting:   l.waiting,
-				Slack:     l.lines[0].items[0].work.Deadline.Sub(now),
+			wants = append(wants, message.SlotDemand{
+				Databases:      g.names(mask),
+				Rank:           q.rank,
+				PastTarget:     l.class == classLate,
+				Waiting:        l.waiting,
+				TimeToDeadline: l.lines[0].items[0].work.Deadline.Sub(now),
 			})
 		}
 	}
--- a/internal/core/rank/lease_arbiter.go
+++ b/internal/core/rank/lease_arbiter.go
@@ -83,21 +83,21 @@
 // Demands.
 
 // hear takes in a demand.
-func (a *arbiter) hear(s *Scheduler, now time.Time, g *group, from model.InstanceID, demand *message.Demand) {
+func (a *arbiter) hear(s *Scheduler, now time.Time, g *group, from model.InstanceID, demand *message.LeaseRequest) {
 	p := a.client(from)
 	if demand.Sequence <= p.sequence {
 		return
 	}
-	p.measure(now, demand.Seen)
-	p.sequence, p.seen, p.heard = demand.Sequence, demand.Seen, now
+	p.measure(now, demand.LastGrantSeen)
+	p.sequence, p.seen, p.heard = demand.Sequence, demand.LastGrantSeen, now
 	p.limits = demand.Limits
 	p.wants = p.wants[:0]
-	for _, w := range demand.Wants {
+	for _, w := range demand.Demands {
 		p.wants = append(p.wants, want{
-			mask: g.maskOf(w.Databases), rank: s.clamp(w.Rank), late: w.Late, waiting: w.Waiting, due: now.Add(w.Slack),
+			mask: g.maskOf(w.Databases), rank: s.clamp(w.Rank), late: w.PastTarget, waiting: w.Waiting, due: now.Add(w.TimeToDeadline),
 		})
 	}
-	a.settle(s, now, p, demand.Held)
+	a.settle(s, now, p, demand.HeldLeases)
 }
 
 // maxRoundTrip bounds what is taken for the way there and back, and roundTripRises is the
@@ -138,15 +138,15 @@
 	clear(a.leases[len(kept):])
 	a.leases = kept
 	for _, h := range held {
-		if d := s.databases[h.Database]; d != nil && !a.has(h.Lease) {
-			a.add(now, &lease{number: h.Lease, to: p, database: d, rank: s.clamp(h.Rank)})
+		if d := s.databases[h.Database]; d != nil && !a.has(h.ID) {
+			a.add(now, &lease{number: h.ID, to: p, database: d, rank: s.clamp(h.Rank)})
 		}
 	}
 }
 
 func isHeld(held []message.HeldLease, number uint64) bool {
 	for _, h := range held {
-		if h.Lease == number {
+		if h.ID == number {
 			return true
 		}
 	}
@@ -274,7 +274,7 @@
 func (a *arbiter) limit(s *Scheduler, d *database) int {
 	sum := 0
 	for _, p := range a.clients {
-		sum += p.limitOf(d.id, s.limits.Slots)
+		sum += p.limitOf(d.id, s.limits.MaxConcurrentStatements)
 	}
 	count := max(1, len(a.clients))
 	return max(1, (sum+count/2)/count)
@@ -466,18 +466,18 @@
 // Permits.
 
 // permit returns what an instance shall hear, and whether it is due.
-func (a *arbiter) permit(now time.Time, g *group, p *client) (message.Permit, bool) {
+func (a *arbiter) permit(now time.Time, g *group, p *client) (message.LeaseGrant, bool) {
 	asks := p.heard.After(p.sent) && now.Sub(p.sent) >= permitKeep
 	if !p.changed && !asks {
-		return message.Permit{}, false
+		return message.LeaseGrant{}, false
 	}
 	p.permits++
 	p.sent, p.changed = now, false
-	permit := message.Permit{Group: g.id, Sequence: p.permits, Seen: p.sequence, Valid: leaseValid}
+	permit := message.LeaseGrant{Group: g.id, Sequence: p.permits, LastRequestSeen: p.sequence, ValidFor: leaseValid}
 	for _, l := range a.leases {
 		if l.to == p {
 			permit.Leases = append(permit.Leases, message.Lease{
-				Lease: l.number, Database: l.database.id, Rank: l.rank, Recall: l.recall,
+				ID: l.number, Database: l.database.id, Rank: l.rank, Recalled: l.recall,
 			})
 		}
 	}
--- a/internal/core/rank/lease_holder.go
+++ b/internal/core/rank/lease_holder.go
@@ -132,21 +132,21 @@
 }
 
 // hear takes in a permit.
-func (h *holder) hear(s *Scheduler, now time.Time, permit *message.Permit) {
+func (h *holder) hear(s *Scheduler, now time.Time, permit *message.LeaseGrant) {
 	if permit.Sequence <= h.seen {
 		return
 	}
 	h.seen = permit.Sequence
 	h.asked, h.alone = time.Time{}, false
 	for number, sequence := range h.returned {
-		if sequence <= permit.Seen {
+		if sequence <= permit.LastRequestSeen {
 			delete(h.returned, number)
 		}
 	}
 	listed := map[uint64]bool{}
 	for _, lease := range permit.Leases {
-		listed[lease.Lease] = true
-		h.accept(s, now.Add(permit.Valid), lease)
+		listed[lease.ID] = true
+		h.accept(s, now.Add(permit.ValidFor), lease)
 	}
 	for _, l := range h.leases {
 		l.recall = l.recall || !listed[l.number]
@@ -155,12 +155,12 @@
 
 // accept takes in or renews one lease.
 func (h *holder) accept(s *Scheduler, valid time.Time, lease message.Lease) {
-	if _, gone := h.returned[lease.Lease]; gone {
+	if _, gone := h.returned[lease.ID]; gone {
 		return
 	}
 	for _, l := range h.leases {
-		if l.number == lease.Lease {
-			l.valid, l.recall = valid, lease.Recall
+		if l.number == lease.ID {
+			l.valid, l.recall = valid, lease.Recalled
 			return
 		}
 	}
@@ -169,7 +169,7 @@
 		return
 	}
 	h.leases = append(h.leases, &heldLease{
-		number: lease.Lease, database: d, rank: lease.Rank, valid: valid, recall: lease.Recall,
+		number: lease.ID, database: d, rank: lease.Rank, valid: valid, recall: lease.Recalled,
 	})
 }
 
@@ -190,16 +190,16 @@
 
 // demand returns what the arbiter shall hear, and whether it is due. It is
 // called after Grant, so that a lease without work has no use here.
-func (h *holder) demand(s *Scheduler, now time.Time, g *group) (message.Demand, bool) {
+func (h *holder) demand(s *Scheduler, now time.Time, g *group) (message.LeaseRequest, bool) {
 	h.giveBack()
 	wants := g.wants(now)
-	told := digest(now, wants, s.limits.Slots)
+	told := digest(now, wants, s.limits.MaxConcurrentStatements)
 	elapsed := now.Sub(h.sent)
 	active := len(wants) > 0 || len(h.leases) > 0
 	ranks := ranksOf(wants)
 	isNew := ranks&^h.ranks != 0 || (told != h.told && (elapsed >= demandGap || h.arbiter == s.self))
 	if !h.urgent && !isNew && (!active || elapsed < permitKeep) {
-		return message.Demand{}, false
+		return message.LeaseRequest{}, false
 	}
 	h.sequence++
 	h.sent, h.told, h.ranks, h.urgent = now, told, ranks, false
@@ -209,16 +209,16 @@
 	if h.isAlone(now) {
 		s.note(now, arbiterSilent(g, h.arbiter))
 	}
-	demand := message.Demand{Group: g.id, Sequence: h.sequence, Seen: h.seen, Wants: wants}
+	demand := message.LeaseRequest{Group: g.id, Sequence: h.sequence, LastGrantSeen: h.seen, Demands: wants}
 	for _, l := range h.leases {
-		demand.Held = append(demand.Held, message.HeldLease{Lease: l.number, Database: l.database.id, Rank: l.rank})
+		demand.HeldLeases = append(demand.HeldLeases, message.HeldLease{ID: l.number, Database: l.database.id, Rank: l.rank})
 	}
 	demand.Limits = s.lowered(g)
 	return demand, true
 }
 
 // ranksOf returns the set of ranks that want slots.
-func ranksOf(wants []message.Want) uint64 {
+func ranksOf(wants []message.SlotDemand) uint64 {
 	ranks := uint64(0)
 	for _, want := range wants {
 		ranks |= 1 << want.Rank
@@ -227,17 +227,17 @@
 }
 
 // digest tells whether wants differ in a way that matters to the arbiter.
-func digest(now time.Time, wants []message.Want, slots int) uint64 {
+func digest(now time.Time, wants []message.SlotDemand, slots int) uint64 {
 	const coarse = 10 * time.Millisecond
 	sum := uint64(len(wants))
 	mix := func(n uint64) { sum = (sum ^ n) * 0x9e3779b97f4a7c15 }
 	for _, want := range wants {
 		mix(uint64(want.Rank) << 1)
-		if want.Late {
+		if want.PastTarget {
 			mix(1)
 		}
 		mix(uint64(min(want.Waiting, 2*slots)))
-		mix(uint64(now.Add(want.Slack).UnixNano() / int64(coarse)))
+		mix(uint64(now.Add(want.TimeToDeadline).UnixNano() / int64(coarse)))
 		mix(xxhash.Sum64String(string(want.Databases[0])) + uint64(len(want.Databases)))
 	}
 	return sum
--- a/internal/core/rank/lease_test.go
+++ b/internal/core/rank/lease_test.go
@@ -68,18 +68,18 @@
 			kept = append(kept, p)
 			continue
 		}
-		f.member(p.to).s.Hear(f.now, p.from, p.body)
+		f.member(p.to).s.HandlePeerMessage(f.now, p.from, p.body)
 	}
 	f.deliveries = kept
 	for _, m := range f.members {
 		m.finish(f.now)
-		m.s.Expired(f.now)
-		for _, grant := range m.s.Grant(f.now, candidates) {
+		m.s.TakeExpired(f.now)
+		for _, grant := range m.s.AssignSlots(f.now, candidates) {
 			m.running = append(m.running, execution{
 				work: m.s.running[grant.Request].work, database: grant.Database, ends: f.now.Add(service()),
 			})
 		}
-		for _, sent := range m.s.Messages(f.now) {
+		for _, sent := range m.s.TakeMessages(f.now) {
 			if f.cut != nil && f.cut(m.id, sent.To) {
 				continue
 			}
@@ -115,7 +115,7 @@
 			kept = append(kept, r)
 			continue
 		}
-		m.s.Finish(now, r.work.Request, Ending{Elapsed: 10 * ms})
+		m.s.Finish(now, r.work.Request, SlotCompletion{Elapsed: 10 * ms})
 		m.served[r.work.Rank]++
 	}
 	m.running = kept
@@ -126,7 +126,7 @@
 	f.next++
 	w := work(f.next, r, 0)
 	w.Arrived, w.Deadline = f.now, f.now.Add(deadline)
-	m.s.Offer(f.now, w)
+	m.s.Enqueue(f.now, w)
 }
 
 // busy counts what all members run on a database.
@@ -157,7 +157,7 @@
 			}
 			f.step(time.Duration(rapid.IntRange(1, 5).Draw(t, "elapsed"))*ms, delay, service, on("a", "b"))
 			for _, id := range []model.DatabaseID{"a", "b"} {
-				if n := f.busy(id); n > testManifest().Limits.Slots+slotsAhead {
+				if n := f.busy(id); n > testManifest().Limits.MaxConcurrentStatements+slotsAhead {
 					t.Fatalf("%d requests on %s", n, id)
 				}
 			}
@@ -269,9 +269,9 @@
 func TestConnectionsNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := testManifest()
-		m.Limits.Connections = rapid.IntRange(12, 60).Draw(t, "connections")
-		m.Limits.Reserve = rapid.IntRange(0, 3).Draw(t, "reserve")
-		budget := m.Limits.Connections - m.Limits.Reserve
+		m.Limits.MaxConnections = rapid.IntRange(12, 60).Draw(t, "connections")
+		m.Limits.ReservedConnections = rapid.IntRange(0, 3).Draw(t, "reserve")
+		budget := m.Limits.MaxConnections - m.Limits.ReservedConnections
 		var all []model.InstanceID
 		var schedulers []*Scheduler
 		now := start
@@ -282,7 +282,7 @@
 			s.Configure(now, m)
 			if n == 0 {
 				now = now.Add(joinTime)
-				s.Grant(now, on())
+				s.AssignSlots(now, on())
 			}
 			schedulers = append(schedulers, s)
 			checkBudget(t, schedulers, budget)
@@ -328,7 +328,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			m := testManifest()
-			m.Limits.Connections, m.Limits.Reserve = c.connections, c.reserve
+			m.Limits.MaxConnections, m.Limits.ReservedConnections = c.connections, c.reserve
 			var all []model.InstanceID
 			for n := range c.instances {
 				all = append(all, model.InstanceID(fmt.Sprint("i", n)))
--- a/internal/core/rank/limit.go
+++ b/internal/core/rank/limit.go
@@ -141,14 +141,14 @@
 // limitOf returns the slots of d that all instances together should use, as
 // this instance sees it.
 func (s *Scheduler) limitOf(d *database) int {
-	return min(max(1, int(d.limiter.slots)), s.limits.Slots)
+	return min(max(1, int(d.limiter.slots)), s.limits.MaxConcurrentStatements)
 }
 
 // lowered returns the limits that this instance has lowered.
 func (s *Scheduler) lowered(g *group) []message.SlotLimit {
 	var limits []message.SlotLimit
 	for _, d := range g.databases {
-		if limit := s.limitOf(d); limit < s.limits.Slots {
+		if limit := s.limitOf(d); limit < s.limits.MaxConcurrentStatements {
 			limits = append(limits, message.SlotLimit{Database: d.id, Slots: limit})
 		}
 	}
@@ -159,7 +159,7 @@
 // What a limiter learns.
 
 // learn takes in how the use of a slot ended.
-func (s *Scheduler) learn(now time.Time, it *item, ending Ending) {
+func (s *Scheduler) learn(now time.Time, it *item, ending SlotCompletion) {
 	if s.hasFixedLimits {
 		return
 	}
@@ -215,9 +215,9 @@
 			return
 		}
 		s.open(now, d)
-	case !isBad && !failed && l.ratio < wellRatio && l.slots < float64(s.limits.Slots):
-		l.slots = min(l.slots+limitStep, float64(s.limits.Slots))
-		if l.slots == float64(s.limits.Slots) {
+	case !isBad && !failed && l.ratio < wellRatio && l.slots < float64(s.limits.MaxConcurrentStatements):
+		l.slots = min(l.slots+limitStep, float64(s.limits.MaxConcurrentStatements))
+		if l.slots == float64(s.limits.MaxConcurrentStatements) {
 			s.note(now, limitRestored(d))
 		}
 	}
@@ -279,11 +279,11 @@
 	if s.isNewcomer() {
 		return 1
 	}
-	budget := max(0, s.limits.Connections-s.limits.Reserve)
+	budget := max(0, s.limits.MaxConnections-s.limits.ReservedConnections)
 	return max(1, budget/(len(s.peers.known)+1)-controlConnections)
 }
 
 // perInstance returns the slots of d that one instance may use at once.
 func (s *Scheduler) perInstance(d *database) int {
-	return min(s.limits.Slots, s.Connections(d.id))
+	return min(s.limits.MaxConcurrentStatements, s.Connections(d.id))
 }
--- a/internal/core/rank/limit_test.go
+++ b/internal/core/rank/limit_test.go
@@ -24,9 +24,9 @@
 			s := newTestScheduler()
 			now := serveReads(t, s, start, []time.Duration{40 * time.Microsecond})
 			serveReads(t, s, now, c.took)
-			full := s.limitOf(s.databases["a"]) == s.limits.Slots
+			full := s.limitOf(s.databases["a"]) == s.limits.MaxConcurrentStatements
 			if full != c.kept {
-				t.Errorf("limit %d of %d slots", s.limitOf(s.databases["a"]), s.limits.Slots)
+				t.Errorf("limit %d of %d slots", s.limitOf(s.databases["a"]), s.limits.MaxConcurrentStatements)
 			}
 		})
 	}
@@ -42,15 +42,15 @@
 		now = now.Add(10 * ms)
 		read := work(id, 1, 0)
 		read.Arrived, read.Deadline = now, now.Add(time.Second)
-		if refusal, ok := s.Offer(now, read); !ok {
+		if refusal, ok := s.Enqueue(now, read); !ok {
 			t.Fatal("refused", refusal)
 		}
-		if got := len(s.Grant(now, on("a"))); got != 1 {
+		if got := len(s.AssignSlots(now, on("a"))); got != 1 {
 			t.Fatalf("answer %d: %d grants", i, got)
 		}
 		elapsed := took[i%len(took)]
 		now = now.Add(elapsed)
-		s.Finish(now, id, Ending{Elapsed: elapsed})
+		s.Finish(now, id, SlotCompletion{Elapsed: elapsed})
 	}
 	return now
 }
--- a/internal/core/rank/note.go
+++ b/internal/core/rank/note.go
@@ -26,7 +26,7 @@
 }
 
 // note keeps a line for Notes, or counts it as left out.
-func (s *Scheduler) note(now time.Time, line message.Note) {
+func (s *Scheduler) note(now time.Time, line message.LogEvent) {
 	gate := s.gates[line.Event.Number]
 	if gate == nil {
 		gate = &noteGate{since: now}
@@ -56,9 +56,9 @@
 	return false
 }
 
-// Notes returns the log lines since the last call, at most five a second of each
+// TakeLogEvents returns the log lines since the last call, at most five a second of each
 // event; the field "left" counts those left out before a line.
-func (s *Scheduler) Notes() []message.Note {
+func (s *Scheduler) TakeLogEvents() []message.LogEvent {
 	out := s.notes
 	s.notes = nil
 	return out
@@ -71,9 +71,9 @@
 	if !s.isNoted(now, &event.WorkRefused) {
 		return
 	}
-	s.note(now, message.Note{Event: event.WorkRefused, Fields: []event.Field{
+	s.note(now, message.LogEvent{Event: event.WorkRefused, Fields: []event.Field{
 		event.F("group", work.Group), event.F("rank", s.rankName(work.Rank)), event.F("caller", work.Caller),
-		event.F("why", refusal.Why), event.F("detail", refusal.Detail), event.F("again", refusal.Again),
+		event.F("why", refusal.Reason), event.F("detail", refusal.Detail), event.F("again", refusal.RetryAfter),
 	}})
 }
 
@@ -81,52 +81,52 @@
 	if !s.isNoted(now, &event.WorkExpired) {
 		return
 	}
-	s.note(now, message.Note{Event: event.WorkExpired, Fields: []event.Field{
+	s.note(now, message.LogEvent{Event: event.WorkExpired, Fields: []event.Field{
 		event.F("group", work.Group), event.F("rank", s.rankName(work.Rank)), event.F("caller", work.Caller),
 		event.F("waited", now.Sub(work.Arrived)),
 	}})
 }
 
-func limitLowered(d *database) message.Note {
-	return message.Note{Event: event.LimitLowered, Fields: []event.Field{
+func limitLowered(d *database) message.LogEvent {
+	return message.LogEvent{Event: event.LimitLowered, Fields: []event.Field{
 		event.F("group", d.group.id), event.F("database", d.id), event.F("slots", int(d.limiter.slots)),
 		event.F("slowdown", d.limiter.ratio), event.F("failing", d.limiter.fails),
 	}}
 }
 
-func limitRestored(d *database) message.Note {
-	return message.Note{Event: event.LimitRestored, Fields: []event.Field{
+func limitRestored(d *database) message.LogEvent {
+	return message.LogEvent{Event: event.LimitRestored, Fields: []event.Field{
 		event.F("group", d.group.id), event.F("database", d.id), event.F("slots", int(d.limiter.slots)),
 	}}
 }
 
-func circuitOpened(d *database) message.Note {
-	return message.Note{Event: event.CircuitOpened, Fields: []event.Field{
+func circuitOpened(d *database) message.LogEvent {
+	return message.LogEvent{Event: event.CircuitOpened, Fields: []event.Field{
 		event.F("group", d.group.id), event.F("database", d.id), event.F("state", d.limiter.state),
 		event.F("slowdown", d.limiter.ratio), event.F("failing", d.limiter.fails),
 	}}
 }
 
-func circuitClosedAgain(d *database) message.Note {
-	return message.Note{Event: event.CircuitClosed, Fields: []event.Field{
+func circuitClosedAgain(d *database) message.LogEvent {
+	return message.LogEvent{Event: event.CircuitClosed, Fields: []event.Field{
 		event.F("group", d.group.id), event.F("database", d.id),
 	}}
 }
 
-func arbiterChanged(g *group, before, after model.InstanceID) message.Note {
-	return message.Note{Event: event.ArbiterChanged, Fields: []event.Field{
+func arbiterChanged(g *group, before, after model.InstanceID) message.LogEvent {
+	return message.LogEvent{Event: event.ArbiterChanged, Fields: []event.Field{
 		event.F("group", g.id), event.F("before", before), event.F("after", after),
 	}}
 }
 
-func arbiterSilent(g *group, arbiter model.InstanceID) message.Note {
-	return message.Note{Event: event.ArbiterSilent, Fields: []event.Field{
+func arbiterSilent(g *group, arbiter model.InstanceID) message.LogEvent {
+	return message.LogEvent{Event: event.ArbiterSilent, Fields: []event.Field{
 		event.F("group", g.id), event.F("arbiter", arbiter),
 	}}
 }
 
-func shareReserved(id model.InstanceID, until time.Time) message.Note {
-	return message.Note{Event: event.ShareReserved, Fields: []event.Field{
+func shareReserved(id model.InstanceID, until time.Time) message.LogEvent {
+	return message.LogEvent{Event: event.ShareReserved, Fields: []event.Field{
 		event.F("instance", id), event.F("until", until),
 	}}
 }
@@ -135,7 +135,7 @@
 	if !s.isNoted(now, &event.LeaseGranted) {
 		return
 	}
-	s.note(now, message.Note{Event: event.LeaseGranted, Fields: []event.Field{
+	s.note(now, message.LogEvent{Event: event.LeaseGranted, Fields: []event.Field{
 		event.F("group", l.database.group.id), event.F("database", l.database.id),
 		event.F("rank", s.rankName(l.rank)), event.F("instance", l.to.id),
 	}})
@@ -145,12 +145,12 @@
 	if !s.isNoted(now, &event.LeaseRecalled) {
 		return
 	}
-	s.note(now, message.Note{Event: event.LeaseRecalled, Fields: []event.Field{
+	s.note(now, message.LogEvent{Event: event.LeaseRecalled, Fields: []event.Field{
 		event.F("group", l.database.group.id), event.F("database", l.database.id),
 		event.F("rank", s.rankName(l.rank)), event.F("instance", l.to.id), event.F("for", s.rankName(c.want.rank)),
 	}})
 }
 
-func retryRefused(g *group) message.Note {
-	return message.Note{Event: event.RetryRefused, Fields: []event.Field{event.F("group", g.id)}}
+func retryRefused(g *group) message.LogEvent {
+	return message.LogEvent{Event: event.RetryRefused, Fields: []event.Field{event.F("group", g.id)}}
 }
--- a/internal/core/rank/report.go
+++ b/internal/core/rank/report.go
@@ -17,7 +17,7 @@
 	failed    uint64
 	expired   uint64
 	withdrawn uint64
-	refused   map[message.RefuseWhy]uint64
+	refused   map[message.RefusalReason]uint64
 }
 
 // Report tells operators what the scheduler of this instance holds and did.
@@ -59,7 +59,7 @@
 
 // RefusedReport counts refusals of one reason.
 type RefusedReport struct {
-	Why   message.RefuseWhy
+	Why   message.RefusalReason
 	Count uint64
 }
 
--- a/internal/core/rank/retry.go
+++ b/internal/core/rank/retry.go
@@ -25,10 +25,10 @@
 	since time.Time
 }
 
-// AllowRetry reports whether a request of a group may be tried once more, and
+// TakeRetry reports whether a request of a group may be tried once more, and
 // takes the retry out of the group's budget: a share of its recent successes.
 // It is false for an unknown group.
-func (s *Scheduler) AllowRetry(now time.Time, id model.GroupID) bool {
+func (s *Scheduler) TakeRetry(now time.Time, id model.GroupID) bool {
 	g := s.groups[id]
 	if g == nil {
 		return false
--- a/internal/core/rank/scheduler.go
+++ b/internal/core/rank/scheduler.go
@@ -3,7 +3,7 @@
 // # What flows in and out
 //
 // Work flows in by Offer, which refuses at the door what can't be in time;
-// Grant pairs waiting work with free slots, and Finish gives the slot back.
+// AssignSlots pairs waiting work with free slots, and Finish gives the slot back.
 // Peers' words flow in by Hear and out by Messages, so that many instances act
 // as one queue. Time comes with each call; the package has no clock.
 //
@@ -11,8 +11,8 @@
 //
 //	s := rank.NewScheduler("instance-1")
 //	s.Configure(now, manifest)
-//	refusal, ok := s.Offer(now, rank.Work{Request: 1, Group: "ratings", Deadline: now.Add(time.Second)})
-//	for _, grant := range s.Grant(now, candidates) { ... }
+//	refusal, ok := s.Enqueue(now, rank.Work{Request: 1, Group: "ratings", Deadline: now.Add(time.Second)})
+//	for _, grant := range s.AssignSlots(now, candidates) { ... }
 //	s.Finish(now, 1, rank.Ending{})
 package rank
 
@@ -46,20 +46,20 @@
 
 // Refusal tells why work was not taken in.
 type Refusal struct {
-	Why message.RefuseWhy
-	// Again hints when to come again.
-	Again  time.Duration
-	Detail string
+	Reason message.RefusalReason
+	// RetryAfter hints when to come again.
+	RetryAfter time.Duration
+	Detail     string
 }
 
-// Grant pairs a request with a slot of a database.
-type Grant struct {
+// SlotAssignment pairs a request with a slot of a database.
+type SlotAssignment struct {
 	Request  model.RequestID
 	Database model.DatabaseID
 }
 
-// Ending tells how the use of a slot ended.
-type Ending struct {
+// SlotCompletion tells how the use of a slot ended.
+type SlotCompletion struct {
 	// Elapsed is how long the database took, without opening a connection.
 	Elapsed time.Duration
 	// Failed says that the database did not answer, or answered that it is
@@ -81,7 +81,7 @@
 	// told it.
 	born, now time.Time
 	peers     peers
-	limits    manifest.Limits
+	limits    manifest.DatabaseLimits
 	ranks     []manifest.Rank
 	floors    []float64
 	kinds     map[string]*kind
@@ -92,10 +92,10 @@
 	running   map[model.RequestID]*item
 	expiry    deadlines
 	expired   []model.RequestID
-	grants    []Grant
+	grants    []SlotAssignment
 	outbox    []message.SendPeer
 	order     []model.Rank
-	notes     []message.Note
+	notes     []message.LogEvent
 	gates     map[int]*noteGate
 	// hasFixedLimits turns adaptive limits off.
 	hasFixedLimits bool
@@ -140,7 +140,7 @@
 	count := max(len(m.Ranks), len(s.floors), 1)
 	s.floors = make([]float64, count)
 	for r, declared := range m.Ranks {
-		s.floors[r] = declared.Floor
+		s.floors[r] = declared.MinSlotShare
 	}
 	known := s.databases
 	s.databases = map[model.DatabaseID]*database{}
@@ -157,7 +157,7 @@
 	s.elect(now)
 }
 
-func (s *Scheduler) configureKinds(kinds []manifest.Kind) {
+func (s *Scheduler) configureKinds(kinds []manifest.RequestKind) {
 	known := s.kinds
 	s.kinds = map[string]*kind{}
 	for _, declared := range kinds {
@@ -183,7 +183,7 @@
 	for i, member := range declared.Databases {
 		d := known[member.Name]
 		if d == nil {
-			d = &database{id: member.Name, limiter: newLimiter(s.limits.Slots)}
+			d = &database{id: member.Name, limiter: newLimiter(s.limits.MaxConcurrentStatements)}
 			d.ledger.since, d.fleet.since = now, now
 			d.meter.since, d.fleetMeter.since = now, now
 		}
@@ -197,14 +197,14 @@
 }
 
 // growQueues makes a queue for each rank.
-func (g *group) growQueues(count int, kinds []manifest.Kind) {
+func (g *group) growQueues(count int, kinds []manifest.RequestKind) {
 	for r := model.Rank(len(g.queues)); int(r) < count; r++ {
 		g.queues = append(g.queues, newQueue(r, widthOf(r, kinds)))
 	}
 }
 
 // widthOf returns the width of the buckets in which a rank's deadlines fall.
-func widthOf(r model.Rank, kinds []manifest.Kind) time.Duration {
+func widthOf(r model.Rank, kinds []manifest.RequestKind) time.Duration {
 	longest := time.Duration(0)
 	for _, k := range kinds {
 		if k.Rank == r {
@@ -233,7 +233,7 @@
 // target returns the target time of a rank, or 0.
 func (s *Scheduler) target(r model.Rank) time.Duration {
 	if int(r) < len(s.ranks) {
-		return s.ranks[r].Target
+		return s.ranks[r].LatencyTarget
 	}
 	return 0
 }
@@ -251,11 +251,11 @@
 // -----------------------------------------------------------------------------
 // The queue.
 
-// Offer takes work into the queue, or refuses it at the door.
-func (s *Scheduler) Offer(now time.Time, work Work) (Refusal, bool) {
+// Enqueue takes work into the queue, or refuses it at the door.
+func (s *Scheduler) Enqueue(now time.Time, work Work) (Refusal, bool) {
 	g := s.groups[work.Group]
 	if g == nil || len(g.databases) == 0 {
-		return Refusal{Why: message.RefuseUnknownGroup, Detail: string(work.Group)}, false
+		return Refusal{Reason: message.RefuseUnknownGroup, Detail: string(work.Group)}, false
 	}
 	q := g.queueOf(&work)
 	it := &item{work: work, cost: s.kind(work.Kind).cost(now)}
@@ -270,7 +270,7 @@
 
 // Requeue puts a running request back into the queue for another attempt. It
 // keeps its place by arrival and is never refused.
-func (s *Scheduler) Requeue(now time.Time, request model.RequestID, ending Ending) {
+func (s *Scheduler) Requeue(now time.Time, request model.RequestID, ending SlotCompletion) {
 	it := s.running[request]
 	if it == nil {
 		return
@@ -280,8 +280,8 @@
 	s.enter(now, g.queueOf(&it.work), &item{work: it.work, cost: it.cost, target: it.target, class: it.class})
 }
 
-// Withdraw takes a request out of the queue. It reports whether it was there.
-func (s *Scheduler) Withdraw(request model.RequestID) bool {
+// Cancel takes a request out of the queue. It reports whether it was there.
+func (s *Scheduler) Cancel(request model.RequestID) bool {
 	it := s.waiting[request]
 	if it == nil {
 		return false
@@ -292,8 +292,8 @@
 	return true
 }
 
-// Expired takes out of the queue, and returns, what has passed its deadline.
-func (s *Scheduler) Expired(now time.Time) []model.RequestID {
+// TakeExpired takes out of the queue, and returns, what has passed its deadline.
+func (s *Scheduler) TakeExpired(now time.Time) []model.RequestID {
 	s.expire(now)
 	gone := s.expired
 	s.expired = nil
@@ -312,9 +312,9 @@
 	}
 }
 
-// Grant pairs waiting work with free slots. It starts nothing that has passed
+// AssignSlots pairs waiting work with free slots. It starts nothing that has passed
 // its deadline; Expired returns that.
-func (s *Scheduler) Grant(now time.Time, candidates Candidates) []Grant {
+func (s *Scheduler) AssignSlots(now time.Time, candidates Candidates) []SlotAssignment {
 	s.expire(now)
 	s.grants, s.now = nil, now
 	s.peers.refresh(now)
@@ -329,7 +329,7 @@
 }
 
 // Finish gives the slot of a running request back.
-func (s *Scheduler) Finish(now time.Time, request model.RequestID, ending Ending) {
+func (s *Scheduler) Finish(now time.Time, request model.RequestID, ending SlotCompletion) {
 	it := s.running[request]
 	if it == nil {
 		return
@@ -367,7 +367,7 @@
 	if a == model.AccessWrite {
 		databases = 1
 	}
-	equal := float64(s.limits.Slots*databases) / float64(max(1, len(s.peers.known)))
+	equal := float64(s.limits.MaxConcurrentStatements*databases) / float64(max(1, len(s.peers.known)))
 	used := 0.0
 	for _, q := range g.queues {
 		used += q.drained(a)
@@ -387,9 +387,9 @@
 	s.elect(now)
 }
 
-// Forget ends the reserved share of an instance that has announced its leaving
+// RemovePeer ends the reserved share of an instance that has announced its leaving
 // and is not alive any more.
-func (s *Scheduler) Forget(now time.Time, id model.InstanceID) {
+func (s *Scheduler) RemovePeer(now time.Time, id model.InstanceID) {
 	delete(s.peers.until, id)
 	s.peers.refresh(now)
 }
@@ -401,13 +401,13 @@
 	}
 }
 
-// Hear takes in a Demand or Permit of a peer.
-func (s *Scheduler) Hear(now time.Time, from model.InstanceID, body message.PeerMessage) {
+// HandlePeerMessage takes in a Demand or Permit of a peer.
+func (s *Scheduler) HandlePeerMessage(now time.Time, from model.InstanceID, body message.PeerMessage) {
 	var id model.GroupID
 	switch body := body.(type) {
-	case message.Demand:
+	case message.LeaseRequest:
 		id = body.Group
-	case message.Permit:
+	case message.LeaseGrant:
 		id = body.Group
 	}
 	if g := s.groups[id]; g != nil {
@@ -415,8 +415,8 @@
 	}
 }
 
-// Messages returns what the peers shall hear now, as the last Grant left it.
-func (s *Scheduler) Messages(time.Time) []message.SendPeer {
+// TakeMessages returns what the peers shall hear now, as the last Grant left it.
+func (s *Scheduler) TakeMessages(time.Time) []message.SendPeer {
 	out := s.outbox
 	s.outbox = nil
 	return out
--- a/internal/core/rank/scheduler_test.go
+++ b/internal/core/rank/scheduler_test.go
@@ -24,16 +24,16 @@
 	return &manifest.Manifest{
 		Groups: []manifest.Group{{Name: "g", Databases: []manifest.Database{{Name: "a"}, {Name: "b"}, {Name: "c"}}}},
 		Ranks: []manifest.Rank{
-			{Name: "urgent", Target: 100 * ms, Worth: 10, Floor: 0.3},
-			{Name: "ordinary", Target: 300 * ms, Worth: 3, Floor: 0.2},
-			{Name: "background", Target: 2 * time.Second, Worth: 1, Floor: 0.1},
+			{Name: "urgent", LatencyTarget: 100 * ms, Value: 10, MinSlotShare: 0.3},
+			{Name: "ordinary", LatencyTarget: 300 * ms, Value: 3, MinSlotShare: 0.2},
+			{Name: "background", LatencyTarget: 2 * time.Second, Value: 1, MinSlotShare: 0.1},
 		},
-		Kinds: []manifest.Kind{
+		Kinds: []manifest.RequestKind{
 			{Name: "post", Rank: 0, Access: model.AccessWrite, Deadline: time.Second},
 			{Name: "look", Rank: 1, Access: model.AccessRead, Deadline: 2 * time.Second},
 			{Name: "settle", Rank: 2, Access: model.AccessWrite, Deadline: 10 * time.Second},
 		},
-		Limits: manifest.Limits{Slots: 2, Connections: 20, Reserve: 2, Open: 12 * ms},
+		Limits: manifest.DatabaseLimits{MaxConcurrentStatements: 2, MaxConnections: 20, ReservedConnections: 2, ConnectTime: 12 * ms},
 	}
 }
 
@@ -53,7 +53,7 @@
 	return func(Work) []model.DatabaseID { return databases }
 }
 
-func requests(grants []Grant) []model.RequestID {
+func requests(grants []SlotAssignment) []model.RequestID {
 	var ids []model.RequestID
 	for _, grant := range grants {
 		ids = append(ids, grant.Request)
@@ -64,11 +64,11 @@
 func TestEarliestDeadlineFirst(t *testing.T) {
 	s := newTestScheduler()
 	for id, deadline := range map[model.RequestID]time.Duration{1: 900, 2: 300, 3: 500, 4: 400} {
-		if refusal, ok := s.Offer(start, work(id, 0, deadline*ms)); !ok {
+		if refusal, ok := s.Enqueue(start, work(id, 0, deadline*ms)); !ok {
 			t.Fatalf("refused: %v", refusal)
 		}
 	}
-	got := requests(s.Grant(start, on("a")))
+	got := requests(s.AssignSlots(start, on("a")))
 	if diff := cmp.Diff([]model.RequestID{2, 4}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -77,16 +77,16 @@
 func TestBlockedWorkDoesNotBlockOthers(t *testing.T) {
 	s := newTestScheduler()
 	for id := model.RequestID(1); id <= 100; id++ {
-		s.Offer(start, work(id, 1, 500*ms))
+		s.Enqueue(start, work(id, 1, 500*ms))
 	}
-	s.Offer(start, work(101, 1, 900*ms))
+	s.Enqueue(start, work(101, 1, 900*ms))
 	only := func(w Work) []model.DatabaseID {
 		if w.Request == 101 {
 			return []model.DatabaseID{"b"}
 		}
 		return nil
 	}
-	got := requests(s.Grant(start, only))
+	got := requests(s.AssignSlots(start, only))
 	if diff := cmp.Diff([]model.RequestID{101}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -95,12 +95,12 @@
 func TestCallerGivesWay(t *testing.T) {
 	s := newTestScheduler()
 	for id := model.RequestID(1); id <= 10; id++ {
-		s.Offer(start, work(id, 0, 500*ms))
+		s.Enqueue(start, work(id, 0, 500*ms))
 	}
 	other := work(11, 0, 900*ms)
 	other.Caller = "other"
-	s.Offer(start, other)
-	got := requests(s.Grant(start, on("a")))
+	s.Enqueue(start, other)
+	got := requests(s.AssignSlots(start, on("a")))
 	if diff := cmp.Diff([]model.RequestID{1, 11}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -110,7 +110,7 @@
 	s := newTestScheduler()
 	refused := 0
 	for id := model.RequestID(1); id <= 1000; id++ {
-		if _, ok := s.Offer(start, work(id, 0, 100*ms)); !ok {
+		if _, ok := s.Enqueue(start, work(id, 0, 100*ms)); !ok {
 			refused++
 		}
 	}
@@ -118,8 +118,8 @@
 	if admitted := 1000 - refused; admitted < 15 || admitted > 25 {
 		t.Errorf("%d works were taken in", admitted)
 	}
-	refusal, _ := s.Offer(start, work(1001, 0, 100*ms))
-	if refusal.Why != message.RefuseOverload || refusal.Again <= 0 {
+	refusal, _ := s.Enqueue(start, work(1001, 0, 100*ms))
+	if refusal.Reason != message.RefuseOverload || refusal.RetryAfter <= 0 {
 		t.Errorf("refusal is %+v", refusal)
 	}
 }
@@ -142,13 +142,13 @@
 				w.Arrived = now
 				w.Deadline = now.Add(time.Duration(rapid.IntRange(1, 1000).Draw(t, "deadline")) * ms)
 				w.Caller = model.CallerID(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "caller"))
-				if _, ok := s.Offer(now, w); ok {
+				if _, ok := s.Enqueue(now, w); ok {
 					state[next] = "waiting"
 				}
 				next++
 			case 2:
 				pick := rapid.SliceOfDistinct(rapid.SampledFrom(databases), rapid.ID[model.DatabaseID]).Draw(t, "candidates")
-				for _, grant := range s.Grant(now, on(pick...)) {
+				for _, grant := range s.AssignSlots(now, on(pick...)) {
 					if state[grant.Request] != "waiting" {
 						t.Fatalf("granted %d, which is %q", grant.Request, state[grant.Request])
 					}
@@ -156,7 +156,7 @@
 					place[grant.Request] = grant.Database
 				}
 			case 3:
-				for _, id := range s.Expired(now) {
+				for _, id := range s.TakeExpired(now) {
 					if state[id] != "waiting" {
 						t.Fatalf("expired %d, which is %q", id, state[id])
 					}
@@ -165,13 +165,13 @@
 			case 4, 5:
 				id := model.RequestID(rapid.Uint64Range(1, uint64(next)).Draw(t, "id"))
 				switch {
-				case state[id] == "waiting" && s.Withdraw(id):
+				case state[id] == "waiting" && s.Cancel(id):
 					delete(state, id)
 				case state[id] == "running" && rapid.Bool().Draw(t, "requeue"):
-					s.Requeue(now, id, Ending{Failed: true})
+					s.Requeue(now, id, SlotCompletion{Failed: true})
 					state[id] = "waiting"
 				case state[id] == "running":
-					s.Finish(now, id, Ending{Elapsed: 5 * ms})
+					s.Finish(now, id, SlotCompletion{Elapsed: 5 * ms})
 					delete(state, id)
 				}
 			}
@@ -189,7 +189,7 @@
 		}
 	}
 	for database, n := range busy {
-		if n > testManifest().Limits.Slots {
+		if n > testManifest().Limits.MaxConcurrentStatements {
 			t.Fatalf("%s has %d running", database, n)
 		}
 	}
@@ -200,15 +200,15 @@
 	for range 1000 {
 		for id, what := range state {
 			if what == "running" {
-				s.Finish(now, id, Ending{Elapsed: 5 * ms})
+				s.Finish(now, id, SlotCompletion{Elapsed: 5 * ms})
 				delete(state, id)
 			}
 		}
 		now = now.Add(5 * ms)
-		for _, grant := range s.Grant(now, on("a", "b", "c")) {
+		for _, grant := range s.AssignSlots(now, on("a", "b", "c")) {
 			state[grant.Request] = "running"
 		}
-		for _, id := range s.Expired(now) {
+		for _, id := range s.TakeExpired(now) {
 			delete(state, id)
 		}
 	}
@@ -244,7 +244,7 @@
 	next := model.RequestID(1)
 	for now := start; now.Before(after(20 * time.Second)); now = now.Add(ms) {
 		for len(running) > 0 && !now.Before(running[0].ends) {
-			s.Finish(now, running[0].work.Request, Ending{Elapsed: 10 * ms})
+			s.Finish(now, running[0].work.Request, SlotCompletion{Elapsed: 10 * ms})
 			served[running[0].work.Rank]++
 			running = running[1:]
 		}
@@ -252,16 +252,16 @@
 			for range map[bool]int{true: 5, false: 1}[r == flood] {
 				w := work(next, r, 0)
 				w.Arrived, w.Deadline = now, now.Add(time.Second)
-				if _, ok := s.Offer(now, w); ok {
+				if _, ok := s.Enqueue(now, w); ok {
 					waiting[next] = w
 				}
 				next++
 			}
 		}
-		for _, grant := range s.Grant(now, on("a")) {
+		for _, grant := range s.AssignSlots(now, on("a")) {
 			running = append(running, run{work: waiting[grant.Request], ends: now.Add(10 * ms)})
 		}
-		for _, id := range s.Expired(now) {
+		for _, id := range s.TakeExpired(now) {
 			delete(waiting, id)
 		}
 	}
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -28,8 +28,8 @@
 	// ConsistencyBounded: a read misses no commit that was acknowledged longer
 	// than Route.Staleness before it began.
 	ConsistencyBounded
-	// ConsistencyOwn: as ConsistencyBounded, and no commit of its own session.
-	ConsistencyOwn
+	// ConsistencyReadYourWrites: as ConsistencyBounded, and no commit of its own session.
+	ConsistencyReadYourWrites
 )
 
 // String names c for log lines.
@@ -40,22 +40,22 @@
 	Name        string
 	Group       model.GroupID
 	Consistency Consistency
-	// Staleness is the greatest age of what a read may show; see Consistency.
-	Staleness time.Duration
-	// Timeout bounds one statement, Target is the aim for a whole operation.
-	Timeout, Target time.Duration
-	Rank            model.Rank
+	// MaxStaleness is the greatest age of what a read may show; see Consistency.
+	MaxStaleness time.Duration
+	// Timeout bounds one statement, LatencyTarget is the aim for a whole operation.
+	Timeout, LatencyTarget time.Duration
+	Rank                   model.Rank
 }
 
 // Group is what the configuration says of a group of databases.
 type Group struct {
 	Name model.GroupID
-	// Connections is the number of connections that each database takes from
+	// MaxConnections is the number of connections that each database takes from
 	// all instances together.
-	Connections int
-	// Synchronous says that the databases acknowledge a commit only once a
+	MaxConnections int
+	// SynchronousReplication says that the databases acknowledge a commit only once a
 	// replica has received it.
-	Synchronous bool
+	SynchronousReplication bool
 }
 
 // Configuration is one version of all routes.
@@ -63,7 +63,7 @@
 	Version uint64
 	Routes  map[string]Route
 	Groups  map[model.GroupID]Group
-	// IdleTransaction is how long a transaction may rest before it is rolled
+	// IdleTransactionTimeout is how long a transaction may rest before it is rolled
 	// back; zero sets no limit.
-	IdleTransaction time.Duration
+	IdleTransactionTimeout time.Duration
 }
--- a/internal/core/statement/statement.go
+++ b/internal/core/statement/statement.go
@@ -44,9 +44,9 @@
 
 // Prepare names a statement of a shape for later use by Execute.
 type Prepare struct {
-	Name   string
-	Access model.Access
-	Shape  string
+	Name     string
+	Access   model.Access
+	Template string
 }
 
 // Execute runs a prepared statement. Arguments are passed on as they are.
@@ -59,8 +59,8 @@
 // database. Only the proxy uses it.
 type Discard struct{}
 
-// Inquire asks a database for its Standing. Only the proxy uses it.
-type Inquire struct{}
+// QueryStatus asks a database for its Standing. Only the proxy uses it.
+type QueryStatus struct{}
 
 // StepDown makes a primary of a lower term a replica. Only the proxy uses it.
 type StepDown struct{ Term model.Term }
@@ -68,45 +68,45 @@
 // Malformed is a statement that the caller's codec could not read.
 type Malformed struct{}
 
-func (Begin) isStatement()      {}
-func (Commit) isStatement()     {}
-func (Rollback) isStatement()   {}
-func (Read) isStatement()       {}
-func (Write) isStatement()      {}
-func (Set) isStatement()        {}
-func (Prepare) isStatement()    {}
-func (Execute) isStatement()    {}
-func (Deallocate) isStatement() {}
-func (Discard) isStatement()    {}
-func (Inquire) isStatement()    {}
-func (StepDown) isStatement()   {}
-func (Malformed) isStatement()  {}
-
-// Call is one statement on its way to a database.
-type Call struct {
+func (Begin) isStatement()       {}
+func (Commit) isStatement()      {}
+func (Rollback) isStatement()    {}
+func (Read) isStatement()        {}
+func (Write) isStatement()       {}
+func (Set) isStatement()         {}
+func (Prepare) isStatement()     {}
+func (Execute) isStatement()     {}
+func (Deallocate) isStatement()  {}
+func (Discard) isStatement()     {}
+func (QueryStatus) isStatement() {}
+func (StepDown) isStatement()    {}
+func (Malformed) isStatement()   {}
+
+// Request is one statement on its way to a database.
+type Request struct {
 	// ID is the request's id as the caller gave it; it is empty for the proxy's
 	// own statements.
 	ID        string
 	Statement Statement
-	// After is the position that the database's log must have reached; zero
+	// MinPosition is the position that the database's log must have reached; zero
 	// asks for nothing.
-	After model.Position
+	MinPosition model.Position
 }
 
 // -----------------------------------------------------------------------------
 // Answers.
 
-// State tells where a session stands after an answer.
-type State int
+// TransactionState tells where a session stands after an answer.
+type TransactionState int
 
 // The values of State.
 const (
-	// StateIdle: no transaction is open.
-	StateIdle State = iota
-	// StateOpen: a transaction is open.
-	StateOpen
-	// StateFailed: a transaction has failed and waits for its end.
-	StateFailed
+	// TransactionStateIdle: no transaction is open.
+	TransactionStateIdle TransactionState = iota
+	// TransactionStateOpen: a transaction is open.
+	TransactionStateOpen
+	// TransactionStateFailed: a transaction has failed and waits for its end.
+	TransactionStateFailed
 )
 
 // Answer is what came back for one statement.
@@ -117,8 +117,8 @@
 	// proxy itself.
 	Signature string
 	// Failure is nil for a success.
-	Failure *FailureError
-	State   State
+	Failure          *FailureError
+	TransactionState TransactionState
 	// Position is how far the database's log reached.
 	Position model.Position
 }
@@ -126,18 +126,18 @@
 // FailureError is an answer that is no success. It implements error.
 type FailureError struct {
 	Code Code
-	// Text goes to the caller beside the code.
-	Text string
-	// Verbatim is the code as the database wrote it, where Code is CodeOther.
-	Verbatim string
+	// Message goes to the caller beside the code.
+	Message string
+	// RawCode is the code as the database wrote it, where Code is CodeUnrecognized.
+	RawCode string
 }
 
 // Error implements error.
 func (f *FailureError) Error() string {
-	if f.Code == CodeOther {
-		return f.Verbatim + ": " + f.Text
+	if f.Code == CodeUnrecognized {
+		return f.RawCode + ": " + f.Message
 	}
-	return f.Code.String() + ": " + f.Text
+	return f.Code.String() + ": " + f.Message
 }
 
 // Code tells what a failure promises.
@@ -151,29 +151,29 @@
 	CodeAborted
 	// CodeBehind: the database's log lacks the position asked for.
 	CodeBehind
-	// CodeReadOnly: the database is no primary.
-	CodeReadOnly
+	// CodeNotPrimary: the database is no primary.
+	CodeNotPrimary
 	// CodeWrongDatabase: another database answers at this address.
 	CodeWrongDatabase
 	// CodeConnectionLimit: the database takes no further connection.
 	CodeConnectionLimit
 
-	// CodeNoStatement: no prepared statement has that name; it did not run.
-	CodeNoStatement
+	// CodePreparedStatementNotFound: no prepared statement has that name; it did not run.
+	CodePreparedStatementNotFound
 	// CodeMalformed: the statement could not be read, or does not fit the
 	// session's state; it did not run.
 	CodeMalformed
-	// CodeNoGroup: no group has that name.
-	CodeNoGroup
+	// CodeGroupNotFound: no group has that name.
+	CodeGroupNotFound
 
-	// CodeFailed: it ran and failed.
-	CodeFailed
+	// CodeExecutionFailed: it ran and failed.
+	CodeExecutionFailed
 	// CodeTimeout: it may have run, and took too long.
 	CodeTimeout
-	// CodeUnknown: it can't be known whether it was committed.
-	CodeUnknown
-	// CodeOther: a code of the database that has no meaning here.
-	CodeOther
+	// CodeOutcomeUnknown: it can't be known whether it was committed.
+	CodeOutcomeUnknown
+	// CodeUnrecognized: a code of the database that has no meaning here.
+	CodeUnrecognized
 )
 
 // String names c for log lines.
@@ -184,18 +184,18 @@
 	}[c]
 }
 
-// IsNotRun reports whether the code says that the statement did not run.
-func (c Code) IsNotRun() bool {
-	return c <= CodeConnectionLimit && c != CodeAborted || c == CodeNoStatement
+// GuaranteesNotExecuted reports whether the code says that the statement did not run.
+func (c Code) GuaranteesNotExecuted() bool {
+	return c <= CodeConnectionLimit && c != CodeAborted || c == CodePreparedStatementNotFound
 }
 
-// Standing is what a database says of itself.
-type Standing struct {
+// ServerStatus is what a database says of itself.
+type ServerStatus struct {
 	Role model.Role
 	// Term is the newest that the database has accepted.
 	Term model.Term
-	// Received is how far its log reaches.
-	Received model.Position
-	// Busy is the number of slots in use, Connections that of its connections.
-	Busy, Connections int
+	// ReceivedPosition is how far its log reaches.
+	ReceivedPosition model.Position
+	// SlotsInUse is the number of slots in use, ConnectionsInUse that of its connections.
+	SlotsInUse, ConnectionsInUse int
 }
--- a/internal/core/succession/succession.go
+++ b/internal/core/succession/succession.go
@@ -24,36 +24,36 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// SilentFor is how long instances must have been without an answer before they
+// SilenceThreshold is how long instances must have been without an answer before they
 // count against a primary. It is longer than all but the slowest statements, and
 // than a reset of all connections lasts.
-const SilentFor = 500 * time.Millisecond
+const SilenceThreshold = 500 * time.Millisecond
 
 // Evidence is what is known of a group's primary.
 type Evidence struct {
-	// Known says that the primary's entry exists, and Leaving that it says it
+	// PrimaryListed says that the primary's entry exists, and PrimaryLeaving that it says it
 	// leaves.
-	Known, Leaving bool
-	// Witnesses is the number of instances that were heard and know whether the
-	// primary answers them, and Silent that of those which it has not answered
-	// for SilentFor.
-	Witnesses, Silent int
-	// Others is the number of the group's other databases that stay.
-	Others int
+	PrimaryListed, PrimaryLeaving bool
+	// Observers is the number of instances that were heard and know whether the
+	// primary answers them, and UnansweredObservers that of those which it has not answered
+	// for SilenceThreshold.
+	Observers, UnansweredObservers int
+	// Replacements is the number of the group's other databases that stay.
+	Replacements int
 }
 
-// Judge tells why a primary has to be replaced, and whether it has.
-func Judge(e Evidence) (reason string, needed bool) {
-	if e.Others == 0 {
+// FailoverReason tells why a primary has to be replaced, and whether it has.
+func FailoverReason(e Evidence) (reason string, needed bool) {
+	if e.Replacements == 0 {
 		return "", false
 	}
-	if e.Leaving {
+	if e.PrimaryLeaving {
 		return "the primary leaves", true
 	}
-	if !e.Known {
+	if !e.PrimaryListed {
 		return "the primary is gone", true
 	}
-	if 2*e.Silent > e.Witnesses {
+	if 2*e.UnansweredObservers > e.Observers {
 		return "the primary does not answer a majority", true
 	}
 	return "", false
@@ -62,26 +62,26 @@
 // Candidate is a database that could be promoted.
 type Candidate struct {
 	ID model.DatabaseID
-	// Received is how far its log reaches.
-	Received model.Position
-	Leaving  bool
-	// Leads says that it has been promoted already.
-	Leads bool
+	// ReceivedPosition is how far its log reaches.
+	ReceivedPosition model.Position
+	Leaving          bool
+	// IsPrimary says that it has been promoted already.
+	IsPrimary bool
 }
 
-// Choose returns the candidate with the longest log; of equal ones that which
+// ChooseCandidate returns the candidate with the longest log; of equal ones that which
 // leads. Databases that leave are taken only where no other is there. Acknowledged is a position that the log
 // must hold, or zero.
-func Choose(candidates []Candidate, acknowledged model.Position) (model.DatabaseID, bool) {
+func ChooseCandidate(candidates []Candidate, acknowledged model.Position) (model.DatabaseID, bool) {
 	var best *Candidate
 	for i := range candidates {
 		c := &candidates[i]
 		switch {
-		case c.Received.Less(acknowledged):
+		case c.ReceivedPosition.Less(acknowledged):
 		case best == nil,
 			best.Leaving && !c.Leaving,
-			best.Leaving == c.Leaving && best.Received.Less(c.Received),
-			best.Leaving == c.Leaving && best.Received == c.Received && c.Leads:
+			best.Leaving == c.Leaving && best.ReceivedPosition.Less(c.ReceivedPosition),
+			best.Leaving == c.Leaving && best.ReceivedPosition == c.ReceivedPosition && c.IsPrimary:
 			best = c
 		}
 	}
--- a/internal/core/succession/succession_test.go
+++ b/internal/core/succession/succession_test.go
@@ -14,19 +14,19 @@
 		e    Evidence
 		want string
 	}{
-		{"well", Evidence{Known: true, Others: 2, Witnesses: 3}, ""},
-		{"leaving", Evidence{Known: true, Leaving: true, Others: 1}, "the primary leaves"},
-		{"gone", Evidence{Others: 1}, "the primary is gone"},
-		{"nobody to take over", Evidence{Leaving: true}, ""},
-		{"silent for all", Evidence{Known: true, Others: 2, Witnesses: 2, Silent: 2}, "the primary does not answer a majority"},
-		{"silent for one of three", Evidence{Known: true, Others: 2, Witnesses: 3, Silent: 1}, ""},
-		{"silent for half", Evidence{Known: true, Others: 2, Witnesses: 4, Silent: 2}, ""},
-		{"silent for most", Evidence{Known: true, Others: 2, Witnesses: 3, Silent: 2}, "the primary does not answer a majority"},
-		{"nobody knows", Evidence{Known: true, Others: 2}, ""},
+		{"well", Evidence{PrimaryListed: true, Replacements: 2, Observers: 3}, ""},
+		{"leaving", Evidence{PrimaryListed: true, PrimaryLeaving: true, Replacements: 1}, "the primary leaves"},
+		{"gone", Evidence{Replacements: 1}, "the primary is gone"},
+		{"nobody to take over", Evidence{PrimaryLeaving: true}, ""},
+		{"silent for all", Evidence{PrimaryListed: true, Replacements: 2, Observers: 2, UnansweredObservers: 2}, "the primary does not answer a majority"},
+		{"silent for one of three", Evidence{PrimaryListed: true, Replacements: 2, Observers: 3, UnansweredObservers: 1}, ""},
+		{"silent for half", Evidence{PrimaryListed: true, Replacements: 2, Observers: 4, UnansweredObservers: 2}, ""},
+		{"silent for most", Evidence{PrimaryListed: true, Replacements: 2, Observers: 3, UnansweredObservers: 2}, "the primary does not answer a majority"},
+		{"nobody knows", Evidence{PrimaryListed: true, Replacements: 2}, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			reason, needed := Judge(c.e)
+			reason, needed := FailoverReason(c.e)
 			if diff := cmp.Diff([]any{c.want, c.want != ""}, []any{reason, needed}); diff != "" {
 				t.Error(diff)
 			}
@@ -45,18 +45,18 @@
 		want         model.DatabaseID
 	}{
 		{"none", nil, model.Position{}, ""},
-		{"the longest log", []Candidate{{ID: "a", Received: p(1, 5), Leaving: false}, {ID: "b", Received: p(1, 7), Leaving: false}}, model.Position{}, "b"},
-		{"the newest term before the longest log", []Candidate{{ID: "a", Received: p(2, 5), Leaving: false}, {ID: "b", Received: p(1, 7), Leaving: false}}, model.Position{}, "a"},
-		{"one that stays before one that leaves", []Candidate{{ID: "a", Received: p(1, 9), Leaving: true}, {ID: "b", Received: p(1, 7), Leaving: false}}, model.Position{}, "b"},
-		{"one that leaves where no other is", []Candidate{{ID: "a", Received: p(1, 9), Leaving: true}}, model.Position{}, "a"},
-		{"one that lacks an acknowledged commit is none", []Candidate{{ID: "a", Received: p(1, 5), Leaving: false}}, p(1, 6), ""},
-		{"the one that leaves has all acknowledged commits", []Candidate{{ID: "a", Received: p(1, 5), Leaving: false}, {ID: "b", Received: p(1, 6), Leaving: true}}, p(1, 6), "b"},
-		{"of equal logs the one that leads", []Candidate{{ID: "a", Received: p(1, 7)}, {ID: "b", Received: p(1, 7), Leads: true}, {ID: "c", Received: p(1, 7)}}, model.Position{}, "b"},
-		{"born anew with an empty log", []Candidate{{ID: "a", Received: p(0, 0), Leaving: false}, {ID: "b", Received: p(1, 1), Leaving: false}}, model.Position{}, "b"},
+		{"the longest log", []Candidate{{ID: "a", ReceivedPosition: p(1, 5), Leaving: false}, {ID: "b", ReceivedPosition: p(1, 7), Leaving: false}}, model.Position{}, "b"},
+		{"the newest term before the longest log", []Candidate{{ID: "a", ReceivedPosition: p(2, 5), Leaving: false}, {ID: "b", ReceivedPosition: p(1, 7), Leaving: false}}, model.Position{}, "a"},
+		{"one that stays before one that leaves", []Candidate{{ID: "a", ReceivedPosition: p(1, 9), Leaving: true}, {ID: "b", ReceivedPosition: p(1, 7), Leaving: false}}, model.Position{}, "b"},
+		{"one that leaves where no other is", []Candidate{{ID: "a", ReceivedPosition: p(1, 9), Leaving: true}}, model.Position{}, "a"},
+		{"one that lacks an acknowledged commit is none", []Candidate{{ID: "a", ReceivedPosition: p(1, 5), Leaving: false}}, p(1, 6), ""},
+		{"the one that leaves has all acknowledged commits", []Candidate{{ID: "a", ReceivedPosition: p(1, 5), Leaving: false}, {ID: "b", ReceivedPosition: p(1, 6), Leaving: true}}, p(1, 6), "b"},
+		{"of equal logs the one that leads", []Candidate{{ID: "a", ReceivedPosition: p(1, 7)}, {ID: "b", ReceivedPosition: p(1, 7), IsPrimary: true}, {ID: "c", ReceivedPosition: p(1, 7)}}, model.Position{}, "b"},
+		{"born anew with an empty log", []Candidate{{ID: "a", ReceivedPosition: p(0, 0), Leaving: false}, {ID: "b", ReceivedPosition: p(1, 1), Leaving: false}}, model.Position{}, "b"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got, found := Choose(c.candidates, c.acknowledged)
+			got, found := ChooseCandidate(c.candidates, c.acknowledged)
 			if diff := cmp.Diff([]any{c.want, c.want != ""}, []any{got, found}); diff != "" {
 				t.Error(diff)
 			}
--- a/internal/edge/backend/backend.go
+++ b/internal/edge/backend/backend.go
@@ -53,26 +53,26 @@
 
 // Protocol opens connections of databases that speak it.
 type Protocol interface {
-	// Open greets the database behind conn. Its error is a *statement.FailureError
+	// Handshake greets the database behind conn. Its error is a *statement.FailureError
 	// where the database has refused the connection.
-	Open(conn net.Conn, target placement.Database) (Wire, error)
+	Handshake(conn net.Conn, target placement.Database) (Codec, error)
 }
 
-// Wire writes statements and reads answers on one connection.
-type Wire interface {
+// Codec writes statements and reads answers on one connection.
+type Codec interface {
 	// Send writes calls, without waiting for their answers.
-	Send(calls []statement.Call) error
+	Send(calls []statement.Request) error
 	// Receive reads the answer to a call that was sent, in the order of
 	// sending.
-	Receive(call statement.Call) (Reply, error)
+	Receive(call statement.Request) (Reply, error)
 }
 
 // Reply is an answer, with the database's standing where it was asked for.
 type Reply struct {
 	statement.Answer
-	Standing statement.Standing
-	// At is when the answer was there, by package clock.
-	At time.Time
+	ServerStatus statement.ServerStatus
+	// ReceivedAt is when the answer was there, by package clock.
+	ReceivedAt time.Time
 }
 
 // Pool holds the connections to all databases.
@@ -89,9 +89,9 @@
 }
 
 // Get returns a connection that nobody uses, or opens one. Its errors are
-// *OpenError, with a *statement.FailureError as its cause where the database has
+// *ConnectError, with a *statement.FailureError as its cause where the database has
 // refused.
-func (p *Pool) Get(ctx context.Context, target placement.Database, values Values) (*Conn, error) {
+func (p *Pool) Get(ctx context.Context, target placement.Database, values Variables) (*Conn, error) {
 	for {
 		conn := p.take(target, values)
 		if conn == nil {
@@ -105,7 +105,7 @@
 }
 
 // take returns an idle connection, preferring one that has the same values.
-func (p *Pool) take(target placement.Database, values Values) *Conn {
+func (p *Pool) take(target placement.Database, values Variables) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := p.idle[target.ID]
@@ -121,7 +121,7 @@
 	}
 	conn := idle[chosen]
 	p.idle[target.ID] = append(idle[:chosen], idle[chosen+1:]...)
-	if conn.target.Born != target.Born || conn.target.Address != target.Address {
+	if conn.target.Incarnation != target.Incarnation || conn.target.Address != target.Address {
 		go conn.Close()
 		return nil
 	}
@@ -133,15 +133,15 @@
 	defer cancel()
 	dialed, err := socket.Dial(ctx, "tcp", target.Address.String())
 	if err != nil {
-		return nil, &OpenError{Database: target.ID, Cause: err}
+		return nil, &ConnectError{Database: target.ID, Cause: err}
 	}
 	if deadline, has := ctx.Deadline(); has {
 		_ = dialed.SetDeadline(deadline)
 	}
-	wire, err := p.protocol.Open(dialed, target)
+	wire, err := p.protocol.Handshake(dialed, target)
 	if err != nil {
 		_ = dialed.Close()
-		return nil, &OpenError{Database: target.ID, Cause: err}
+		return nil, &ConnectError{Database: target.ID, Cause: err}
 	}
 	opened.Add(string(target.Group), 1)
 	return &Conn{target: target, net: dialed, wire: wire, prepared: map[string]string{}}, nil
@@ -153,7 +153,7 @@
 	defer p.mu.Unlock()
 	conn.used = clock.Now()
 	p.idle[conn.target.ID] = append(p.idle[conn.target.ID], conn)
-	if used := conn.used; conn.target.IsScarce {
+	if used := conn.used; conn.target.HasScarceConnections {
 		time.AfterFunc(scarceKept, func() { p.discard(conn, used) })
 	}
 }
@@ -169,8 +169,8 @@
 	}
 }
 
-// Forget closes the idle connections to a database.
-func (p *Pool) Forget(id model.DatabaseID) {
+// CloseIdle closes the idle connections to a database.
+func (p *Pool) CloseIdle(id model.DatabaseID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, conn := range p.idle[id] {
@@ -179,9 +179,9 @@
 	delete(p.idle, id)
 }
 
-// Sweep closes connections that were not used for a while, and those of
+// EvictStale closes connections that were not used for a while, and those of
 // databases that keep reports as gone.
-func (p *Pool) Sweep(keep func(model.DatabaseID) bool) {
+func (p *Pool) EvictStale(keep func(model.DatabaseID) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := clock.Now()
--- a/internal/edge/backend/conn.go
+++ b/internal/edge/backend/conn.go
@@ -14,20 +14,20 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/statement"
 )
 
-// Values are the values of a session, by name.
-type Values map[string]string
+// Variables are the values of a session, by name.
+type Variables map[string]string
 
 // Equal reports whether two sessions have the same values.
-func (v Values) Equal(other Values) bool { return maps.Equal(v, other) }
+func (v Variables) Equal(other Variables) bool { return maps.Equal(v, other) }
 
 // Conn is one connection to a database. It is for one goroutine at a time.
 type Conn struct {
 	target placement.Database
 	net    net.Conn
-	wire   Wire
+	wire   Codec
 	// values and prepared are what the connection has; prepared holds the name
 	// under which each access and shape is known.
-	values   Values
+	values   Variables
 	prepared map[string]string
 	// names counts the names given to prepared statements.
 	names int
@@ -39,33 +39,33 @@
 
 // Exchange sends calls together and reads their answers until deadline, by the
 // process's own clock. The replies read before a failure are returned with it;
-// its errors are *LostError.
-func (c *Conn) Exchange(timeout time.Duration, calls []statement.Call) ([]Reply, error) {
+// its errors are *ConnectionLostError.
+func (c *Conn) Exchange(timeout time.Duration, calls []statement.Request) ([]Reply, error) {
 	if err := c.net.SetDeadline(time.Now().Add(timeout)); err != nil {
-		return nil, &LostError{Database: c.target.ID, Cause: err}
+		return nil, &ConnectionLostError{Database: c.target.ID, Cause: err}
 	}
 	if err := c.wire.Send(calls); err != nil {
-		return nil, &LostError{Database: c.target.ID, Cause: err}
+		return nil, &ConnectionLostError{Database: c.target.ID, Cause: err}
 	}
 	replies := make([]Reply, 0, len(calls))
 	for _, call := range calls {
 		reply, err := c.wire.Receive(call)
 		if err != nil {
-			return replies, &LostError{Database: c.target.ID, Cause: err}
+			return replies, &ConnectionLostError{Database: c.target.ID, Cause: err}
 		}
-		reply.At = clock.Now()
+		reply.ReceivedAt = clock.Now()
 		replies = append(replies, reply)
 	}
 	return replies, nil
 }
 
-// Align returns the calls that give the connection the values, and counts them
+// SyncVariables returns the calls that give the connection the values, and counts them
 // as done: where one fails, the connection has to be closed. Inside a
 // transaction nothing is cleared; a session's values only grow there.
-func (c *Conn) Align(values Values, inTransaction bool) []statement.Call {
-	var calls []statement.Call
+func (c *Conn) SyncVariables(values Variables, inTransaction bool) []statement.Request {
+	var calls []statement.Request
 	if !inTransaction && (c.hasForeign(values) || len(c.prepared) >= preparedKept) {
-		calls = append(calls, statement.Call{Statement: statement.Discard{}})
+		calls = append(calls, statement.Request{Statement: statement.Discard{}})
 		clear(c.prepared)
 		c.values = nil
 	}
@@ -74,17 +74,17 @@
 			continue
 		}
 		if c.values == nil {
-			c.values = Values{}
+			c.values = Variables{}
 		}
 		c.values[name] = value
-		calls = append(calls, statement.Call{Statement: statement.Set{Name: name, Value: value}})
+		calls = append(calls, statement.Request{Statement: statement.Set{Name: name, Value: value}})
 	}
 	return calls
 }
 
 // hasForeign reports whether the connection has a value that is not among
 // values, which only clearing takes away.
-func (c *Conn) hasForeign(values Values) bool {
+func (c *Conn) hasForeign(values Variables) bool {
 	for name := range c.values {
 		if _, found := values[name]; !found {
 			return true
@@ -93,17 +93,17 @@
 	return false
 }
 
-// Prepared returns the name under which the connection knows a statement, and
+// EnsurePrepared returns the name under which the connection knows a statement, and
 // the call that prepares it where there is need of one.
-func (c *Conn) Prepared(wanted statement.Prepare) (string, []statement.Call) {
-	key := strconv.Itoa(int(wanted.Access)) + wanted.Shape
+func (c *Conn) EnsurePrepared(wanted statement.Prepare) (string, []statement.Request) {
+	key := strconv.Itoa(int(wanted.Access)) + wanted.Template
 	if name, found := c.prepared[key]; found {
 		return name, nil
 	}
 	c.names++
 	name := "s" + strconv.Itoa(c.names)
 	c.prepared[key] = name
-	return name, []statement.Call{{Statement: statement.Prepare{Name: name, Access: wanted.Access, Shape: wanted.Shape}}}
+	return name, []statement.Request{{Statement: statement.Prepare{Name: name, Access: wanted.Access, Template: wanted.Template}}}
 }
 
 // Close closes the connection at once; the database rolls back what is open.
@@ -134,37 +134,37 @@
 	return err == nil && open
 }
 
-// OpenError reports that no connection to a database could be opened.
-type OpenError struct {
+// ConnectError reports that no connection to a database could be opened.
+type ConnectError struct {
 	Database model.DatabaseID
 	Cause    error
 }
 
 // Error implements error.
-func (e *OpenError) Error() string {
+func (e *ConnectError) Error() string {
 	return "no connection to database " + string(e.Database) + ": " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
-func (e *OpenError) Unwrap() error { return e.Cause }
+func (e *ConnectError) Unwrap() error { return e.Cause }
 
-// LostError reports that a connection to a database broke, or that an answer
+// ConnectionLostError reports that a connection to a database broke, or that an answer
 // did not come in time.
-type LostError struct {
+type ConnectionLostError struct {
 	Database model.DatabaseID
 	Cause    error
 }
 
 // Error implements error.
-func (e *LostError) Error() string {
+func (e *ConnectionLostError) Error() string {
 	return "the connection to database " + string(e.Database) + " was lost: " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
-func (e *LostError) Unwrap() error { return e.Cause }
+func (e *ConnectionLostError) Unwrap() error { return e.Cause }
 
 // IsTimeout reports whether an answer did not come in time.
-func (e *LostError) IsTimeout() bool {
+func (e *ConnectionLostError) IsTimeout() bool {
 	var failed net.Error
 	return errors.As(e.Cause, &failed) && failed.Timeout()
 }
--- a/internal/edge/backend/pool_test.go
+++ b/internal/edge/backend/pool_test.go
@@ -14,8 +14,8 @@
 // lines is a protocol of one line a statement, answered by the same line.
 type lines struct{}
 
-// Open implements Protocol.
-func (lines) Open(conn net.Conn, _ placement.Database) (Wire, error) {
+// Handshake implements Protocol.
+func (lines) Handshake(conn net.Conn, _ placement.Database) (Codec, error) {
 	return &lineWire{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
@@ -25,7 +25,7 @@
 }
 
 // Send implements Wire.
-func (w *lineWire) Send(calls []statement.Call) error {
+func (w *lineWire) Send(calls []statement.Request) error {
 	for _, call := range calls {
 		if _, err := w.conn.Write([]byte(call.ID + "\n")); err != nil {
 			return err
@@ -35,7 +35,7 @@
 }
 
 // Receive implements Wire.
-func (w *lineWire) Receive(statement.Call) (Reply, error) {
+func (w *lineWire) Receive(statement.Request) (Reply, error) {
 	line, err := w.reader.ReadString('\n')
 	return Reply{Answer: statement.Answer{Signature: line}}, err
 }
@@ -91,7 +91,7 @@
 				t.Fatal(err)
 			}
 			const timeout = 50 * time.Millisecond
-			if _, err := conn.Exchange(timeout, []statement.Call{{ID: "1"}}); err != nil {
+			if _, err := conn.Exchange(timeout, []statement.Request{{ID: "1"}}); err != nil {
 				t.Fatal(err)
 			}
 			pool.Put(conn)
@@ -115,7 +115,7 @@
 func TestScarceConnectionIsGivenBack(t *testing.T) {
 	address, _ := echo(t)
 	pool := NewPool(lines{})
-	target := placement.Database{ID: "a", Address: address, IsScarce: true}
+	target := placement.Database{ID: "a", Address: address, HasScarceConnections: true}
 	conn, err := pool.Get(t.Context(), target, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -125,7 +125,7 @@
 		t.Fatalf("not used again at once: %v", err)
 	}
 	time.Sleep(2 * scarceKept)
-	if _, err := conn.Exchange(time.Second, []statement.Call{{ID: "1"}}); err != nil {
+	if _, err := conn.Exchange(time.Second, []statement.Request{{ID: "1"}}); err != nil {
 		t.Fatalf("closed while it was used: %v", err)
 	}
 	pool.Put(conn)
--- a/internal/edge/caller/attempt.go
+++ b/internal/edge/caller/attempt.go
@@ -20,7 +20,7 @@
 	r.attempt = d.Attempt
 	r.dispatch = d
 	if r.passed {
-		s.ended(r, message.AnswerFailed{State: problemBroken.state})
+		s.ended(r, message.OutcomeDatabaseError{SQLState: problemBroken.state})
 		return true, s.endWith(r, problemBroken, statusIdle)
 	}
 	r.sent = time.Time{}
@@ -28,33 +28,33 @@
 	r.position = model.Position{}
 	r.released = model.Position{}
 	r.state = ""
-	conn, opened, err := s.edge.pool.Acquire(ctx, d.Database, d.Expires)
+	conn, opened, err := s.edge.pool.Acquire(ctx, d.Database, d.Deadline)
 	r.opened = opened
 	if err != nil {
-		s.ended(r, message.AnswerRefused{Why: whyRefused(err)})
+		s.ended(r, message.OutcomeNotStarted{Reason: whyRefused(err)})
 		return false, nil
 	}
 	r.conn = conn
 	p, err := s.replay(conn)
 	if err != nil {
 		s.dropConn(r)
-		s.ended(r, message.AnswerRefused{Why: message.RefusedStale})
+		s.ended(r, message.OutcomeNotStarted{Reason: message.NotStartedBrokenConnection})
 		return false, nil
 	}
 	if p != nil {
 		s.freeConn(r)
-		s.ended(r, message.AnswerFailed{State: p.state})
+		s.ended(r, message.OutcomeDatabaseError{SQLState: p.state})
 		return true, s.endWith(r, p, statusIdle)
 	}
 	return s.exchange(ctx, r, b)
 }
 
-func whyRefused(err error) message.RefusedWhy {
+func whyRefused(err error) message.NotStartedReason {
 	var refused *database.AcquireError
 	if errors.As(err, &refused) {
-		return refused.Why
+		return refused.Reason
 	}
-	return message.RefusedUnreachable
+	return message.NotStartedUnreachable
 }
 
 // exchange sends a batch and relays its answer. It reports whether the request
@@ -69,7 +69,7 @@
 	o.body(r.conn, b)
 	kept := r.first && b.isSetting()
 	if b.traits.leavesState && !kept {
-		r.conn.State.Dirty = true
+		r.conn.State.NeedsReset = true
 	}
 	r.sent = time.Now()
 	n, err := r.conn.Write(o.bytes, sendTimeout)
@@ -87,7 +87,7 @@
 func (s *session) unsent(r *request, b *batch, n int) (bool, error) {
 	if n == 0 && r.first {
 		s.dropConn(r)
-		s.ended(r, message.AnswerRefused{Why: message.RefusedStale})
+		s.ended(r, message.OutcomeNotStarted{Reason: message.NotStartedBrokenConnection})
 		return false, nil
 	}
 	return s.lost(r, b, resultLost{})
@@ -97,10 +97,10 @@
 func (s *session) lost(r *request, b *batch, l resultLost) (bool, error) {
 	s.dropConn(r)
 	lostConnections.Add(1)
-	s.ended(r, message.AnswerLost{
-		Committing: mayCommit(r, b),
-		Passed:     r.passed,
-		Silent:     l.silent,
+	s.ended(r, message.OutcomeConnectionLost{
+		MayHaveCommitted: mayCommit(r, b),
+		PartlySent:       r.passed,
+		Unresponsive:     l.silent,
 	})
 	return false, nil
 }
--- a/internal/edge/caller/authenticate.go
+++ b/internal/edge/caller/authenticate.go
@@ -37,11 +37,11 @@
 	hash   []byte
 }
 
-// HashError reports text that is not a password hash.
-type HashError struct{ Detail string }
+// PasswordHashError reports text that is not a password hash.
+type PasswordHashError struct{ Detail string }
 
 // Error implements error.
-func (e *HashError) Error() string { return "password hash: " + e.Detail }
+func (e *PasswordHashError) Error() string { return "password hash: " + e.Detail }
 
 // NewPasswordHash hashes a password with a new salt.
 func NewPasswordHash(password string) (PasswordHash, error) {
@@ -55,23 +55,23 @@
 }
 
 // ParsePasswordHash reads the form that String writes. Its error is a
-// *HashError.
+// *PasswordHashError.
 func ParsePasswordHash(text string) (PasswordHash, error) {
 	fields := strings.Split(text, "$")
 	if len(fields) != 4 || fields[0] != hashScheme {
-		return PasswordHash{}, &HashError{Detail: "expected " + hashScheme + "$ROUNDS$SALT$HASH"}
+		return PasswordHash{}, &PasswordHashError{Detail: "expected " + hashScheme + "$ROUNDS$SALT$HASH"}
 	}
 	rounds, err := strconv.Atoi(fields[1])
 	if err != nil || rounds < 1 || rounds > hashRoundsMost {
-		return PasswordHash{}, &HashError{Detail: "bad number of rounds"}
+		return PasswordHash{}, &PasswordHashError{Detail: "bad number of rounds"}
 	}
 	salt, err := base64.RawStdEncoding.DecodeString(fields[2])
 	if err != nil || len(salt) < saltSize {
-		return PasswordHash{}, &HashError{Detail: "bad salt"}
+		return PasswordHash{}, &PasswordHashError{Detail: "bad salt"}
 	}
 	hash, err := base64.RawStdEncoding.DecodeString(fields[3])
 	if err != nil || len(hash) != hashSize {
-		return PasswordHash{}, &HashError{Detail: "bad hash"}
+		return PasswordHash{}, &PasswordHashError{Detail: "bad hash"}
 	}
 	return PasswordHash{rounds: rounds, salt: salt, hash: hash}, nil
 }
@@ -102,7 +102,7 @@
 	if o.RequireTLS && o.TLS == nil {
 		return &OptionsError{Detail: "TLS is required but there is no certificate"}
 	}
-	if o.Key == "" {
+	if o.IdempotencyKeyPrefix == "" {
 		return &OptionsError{Detail: "no beginning of keys"}
 	}
 	return nil
@@ -110,7 +110,7 @@
 
 // authenticate asks a caller for its password. Without TLS it is asked over
 // loopback only: it would be readable on any other path.
-func (e *Edge) authenticate(h *hello) *problem {
+func (e *Server) authenticate(h *hello) *problem {
 	user := h.startup.Parameters["user"]
 	if user == "" {
 		return &problem{state: stateInvalidAuth, message: "no user name given", fatal: true}
--- a/internal/edge/caller/batch.go
+++ b/internal/edge/caller/batch.go
@@ -149,7 +149,7 @@
 }
 
 func (s *session) takePart(b *batch, frame postgres.Frame) error {
-	if len(b.raw)+len(frame.Raw) > s.edge.options.Message {
+	if len(b.raw)+len(frame.Raw) > s.edge.options.MaxMessageSize {
 		b.refuse(problemTooLarge)
 		return nil
 	}
@@ -213,7 +213,7 @@
 	b.refuse(problemFlush)
 	b.early = true
 	if s.request != nil {
-		s.breakTransaction(message.AnswerFailed{State: problemFlush.state})
+		s.breakTransaction(message.OutcomeDatabaseError{SQLState: problemFlush.state})
 	}
 	s.say(b.problem)
 	return s.flush()
--- a/internal/edge/caller/cancel.go
+++ b/internal/edge/caller/cancel.go
@@ -11,7 +11,7 @@
 // cancel tells the core that the request which runs for a session is withdrawn.
 // The core decides: a request that waits is refused, one that runs is
 // interrupted at its database.
-func (e *Edge) cancel(process uint32, secret []byte) {
+func (e *Server) cancel(process uint32, secret []byte) {
 	s := e.findSession(process)
 	if s == nil || subtle.ConstantTimeCompare(s.secret, secret) != 1 {
 		return
@@ -27,7 +27,7 @@
 
 // findSession looks up a session by the number given to its caller, which is
 // the lower half of its own.
-func (e *Edge) findSession(process uint32) *session {
+func (e *Server) findSession(process uint32) *session {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	high := e.lastSession.Load() &^ (1<<32 - 1)
--- a/internal/edge/caller/cancel_test.go
+++ b/internal/edge/caller/cancel_test.go
@@ -74,7 +74,7 @@
 			waiting <- struct{}{}
 			return true
 		case message.RequestCanceled:
-			b.edge.Act(message.Refuse{Request: event.Request, Why: message.RefuseCanceled})
+			b.edge.HandleAction(message.RefuseRequest{Request: event.Request, Reason: message.RefuseCanceled})
 			return true
 		}
 		return false
@@ -103,7 +103,7 @@
 	<-running
 	caller.conn.Close()
 	ended := <-b.core.ended
-	if diff := cmp.Diff(message.Answer(message.AnswerFailed{State: "57014"}), ended.Answer); diff != "" {
+	if diff := cmp.Diff(message.Outcome(message.OutcomeDatabaseError{SQLState: "57014"}), ended.Outcome); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -119,7 +119,7 @@
 	caller := startRaw(t, b)
 	caller.send(&pgproto3.Query{String: "INSERT slow"})
 	<-running
-	b.edge.Act(message.Abandon{Request: 1, Attempt: 1, Unknown: true})
+	b.edge.HandleAction(message.AbortRequest{Request: 1, Attempt: 1, OutcomeUnknown: true})
 	if diff := cmp.Diff([]string{"ERROR 08007", "ready I"}, caller.answer()); diff != "" {
 		t.Error(diff)
 	}
@@ -138,7 +138,7 @@
 	idle, busy := startRaw(t, b), startRaw(t, b)
 	busy.send(&pgproto3.Query{String: "select slow"})
 	<-running
-	b.edge.Act(message.Drain{})
+	b.edge.HandleAction(message.Drain{})
 	if diff := cmp.Diff([]string{"FATAL 57P01"}, idle.answer()); diff != "" {
 		t.Error(diff)
 	}
@@ -157,7 +157,7 @@
 	b := newBench(t)
 	caller := startRaw(t, b)
 	caller.query("BEGIN")
-	b.edge.Act(message.Drain{})
+	b.edge.HandleAction(message.Drain{})
 	if diff := cmp.Diff([]string{"INSERT 0 1", "ready T"}, caller.query("INSERT x")); diff != "" {
 		t.Error(diff)
 	}
@@ -184,7 +184,7 @@
 	<-running
 	b.stop()
 	<-b.gone
-	if diff := cmp.Diff(0, b.edge.Sessions()); diff != "" {
+	if diff := cmp.Diff(0, b.edge.SessionCount()); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/edge/caller/conclude.go
+++ b/internal/edge/caller/conclude.go
@@ -14,19 +14,19 @@
 		return s.lost(r, b, end)
 	case resultRefused:
 		s.putBack(r)
-		s.ended(r, message.AnswerRefused{Why: end.why})
+		s.ended(r, message.OutcomeNotStarted{Reason: end.why})
 		return false, nil
 	case resultBehind:
 		s.putBack(r)
-		s.ended(r, message.AnswerBehind{Position: r.position})
+		s.ended(r, message.OutcomeBehind{Position: r.position})
 		return false, nil
 	case resultStopped:
 		s.dropConn(r)
-		s.ended(r, message.AnswerFailed{State: end.problem.state})
+		s.ended(r, message.OutcomeDatabaseError{SQLState: end.problem.state})
 		return true, s.endLost(r, b, end.problem)
 	case resultUnread:
 		s.dropConn(r)
-		s.ended(r, message.AnswerLost{Committing: mayCommit(r, b), Passed: true})
+		s.ended(r, message.OutcomeConnectionLost{MayHaveCommitted: mayCommit(r, b), PartlySent: true})
 		s.endRequest(r)
 		return true, end.cause
 	case resultWhole:
@@ -70,10 +70,10 @@
 	s.dropConn(r)
 	switch end := end.(type) {
 	case resultLost:
-		s.ended(r, message.AnswerLost{Passed: r.passed})
+		s.ended(r, message.OutcomeConnectionLost{PartlySent: r.passed})
 		return false, nil
 	case resultStopped:
-		s.ended(r, message.AnswerFailed{State: end.problem.state})
+		s.ended(r, message.OutcomeDatabaseError{SQLState: end.problem.state})
 		return true, s.endLost(r, b, end.problem)
 	case resultUnread:
 		s.endRequest(r)
@@ -98,9 +98,9 @@
 		return err
 	}
 	if end.failure != nil || r.failed {
-		s.ended(r, message.AnswerFailed{State: r.state})
+		s.ended(r, message.OutcomeDatabaseError{SQLState: r.state})
 	} else {
-		s.ended(r, message.AnswerRead{Position: r.position})
+		s.ended(r, message.OutcomeRead{Position: r.position})
 	}
 	s.endRequest(r)
 	return err
@@ -116,14 +116,14 @@
 			return resultUnread{cause: err}
 		}
 		switch item := item.(type) {
-		case message.Release:
+		case message.ReleaseResult:
 			r.released = r.position
 			return nil
-		case message.Drop:
+		case message.CloseConnection:
 			return resultLost{}
-		case message.Abandon:
+		case message.AbortRequest:
 			return resultStopped{problem: abandonProblem(item)}
-		case message.Refuse:
+		case message.RefuseRequest:
 			return resultStopped{problem: refusalProblem(item)}
 		}
 	}
@@ -132,7 +132,7 @@
 // hold tells the core that an answer waits for the proof of its position.
 func (s *session) hold(r *request) {
 	heldAnswers.Add(1)
-	s.edge.sink.Post(message.AnswerHeld{Request: r.id, Attempt: r.attempt, Position: r.position})
+	s.edge.sink.Post(message.ResultHeld{Request: r.id, Attempt: r.attempt, Position: r.position})
 }
 
 // concludeCommit holds the answer of a commit until the core acknowledges it, or
@@ -140,7 +140,7 @@
 func (s *session) concludeCommit(ctx context.Context, r *request, position model.Position) (bool, error) {
 	chained := r.status != statusIdle
 	s.dropConn(r)
-	s.ended(r, message.AnswerCommitted{Position: position})
+	s.ended(r, message.OutcomeCommitted{Position: position})
 	for {
 		item, err := s.await(ctx, r)
 		if err != nil {
@@ -148,15 +148,15 @@
 			return true, err
 		}
 		switch item := item.(type) {
-		case message.Acknowledge:
+		case message.AcknowledgeCommit:
 			s.giveToken(item.Token)
 			return true, s.concludeAcknowledged(r, chained)
 		case message.Dispatch:
 			s.mailbox.putBack(item)
 			return false, nil
-		case message.Abandon:
+		case message.AbortRequest:
 			return true, s.endWith(r, abandonProblem(item), statusIdle)
-		case message.Refuse:
+		case message.RefuseRequest:
 			return true, s.endWith(r, refusalProblem(item), statusIdle)
 		}
 	}
--- a/internal/edge/caller/drop_test.go
+++ b/internal/edge/caller/drop_test.go
@@ -11,19 +11,19 @@
 
 // dropFirst has the core drop attempt 1 of each request where at says so, and
 // dispatch again what was lost without a part of its answer out.
-func dropFirst(b *bench, at func(event message.Event) (message.Drop, bool)) func(event message.Event) bool {
+func dropFirst(b *bench, at func(event message.Event) (message.CloseConnection, bool)) func(event message.Event) bool {
 	return func(event message.Event) bool {
 		drop, now := at(event)
 		if now && drop.Attempt == 1 {
-			b.edge.Act(drop)
+			b.edge.HandleAction(drop)
 			return true
 		}
-		ended, ok := event.(message.AnswerEnded)
+		ended, ok := event.(message.AttemptEnded)
 		if !ok {
 			return false
 		}
-		lost, ok := ended.Answer.(message.AnswerLost)
-		if !ok || lost.Passed {
+		lost, ok := ended.Outcome.(message.OutcomeConnectionLost)
+		if !ok || lost.PartlySent {
 			return false
 		}
 		b.core.send(ended.Request, ended.Attempt+1)
@@ -35,9 +35,9 @@
 // and only its second answer goes to the caller.
 func TestDropHeld(t *testing.T) {
 	b := newBench(t)
-	b.core.hook = dropFirst(b, func(event message.Event) (message.Drop, bool) {
-		held, ok := event.(message.AnswerHeld)
-		return message.Drop{Request: held.Request, Attempt: held.Attempt}, ok
+	b.core.hook = dropFirst(b, func(event message.Event) (message.CloseConnection, bool) {
+		held, ok := event.(message.ResultHeld)
+		return message.CloseConnection{Request: held.Request, Attempt: held.Attempt}, ok
 	})
 	caller := startRaw(t, b)
 	if diff := cmp.Diff([]string{"row select a", "SELECT 1", "ready I"}, caller.query("select a")); diff != "" {
@@ -46,7 +46,7 @@
 	if diff := cmp.Diff([]string{"select a", "select a"}, b.db.statements()); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(message.Answer(message.AnswerLost{}), (<-b.core.ended).Answer); diff != "" {
+	if diff := cmp.Diff(message.Outcome(message.OutcomeConnectionLost{}), (<-b.core.ended).Outcome); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -62,12 +62,12 @@
 	caller := startRaw(t, b)
 	caller.send(&pgproto3.Query{String: "INSERT slow"})
 	<-running
-	b.edge.Act(message.Drop{Request: 1, Attempt: 2})
-	b.edge.Act(message.Drop{Request: 1, Attempt: 1})
+	b.edge.HandleAction(message.CloseConnection{Request: 1, Attempt: 2})
+	b.edge.HandleAction(message.CloseConnection{Request: 1, Attempt: 1})
 	if diff := cmp.Diff([]string{"ERROR 08007", "ready I"}, caller.answer()); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(message.Answer(message.AnswerLost{Committing: true}), (<-b.core.ended).Answer); diff != "" {
+	if diff := cmp.Diff(message.Outcome(message.OutcomeConnectionLost{MayHaveCommitted: true}), (<-b.core.ended).Outcome); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -78,8 +78,8 @@
 	b := newBench(t)
 	caller := startRaw(t, b)
 	caller.query("BEGIN")
-	b.edge.Act(message.Drop{Request: 1, Attempt: 1})
-	if diff := cmp.Diff(message.Answer(message.AnswerLost{Passed: true}), (<-b.core.ended).Answer); diff != "" {
+	b.edge.HandleAction(message.CloseConnection{Request: 1, Attempt: 1})
+	if diff := cmp.Diff(message.Outcome(message.OutcomeConnectionLost{PartlySent: true}), (<-b.core.ended).Outcome); diff != "" {
 		t.Error(diff)
 	}
 	want := [][]string{{"ERROR 40001", "ready E"}, {"ERROR 25P02", "ready E"}, {"ROLLBACK", "ready I"}}
@@ -97,7 +97,7 @@
 func TestRunAgainAfterCommit(t *testing.T) {
 	b := newBench(t)
 	b.core.hook = func(event message.Event) bool {
-		ended, ok := event.(message.AnswerEnded)
+		ended, ok := event.(message.AttemptEnded)
 		if !ok || ended.Attempt > 1 {
 			return false
 		}
--- a/internal/edge/caller/edge.go
+++ b/internal/edge/caller/edge.go
@@ -4,8 +4,8 @@
 // # What flows in and out
 //
 // Callers' connections flow in. To the core go headers alone: SessionOpened,
-// RequestArrived, AnswerEnded and their like. The core's word on a request
-// (Dispatch, Refuse, Acknowledge, ...) flows in by Act and wakes the session's
+// RequestArrived, AttemptEnded and their like. The core's word on a request
+// (Dispatch, Refuse, Acknowledge, ...) flows in by HandleAction and wakes the session's
 // goroutine, which takes a backend connection from the pool, sends the caller's
 // messages and passes the answer on. Row bytes never leave that goroutine.
 //
@@ -28,7 +28,7 @@
 //
 //	edge := caller.NewEdge(caller.Options{Listen: address, Key: "i7-x3", Users: users}, pool, sink, log)
 //	ended, err := edge.Start(ctx)
-//	if !edge.Act(action) { ... }
+//	if !edge.HandleAction(action) { ... }
 package caller
 
 import (
@@ -62,11 +62,11 @@
 
 // Options are the settings of the edge.
 type Options struct {
-	// Listen is where callers connect.
-	Listen netip.AddrPort
-	// Key begins the idempotency keys that the edge makes: it is unique over
+	// ListenAddress is where callers connect.
+	ListenAddress netip.AddrPort
+	// IdempotencyKeyPrefix begins the idempotency keys that the edge makes: it is unique over
 	// all instances and their restarts.
-	Key string
+	IdempotencyKeyPrefix string
 	// TLS holds the certificate and key; nil for no TLS.
 	TLS *tls.Config
 	// RequireTLS refuses callers that do not ask for TLS.
@@ -76,21 +76,21 @@
 	Users Users
 	// Trust lets anybody connect without a password.
 	Trust bool
-	// Sessions is the greatest number of callers' connections; zero for
+	// MaxSessions is the greatest number of callers' connections; zero for
 	// 10,000.
-	Sessions int
-	// Message is the greatest message or batch that is taken from a caller,
+	MaxSessions int
+	// MaxMessageSize is the greatest message or batch that is taken from a caller,
 	// in bytes; zero for 16 MiB.
-	Message int
-	// Write is the time that a caller has to take what is sent to it, and at
+	MaxMessageSize int
+	// WriteTimeout is the time that a caller has to take what is sent to it, and at
 	// most twice as much; zero for 30 s.
-	Write time.Duration
-	// Version is told to callers as server_version; empty for "16.0".
-	Version string
+	WriteTimeout time.Duration
+	// ServerVersion is told to callers as server_version; empty for "16.0".
+	ServerVersion string
 }
 
-// Edge accepts callers and serves them.
-type Edge struct {
+// Server accepts callers and serves them.
+type Server struct {
 	options Options
 	pool    *database.Pool
 	sink    message.Sink
@@ -111,21 +111,21 @@
 	proven   map[model.GroupID]*provenCell
 }
 
-// NewEdge returns an edge that takes backend connections from pool.
-func NewEdge(options Options, pool *database.Pool, sink message.Sink, log logr.Logger) *Edge {
-	if options.Sessions == 0 {
-		options.Sessions = sessionLimit
+// NewServer returns an edge that takes backend connections from pool.
+func NewServer(options Options, pool *database.Pool, sink message.Sink, log logr.Logger) *Server {
+	if options.MaxSessions == 0 {
+		options.MaxSessions = sessionLimit
 	}
-	if options.Message == 0 {
-		options.Message = messageLimit
+	if options.MaxMessageSize == 0 {
+		options.MaxMessageSize = messageLimit
 	}
-	if options.Write == 0 {
-		options.Write = writeTimeout
+	if options.WriteTimeout == 0 {
+		options.WriteTimeout = writeTimeout
 	}
-	if options.Version == "" {
-		options.Version = serverVersion
+	if options.ServerVersion == "" {
+		options.ServerVersion = serverVersion
 	}
-	return &Edge{
+	return &Server{
 		options:  options,
 		pool:     pool,
 		sink:     sink,
@@ -135,25 +135,25 @@
 	}
 }
 
-// Act takes the actions that concern callers, and reports whether action was
+// HandleAction takes the actions that concern callers, and reports whether action was
 // one of them. It never blocks.
-func (e *Edge) Act(action message.Action) bool {
+func (e *Server) HandleAction(action message.Action) bool {
 	switch typed := action.(type) {
 	case message.Dispatch:
 		e.tell(typed.Request, action)
-	case message.Release:
+	case message.ReleaseResult:
 		e.tell(typed.Request, action)
-	case message.Acknowledge:
+	case message.AcknowledgeCommit:
 		e.tell(typed.Request, action)
-	case message.Refuse:
+	case message.RefuseRequest:
 		e.tell(typed.Request, action)
-	case message.Abandon:
+	case message.AbortRequest:
 		e.tell(typed.Request, action)
-	case message.Interrupt:
+	case message.CancelStatement:
 		e.tell(typed.Request, action)
-	case message.Drop:
+	case message.CloseConnection:
 		e.tell(typed.Request, action)
-	case message.Proven:
+	case message.SetDurablePosition:
 		e.provenOf(typed.Group).set(typed.Position)
 	case message.Drain:
 		e.drain()
@@ -164,12 +164,12 @@
 }
 
 // Address returns where callers connect, once Start has returned.
-func (e *Edge) Address() netip.AddrPort {
+func (e *Server) Address() netip.AddrPort {
 	return e.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Sessions returns the number of callers' connections.
-func (e *Edge) Sessions() int {
+// SessionCount returns the number of callers' connections.
+func (e *Server) SessionCount() int {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
 	return len(e.sessions)
@@ -179,7 +179,7 @@
 // Sessions and requests.
 
 // register numbers a new request of a session.
-func (e *Edge) register(s *session) model.RequestID {
+func (e *Server) register(s *session) model.RequestID {
 	id := model.RequestID(e.lastRequest.Add(1))
 	e.requests.put(id, s)
 	return id
@@ -187,14 +187,14 @@
 
 // tell passes an action to the session of a request. One that has ended is
 // passed over.
-func (e *Edge) tell(id model.RequestID, action message.Action) {
+func (e *Server) tell(id model.RequestID, action message.Action) {
 	s := e.requests.get(id)
 	if s != nil {
 		s.mailbox.post(action)
 	}
 }
 
-func (e *Edge) provenOf(group model.GroupID) *provenCell {
+func (e *Server) provenOf(group model.GroupID) *provenCell {
 	e.mu.RLock()
 	cell := e.proven[group]
 	e.mu.RUnlock()
@@ -210,13 +210,13 @@
 }
 
 // background counts a goroutine until the function that it returns is called.
-func (e *Edge) background() func() {
+func (e *Server) background() func() {
 	e.running.Add(1)
 	return e.running.Done
 }
 
 // note writes a numbered event to the log.
-func (e *Edge) note(what event.Event, values ...any) {
+func (e *Server) note(what event.Event, values ...any) {
 	if what.Level == event.LevelDebug && !e.log.V(1).Enabled() {
 		return
 	}
@@ -238,16 +238,16 @@
 type drainWanted struct{}
 
 // drain accepts no further connection and closes each one when it is idle.
-func (e *Edge) drain() {
+func (e *Server) drain() {
 	if e.draining.Swap(true) {
 		return
 	}
-	e.note(event.CallersDraining, "sessions", e.Sessions())
+	e.note(event.CallersDraining, "sessions", e.SessionCount())
 	e.wakeAll()
 }
 
 // wakeAll stops the listening and wakes every session.
-func (e *Edge) wakeAll() {
+func (e *Server) wakeAll() {
 	if e.listener != nil {
 		_ = e.listener.Close()
 	}
--- a/internal/edge/caller/fake_core_test.go
+++ b/internal/edge/caller/fake_core_test.go
@@ -23,7 +23,7 @@
 // there, acknowledges every commit and releases every held answer. A test
 // changes single decisions by its hook.
 type fakeCore struct {
-	edge *Edge
+	edge *Server
 	// hook sees each event first; what it returns true for is done with.
 	hook func(event message.Event) bool
 	// dispatch is the pattern of every Dispatch.
@@ -35,8 +35,8 @@
 	mu     sync.Mutex
 	events []message.Event
 	keys   map[model.RequestID]string
-	// ended receives every AnswerEnded.
-	ended chan message.AnswerEnded
+	// ended receives every AttemptEnded.
+	ended chan message.AttemptEnded
 }
 
 func (f *fakeCore) Post(event message.Event) {
@@ -45,10 +45,10 @@
 		f.events = append(f.events, event)
 	}
 	if arrived, ok := event.(message.RequestArrived); ok {
-		f.keys[arrived.Request] = arrived.Key
+		f.keys[arrived.Request] = arrived.IdempotencyKey
 	}
 	f.mu.Unlock()
-	if ended, ok := event.(message.AnswerEnded); ok {
+	if ended, ok := event.(message.AttemptEnded); ok {
 		select {
 		case f.ended <- ended:
 		default:
@@ -64,27 +64,27 @@
 	switch event := event.(type) {
 	case message.RequestArrived:
 		f.send(event.Request, 1)
-	case message.AnswerHeld:
-		f.edge.Act(message.Release{Request: event.Request, Attempt: event.Attempt})
-	case message.AnswerEnded:
+	case message.ResultHeld:
+		f.edge.HandleAction(message.ReleaseResult{Request: event.Request, Attempt: event.Attempt})
+	case message.AttemptEnded:
 		f.decideEnded(event)
 	case message.RequestCanceled:
-		f.edge.Act(message.Interrupt{Request: event.Request, Attempt: 1})
+		f.edge.HandleAction(message.CancelStatement{Request: event.Request, Attempt: 1})
 	}
 }
 
-func (f *fakeCore) decideEnded(event message.AnswerEnded) {
-	switch answer := event.Answer.(type) {
-	case message.AnswerCommitted:
-		f.edge.Act(message.Acknowledge{
+func (f *fakeCore) decideEnded(event message.AttemptEnded) {
+	switch answer := event.Outcome.(type) {
+	case message.OutcomeCommitted:
+		f.edge.HandleAction(message.AcknowledgeCommit{
 			Request: event.Request,
 			Attempt: event.Attempt,
 			Token:   model.Token{Group: testGroup, Position: answer.Position},
 		})
-	case message.AnswerRefused, message.AnswerBehind:
-		f.edge.Act(message.Refuse{Request: event.Request, Why: message.RefuseNoPrimary})
-	case message.AnswerLost:
-		f.edge.Act(message.Abandon{Request: event.Request, Attempt: event.Attempt, Unknown: answer.Committing})
+	case message.OutcomeNotStarted, message.OutcomeBehind:
+		f.edge.HandleAction(message.RefuseRequest{Request: event.Request, Reason: message.RefuseNoPrimary})
+	case message.OutcomeConnectionLost:
+		f.edge.HandleAction(message.AbortRequest{Request: event.Request, Attempt: event.Attempt, OutcomeUnknown: answer.MayHaveCommitted})
 	}
 }
 
@@ -94,22 +94,22 @@
 	d.Request = request
 	d.Attempt = attempt
 	f.mu.Lock()
-	d.Key = f.keys[request]
+	d.IdempotencyKey = f.keys[request]
 	if f.quiet {
 		delete(f.keys, request)
 	}
 	f.mu.Unlock()
-	if d.Expires.IsZero() {
-		d.Expires = time.Now().Add(time.Minute)
+	if d.Deadline.IsZero() {
+		d.Deadline = time.Now().Add(time.Minute)
 	}
-	f.edge.Act(d)
+	f.edge.HandleAction(d)
 }
 
 // bench is an edge between a fake core and a fake database.
 type bench struct {
 	t    *testing.T
 	core *fakeCore
-	edge *Edge
+	edge *Server
 	pool *database.Pool
 	db   *fakeDatabase
 	stop context.CancelFunc
@@ -125,10 +125,10 @@
 	b := &bench{t: t, db: newFakeDatabase(t), stop: stop}
 	b.core = &fakeCore{
 		keys:     map[model.RequestID]string{},
-		ended:    make(chan message.AnswerEnded, 1000),
-		dispatch: message.Dispatch{Database: testDatabase, Term: 7, Gated: true, Access: model.AccessWrite},
+		ended:    make(chan message.AttemptEnded, 1000),
+		dispatch: message.Dispatch{Database: testDatabase, Term: 7, HoldUntilDurable: true, Access: model.AccessWrite},
 	}
-	options := Options{Listen: netip.MustParseAddrPort("127.0.0.1:0"), Key: "i1", Trust: true}
+	options := Options{ListenAddress: netip.MustParseAddrPort("127.0.0.1:0"), IdempotencyKeyPrefix: "i1", Trust: true}
 	for _, one := range change {
 		one(b, &options)
 	}
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	b.setDatabases(2)
-	b.edge = NewEdge(options, b.pool, b.core, logr.Discard())
+	b.edge = NewServer(options, b.pool, b.core, logr.Discard())
 	b.core.edge = b.edge
 	b.gone, err = b.edge.Start(ctx)
 	if err != nil {
@@ -153,7 +153,7 @@
 }
 
 func (b *bench) setDatabases(connections int) {
-	b.pool.Act(message.SetDatabases{Databases: []message.DatabaseTarget{{
+	b.pool.HandleAction(message.SetDatabases{Databases: []message.DatabaseTarget{{
 		Database:    testDatabase,
 		Group:       testGroup,
 		Address:     b.db.address(),
@@ -171,6 +171,6 @@
 
 func (f refusingCore) Post(event message.Event) {
 	if arrived, ok := event.(message.RequestArrived); ok {
-		f.edge.Act(message.Refuse{Request: arrived.Request, Why: message.RefuseOverload})
+		f.edge.HandleAction(message.RefuseRequest{Request: arrived.Request, Reason: message.RefuseOverload})
 	}
 }
--- a/internal/edge/caller/fault_test.go
+++ b/internal/edge/caller/fault_test.go
@@ -18,7 +18,7 @@
 type outcome struct {
 	Value  string
 	State  string
-	Answer message.Answer
+	Answer message.Outcome
 }
 
 // outcomeOf runs one statement and returns what came of it.
@@ -27,7 +27,7 @@
 	var got outcome
 	err := conn.QueryRow(context.Background(), statement, pgx.QueryExecModeSimpleProtocol).Scan(&got.Value)
 	got.State = stateOf(err)
-	got.Answer = (<-b.core.ended).Answer
+	got.Answer = (<-b.core.ended).Outcome
 	return got
 }
 
@@ -50,7 +50,7 @@
 func TestStatementFaults(t *testing.T) {
 	position := model.Position{Term: 7, Offset: 100}
 	commit := model.Position{Term: 7, Offset: 101}
-	lost := message.AnswerLost{Committing: true}
+	lost := message.OutcomeConnectionLost{MayHaveCommitted: true}
 	cases := []struct {
 		name   string
 		answer func(c *fakeConn)
@@ -58,11 +58,11 @@
 	}{
 		{
 			"whole", func(c *fakeConn) { c.describe(); c.shown(); c.row("a"); c.committed(); c.complete("INSERT 0 1") },
-			outcome{"a", "", message.AnswerCommitted{Position: commit}},
+			outcome{"a", "", message.OutcomeCommitted{Position: commit}},
 		},
 		{
 			"nothing written", func(c *fakeConn) { c.describe(); c.shown(); c.row("a"); c.complete("SELECT 1") },
-			outcome{"a", "", message.AnswerRead{Position: position}},
+			outcome{"a", "", message.OutcomeRead{Position: position}},
 		},
 		{"cut at once", (*fakeConn).cut, outcome{"", "08007", lost}},
 		{"cut after the description", func(c *fakeConn) { c.describe(); c.cut() }, outcome{"", "08007", lost}},
@@ -79,23 +79,23 @@
 		}, outcome{"", "08007", lost}},
 		{
 			"another term", func(c *fakeConn) { c.fail("EG002", "term is 8") },
-			outcome{"", "57P03", message.AnswerRefused{Why: message.RefusedTerm}},
+			outcome{"", "57P03", message.OutcomeNotStarted{Reason: message.NotStartedWrongTerm}},
 		},
 		{
 			"key used", func(c *fakeConn) { c.shown(); c.fail("EG003", "key is used") },
-			outcome{"", "57P03", message.AnswerRefused{Why: message.RefusedDuplicate}},
+			outcome{"", "57P03", message.OutcomeNotStarted{Reason: message.NotStartedDuplicateKey}},
 		},
 		{
 			"no primary", func(c *fakeConn) { c.fail("25006", "read only") },
-			outcome{"", "57P03", message.AnswerRefused{Why: message.RefusedReadOnly}},
+			outcome{"", "57P03", message.OutcomeNotStarted{Reason: message.NotStartedReadOnly}},
 		},
 		{
 			"error", func(c *fakeConn) { c.shown(); c.fail("23505", "exists") },
-			outcome{"", "23505", message.AnswerFailed{State: "23505"}},
+			outcome{"", "23505", message.OutcomeDatabaseError{SQLState: "23505"}},
 		},
 		{
 			"error after a row", func(c *fakeConn) { c.describe(); c.shown(); c.row("a"); c.fail("22012", "division by zero") },
-			outcome{"a", "22012", message.AnswerFailed{State: "22012"}},
+			outcome{"a", "22012", message.OutcomeDatabaseError{SQLState: "22012"}},
 		},
 		{
 			"shutdown while running", func(c *fakeConn) { c.fail("57P01", "terminating"); c.cut() },
@@ -130,12 +130,12 @@
 // TestMuteStatement runs a write whose answer never comes.
 func TestMuteStatement(t *testing.T) {
 	b := newBench(t, func(b *bench, _ *Options) {
-		b.core.dispatch.Suspect = time.Millisecond
+		b.core.dispatch.SilenceTimeout = time.Millisecond
 	})
 	b.db.on("INSERT x", (*fakeConn).mute)
 	conn := connect(t, b, "")
 	got := outcomeOf(t, b, conn, "INSERT x")
-	want := outcome{"", "08007", message.AnswerLost{Committing: true, Silent: true}}
+	want := outcome{"", "08007", message.OutcomeConnectionLost{MayHaveCommitted: true, Unresponsive: true}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -145,7 +145,7 @@
 // that it is running something, so the connection is left alone.
 func TestSlowStatement(t *testing.T) {
 	b := newBench(t, func(b *bench, _ *Options) {
-		b.core.dispatch.Suspect = time.Millisecond
+		b.core.dispatch.SilenceTimeout = time.Millisecond
 	})
 	b.db.busy = "1"
 	b.db.on("INSERT slow", func(c *fakeConn) {
@@ -172,11 +172,11 @@
 	}{
 		{
 			"canceled", func(c *fakeConn) { <-c.db.canceled; c.fail("57014", "canceled") },
-			outcome{"", "57014", message.AnswerFailed{State: "57014"}},
+			outcome{"", "57014", message.OutcomeDatabaseError{SQLState: "57014"}},
 		},
 		{
 			"mute", func(c *fakeConn) { <-c.db.canceled; c.mute() },
-			outcome{"", "08007", message.AnswerLost{Committing: true}},
+			outcome{"", "08007", message.OutcomeConnectionLost{MayHaveCommitted: true}},
 		},
 	}
 	for _, test := range cases {
@@ -185,7 +185,7 @@
 			b.db.on("INSERT x", test.answer)
 			conn := connect(t, b, "")
 			outcomeOf(t, b, conn, "select warm")
-			b.core.dispatch.Expires = time.Now().Add(50 * time.Millisecond)
+			b.core.dispatch.Deadline = time.Now().Add(50 * time.Millisecond)
 			got := outcomeOf(t, b, conn, "INSERT x")
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Error(diff)
--- a/internal/edge/caller/gate.go
+++ b/internal/edge/caller/gate.go
@@ -30,7 +30,7 @@
 	if !y.commit.IsZero() || y.behind {
 		return false
 	}
-	if !y.r.dispatch.Gated || !y.known {
+	if !y.r.dispatch.HoldUntilDurable || !y.known {
 		return true
 	}
 	return covers(y.r.released, y.r.position) || y.s.proven.covers(y.r.position)
--- a/internal/edge/caller/gate_test.go
+++ b/internal/edge/caller/gate_test.go
@@ -20,57 +20,57 @@
 
 // TestGate runs a read at position 7:100 under different words of the core.
 func TestGate(t *testing.T) {
-	read := message.AnswerRead{Position: position(7, 100)}
-	release := func(held message.AnswerHeld) message.Action {
-		return message.Release{Request: held.Request, Attempt: held.Attempt}
+	read := message.OutcomeRead{Position: position(7, 100)}
+	release := func(held message.ResultHeld) message.Action {
+		return message.ReleaseResult{Request: held.Request, Attempt: held.Attempt}
 	}
-	abandon := func(held message.AnswerHeld) message.Action {
-		return message.Abandon{Request: held.Request, Attempt: held.Attempt, Why: "the primary is gone"}
+	abandon := func(held message.ResultHeld) message.Action {
+		return message.AbortRequest{Request: held.Request, Attempt: held.Attempt, Reason: "the primary is gone"}
 	}
-	none := func(message.AnswerHeld) message.Action { return nil }
+	none := func(message.ResultHeld) message.Action { return nil }
 	cases := []struct {
 		name     string
 		dispatch message.Dispatch
 		proven   model.Position
-		word     func(message.AnswerHeld) message.Action
+		word     func(message.ResultHeld) message.Action
 		want     outcome
 		held     bool
 	}{
 		{
 			"fresh replica",
-			message.Dispatch{Access: model.AccessRead, Minimum: position(7, 100)},
+			message.Dispatch{Access: model.AccessRead, MinPosition: position(7, 100)},
 			position(0, 0), none,
 			outcome{"select a", "", read},
 			false,
 		},
 		{
 			"replica behind",
-			message.Dispatch{Access: model.AccessRead, Minimum: position(7, 101)},
+			message.Dispatch{Access: model.AccessRead, MinPosition: position(7, 101)},
 			position(0, 0), none,
-			outcome{"", "57P03", message.AnswerBehind{Position: position(7, 100)}},
+			outcome{"", "57P03", message.OutcomeBehind{Position: position(7, 100)}},
 			false,
 		},
 		{
 			"behind by term",
-			message.Dispatch{Access: model.AccessRead, Minimum: position(8, 1)},
+			message.Dispatch{Access: model.AccessRead, MinPosition: position(8, 1)},
 			position(0, 0), none,
-			outcome{"", "57P03", message.AnswerBehind{Position: position(7, 100)}},
+			outcome{"", "57P03", message.OutcomeBehind{Position: position(7, 100)}},
 			false,
 		},
-		{"proven", message.Dispatch{Gated: true}, position(7, 100), none, outcome{"select a", "", read}, false},
-		{"proven beyond", message.Dispatch{Gated: true}, position(7, 200), none, outcome{"select a", "", read}, false},
-		{"proven in another term", message.Dispatch{Gated: true}, position(8, 200), release, outcome{"select a", "", read}, true},
-		{"released", message.Dispatch{Gated: true}, position(7, 99), release, outcome{"select a", "", read}, true},
+		{"proven", message.Dispatch{HoldUntilDurable: true}, position(7, 100), none, outcome{"select a", "", read}, false},
+		{"proven beyond", message.Dispatch{HoldUntilDurable: true}, position(7, 200), none, outcome{"select a", "", read}, false},
+		{"proven in another term", message.Dispatch{HoldUntilDurable: true}, position(8, 200), release, outcome{"select a", "", read}, true},
+		{"released", message.Dispatch{HoldUntilDurable: true}, position(7, 99), release, outcome{"select a", "", read}, true},
 		{
 			"abandoned",
-			message.Dispatch{Gated: true},
+			message.Dispatch{HoldUntilDurable: true},
 			position(7, 99), abandon,
-			outcome{"", "40001", message.AnswerFailed{State: "40001"}},
+			outcome{"", "40001", message.OutcomeDatabaseError{SQLState: "40001"}},
 			true,
 		},
 		{
 			"read of the primary released",
-			message.Dispatch{Gated: true, Access: model.AccessRead},
+			message.Dispatch{HoldUntilDurable: true, Access: model.AccessRead},
 			position(0, 0), release,
 			outcome{"select a", "", read},
 			true,
@@ -84,7 +84,7 @@
 				b.core.dispatch.Database = testDatabase
 				b.core.dispatch.Term = 7
 				b.core.hook = func(event message.Event) bool {
-					answer, ok := event.(message.AnswerHeld)
+					answer, ok := event.(message.ResultHeld)
 					if !ok {
 						return false
 					}
@@ -92,11 +92,11 @@
 					if diff := cmp.Diff(position(7, 100), answer.Position); diff != "" {
 						t.Error(diff)
 					}
-					b.core.edge.Act(test.word(answer))
+					b.core.edge.HandleAction(test.word(answer))
 					return true
 				}
 			})
-			b.edge.Act(message.Proven{Group: testGroup, Position: test.proven})
+			b.edge.HandleAction(message.SetDurablePosition{Group: testGroup, Position: test.proven})
 			conn := connect(t, b, "")
 			got := outcomeOf(t, b, conn, "select a")
 			if diff := cmp.Diff(test.want, got); diff != "" {
@@ -114,29 +114,29 @@
 func TestCommitHeld(t *testing.T) {
 	cases := []struct {
 		name string
-		word func(ended message.AnswerEnded) message.Action
+		word func(ended message.AttemptEnded) message.Action
 		want string
 	}{
-		{"acknowledged", func(e message.AnswerEnded) message.Action {
-			return message.Acknowledge{Request: e.Request, Attempt: e.Attempt, Token: model.Token{Group: testGroup, Position: position(7, 101)}}
+		{"acknowledged", func(e message.AttemptEnded) message.Action {
+			return message.AcknowledgeCommit{Request: e.Request, Attempt: e.Attempt, Token: model.Token{Group: testGroup, Position: position(7, 101)}}
 		}, ""},
-		{"unknown", func(e message.AnswerEnded) message.Action {
-			return message.Abandon{Request: e.Request, Attempt: e.Attempt, Unknown: true}
+		{"unknown", func(e message.AttemptEnded) message.Action {
+			return message.AbortRequest{Request: e.Request, Attempt: e.Attempt, OutcomeUnknown: true}
 		}, "08007"},
-		{"proven not to have happened", func(e message.AnswerEnded) message.Action {
-			return message.Refuse{Request: e.Request, Why: message.RefuseSettled}
+		{"proven not to have happened", func(e message.AttemptEnded) message.Action {
+			return message.RefuseRequest{Request: e.Request, Reason: message.RefuseNotCommitted}
 		}, "40001"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			committed := make(chan message.AnswerEnded, 1)
+			committed := make(chan message.AttemptEnded, 1)
 			b := newBench(t)
 			b.core.hook = func(event message.Event) bool {
-				ended, ok := event.(message.AnswerEnded)
+				ended, ok := event.(message.AttemptEnded)
 				if !ok {
 					return false
 				}
-				if _, ok = ended.Answer.(message.AnswerCommitted); ok {
+				if _, ok = ended.Outcome.(message.OutcomeCommitted); ok {
 					committed <- ended
 				}
 				return ok
@@ -153,7 +153,7 @@
 				t.Fatal("answered before the word of the core: ", err)
 			default:
 			}
-			b.edge.Act(test.word(ended))
+			b.edge.HandleAction(test.word(ended))
 			if diff := cmp.Diff(test.want, stateOf(<-answered)); diff != "" {
 				t.Error(diff)
 			}
@@ -176,7 +176,7 @@
 	})
 	held := 0
 	b.core.hook = func(event message.Event) bool {
-		if _, ok := event.(message.AnswerHeld); ok {
+		if _, ok := event.(message.ResultHeld); ok {
 			held++
 		}
 		return false
@@ -219,9 +219,9 @@
 			b.db.on("COMMIT", func(c *fakeConn) { c.committed(); c.cut() })
 			b.db.on("INSERT lost", (*fakeConn).cut)
 			b.core.hook = func(event message.Event) bool {
-				ended, ok := event.(message.AnswerEnded)
+				ended, ok := event.(message.AttemptEnded)
 				if ok {
-					b.edge.Act(message.Acknowledge{Request: ended.Request, Attempt: ended.Attempt, Token: token})
+					b.edge.HandleAction(message.AcknowledgeCommit{Request: ended.Request, Attempt: ended.Attempt, Token: token})
 				}
 				return ok
 			}
@@ -240,8 +240,8 @@
 // TestSlowCaller has a caller not take its answer: it loses its connection, and
 // the database's connection is not used again.
 func TestSlowCaller(t *testing.T) {
-	b := newBench(t, func(_ *bench, options *Options) { options.Write = 50 * time.Millisecond })
-	b.edge.Act(message.Proven{Group: testGroup, Position: position(7, 100)})
+	b := newBench(t, func(_ *bench, options *Options) { options.WriteTimeout = 50 * time.Millisecond })
+	b.edge.HandleAction(message.SetDurablePosition{Group: testGroup, Position: position(7, 100)})
 	row := strings.Repeat("x", 1<<20)
 	b.db.on("select all", func(c *fakeConn) {
 		c.describe()
@@ -256,7 +256,7 @@
 	caller := startRaw(t, b)
 	caller.send(&pgproto3.Query{String: "select all"})
 	ended := <-b.core.ended
-	if diff := cmp.Diff(message.Answer(message.AnswerLost{Committing: true, Passed: true}), ended.Answer); diff != "" {
+	if diff := cmp.Diff(message.Outcome(message.OutcomeConnectionLost{MayHaveCommitted: true, PartlySent: true}), ended.Outcome); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/edge/caller/handle.go
+++ b/internal/edge/caller/handle.go
@@ -90,7 +90,7 @@
 // database.
 func (s *session) handleProblem(b *batch) error {
 	if s.request != nil {
-		s.breakTransaction(message.AnswerFailed{State: b.problem.state})
+		s.breakTransaction(message.OutcomeDatabaseError{SQLState: b.problem.state})
 	}
 	return s.answerProblem(b.problem, s.status())
 }
@@ -111,11 +111,11 @@
 			if done || err != nil {
 				return err
 			}
-		case message.Refuse:
+		case message.RefuseRequest:
 			return s.endWith(r, refusalProblem(item), statusIdle)
-		case message.Abandon:
+		case message.AbortRequest:
 			return s.endWith(r, abandonProblem(item), statusIdle)
-		case message.Acknowledge:
+		case message.AcknowledgeCommit:
 			return s.endCommitted(r, b, item)
 		}
 	}
@@ -145,13 +145,13 @@
 		switch item := item.(type) {
 		case message.Dispatch:
 			r.attempt = item.Attempt
-			s.ended(r, message.AnswerFailed{State: stateSerialization})
+			s.ended(r, message.OutcomeDatabaseError{SQLState: stateSerialization})
 			return s.endLost(r, b, problemBroken)
-		case message.Refuse:
+		case message.RefuseRequest:
 			return s.endLost(r, b, refusalProblem(item))
-		case message.Abandon:
+		case message.AbortRequest:
 			return s.endLost(r, b, abandonProblem(item))
-		case message.Acknowledge:
+		case message.AcknowledgeCommit:
 			return s.endCommitted(r, b, item)
 		}
 	}
--- a/internal/edge/caller/listen.go
+++ b/internal/edge/caller/listen.go
@@ -22,7 +22,7 @@
 
 // Start listens and serves until ctx ends, or until it is drained and the last
 // session has ended. It closes the channel then.
-func (e *Edge) Start(ctx context.Context) (<-chan error, error) {
+func (e *Server) Start(ctx context.Context) (<-chan error, error) {
 	err := e.options.check()
 	if err != nil {
 		return nil, err
@@ -33,7 +33,7 @@
 		Interval: keepaliveInterval,
 		Count:    keepaliveCount,
 	}}
-	e.listener, err = config.Listen(ctx, "tcp", e.options.Listen.String())
+	e.listener, err = config.Listen(ctx, "tcp", e.options.ListenAddress.String())
 	if err != nil {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 	return ended, nil
 }
 
-func (e *Edge) accept(ctx context.Context) {
+func (e *Server) accept(ctx context.Context) {
 	for {
 		conn, err := e.listener.Accept()
 		if err == nil {
--- a/internal/edge/caller/patience.go
+++ b/internal/edge/caller/patience.go
@@ -55,9 +55,9 @@
 // begin starts the timers of an exchange.
 func (y *relay) begin(now time.Time) {
 	y.times = timers{
-		reads:   y.r.conn.Reader.Reads(),
+		reads:   y.r.conn.Reader.ReadCount(),
 		heard:   now,
-		suspect: y.r.dispatch.Suspect,
+		suspect: y.r.dispatch.SilenceTimeout,
 		watch:   now.Add(watchDelay),
 	}
 	y.rearm()
@@ -69,7 +69,7 @@
 // next returns when the first timer is due.
 func (y *relay) next() time.Time {
 	t := &y.times
-	due := y.r.dispatch.Expires
+	due := y.r.dispatch.Deadline
 	if !t.kill.IsZero() {
 		due = t.kill
 	}
@@ -117,10 +117,10 @@
 		return end
 	}
 	t := &y.times
-	if reads := y.r.conn.Reader.Reads(); reads != t.reads {
+	if reads := y.r.conn.Reader.ReadCount(); reads != t.reads {
 		t.reads = reads
 		t.heard = now
-		t.suspect = y.r.dispatch.Suspect
+		t.suspect = y.r.dispatch.SilenceTimeout
 		t.confirm = time.Time{}
 	}
 	if !t.watch.IsZero() && !now.Before(t.watch) {
@@ -141,7 +141,7 @@
 func (y *relay) lookAtDeadline(ctx context.Context, now time.Time) result {
 	t := &y.times
 	if t.kill.IsZero() {
-		if !now.Before(y.r.dispatch.Expires) {
+		if !now.Before(y.r.dispatch.Deadline) {
 			deadlineCancels.Add(1)
 			y.interrupt(ctx, now)
 		}
@@ -161,19 +161,19 @@
 			return nil
 		}
 		switch item := item.(type) {
-		case message.Interrupt:
+		case message.CancelStatement:
 			if item.Request == y.r.id && item.Attempt == y.r.attempt {
 				y.interrupt(ctx, now)
 			}
-		case message.Drop:
+		case message.CloseConnection:
 			if item.Request == y.r.id && item.Attempt == y.r.attempt {
 				return resultLost{}
 			}
-		case message.Abandon:
+		case message.AbortRequest:
 			if item.Request == y.r.id {
 				return resultStopped{problem: abandonProblem(item)}
 			}
-		case message.Refuse:
+		case message.RefuseRequest:
 			if item.Request == y.r.id {
 				return resultStopped{problem: refusalProblem(item)}
 			}
@@ -220,7 +220,7 @@
 	ended := s.edge.background()
 	go func() {
 		defer ended()
-		busy, err := s.edge.pool.Check(ctx, database, since, checkTimeout)
+		busy, err := s.edge.pool.RunningStatements(ctx, database, since, checkTimeout)
 		s.mailbox.post(checked{request: r, attempt: uint32(attempt), busy: busy, err: err})
 	}()
 }
@@ -244,7 +244,7 @@
 // and with it the idle ones that may have gone silent before it.
 func (y *relay) closeSilent(now time.Time) result {
 	silentClosed.Add(1)
-	y.s.edge.pool.Distrust(y.r.conn, y.times.heard)
+	y.s.edge.pool.CloseIdle(y.r.conn, y.times.heard)
 	y.s.edge.note(event.ConnectionSilent,
 		"session", y.s.id, "request", y.r.id, "database", y.r.dispatch.Database,
 		"silence", now.Sub(y.times.heard))
--- a/internal/edge/caller/problem.go
+++ b/internal/edge/caller/problem.go
@@ -148,44 +148,44 @@
 // -----------------------------------------------------------------------------
 // Refusals of the core.
 
-// refusals gives the SQLSTATE and the text of each message.RefuseWhy.
-var refusals = map[message.RefuseWhy]problem{
-	message.RefuseOverload:     {state: stateInsufficient, message: "not run: overloaded"},
-	message.RefuseNoPrimary:    {state: stateCannotConnect, message: "not run: no primary of the group is proven"},
-	message.RefuseStale:        {state: stateNotReady, message: "not run: no database of the group is fresh enough"},
-	message.RefuseUnknownGroup: {state: stateUnknownDatabase, message: "not run: unknown group"},
-	message.RefuseUnknownKind:  {state: stateInvalidParameter, message: "not run: unknown kind of work"},
-	message.RefuseDraining:     {state: stateShutdown, message: "not run: the proxy is shutting down"},
-	message.RefuseSettled:      {state: stateSerialization, message: "not run: the group has proven that the work was not committed"},
-	message.RefuseDeadline:     {state: stateCanceled, message: "not run: the deadline passed before the work was sent"},
-	message.RefuseCanceled:     {state: stateCanceled, message: "not run: canceled by the caller"},
-	message.RefuseDuplicate:    {state: stateUniqueViolation, message: "not run: the key was committed or settled before"},
+// refusals gives the SQLSTATE and the text of each message.RefusalReason.
+var refusals = map[message.RefusalReason]problem{
+	message.RefuseOverload:        {state: stateInsufficient, message: "not run: overloaded"},
+	message.RefuseNoPrimary:       {state: stateCannotConnect, message: "not run: no primary of the group is proven"},
+	message.RefuseNoFreshDatabase: {state: stateNotReady, message: "not run: no database of the group is fresh enough"},
+	message.RefuseUnknownGroup:    {state: stateUnknownDatabase, message: "not run: unknown group"},
+	message.RefuseUnknownKind:     {state: stateInvalidParameter, message: "not run: unknown kind of work"},
+	message.RefuseDraining:        {state: stateShutdown, message: "not run: the proxy is shutting down"},
+	message.RefuseNotCommitted:    {state: stateSerialization, message: "not run: the group has proven that the work was not committed"},
+	message.RefuseDeadline:        {state: stateCanceled, message: "not run: the deadline passed before the work was sent"},
+	message.RefuseCanceled:        {state: stateCanceled, message: "not run: canceled by the caller"},
+	message.RefuseDuplicateKey:    {state: stateUniqueViolation, message: "not run: the key was committed or settled before"},
 }
 
 // refusalProblem returns the error that a caller gets for a refusal.
-func refusalProblem(refuse message.Refuse) *problem {
-	p := refusals[refuse.Why]
+func refusalProblem(refuse message.RefuseRequest) *problem {
+	p := refusals[refuse.Reason]
 	p.detail = refuse.Detail
-	if refuse.Again > 0 {
-		p.hint = "Come again in " + refuse.Again.Round(time.Millisecond).String() + "."
+	if refuse.RetryAfter > 0 {
+		p.hint = "Come again in " + refuse.RetryAfter.Round(time.Millisecond).String() + "."
 	}
 	return &p
 }
 
 // abandonProblem returns the error that a caller gets for an abandoned request.
-func abandonProblem(abandon message.Abandon) *problem {
-	if abandon.Unknown {
+func abandonProblem(abandon message.AbortRequest) *problem {
+	if abandon.OutcomeUnknown {
 		return &problem{
 			state:   stateUnknownOutcome,
 			message: "outcome unknown: the work may or may not have been committed",
-			detail:  abandon.Why,
+			detail:  abandon.Reason,
 			hint:    "Look for its effect before it is sent again.",
 		}
 	}
 	return &problem{
 		state:   stateSerialization,
 		message: "the work was stopped and nothing of it was committed",
-		detail:  abandon.Why,
+		detail:  abandon.Reason,
 		hint:    "It may be sent again.",
 	}
 }
--- a/internal/edge/caller/relay.go
+++ b/internal/edge/caller/relay.go
@@ -120,10 +120,10 @@
 func (y *relay) setupRefused(frame postgres.Frame) {
 	y.o.setups = 0
 	y.r.conn.Taint()
-	y.refusal = &resultRefused{why: message.RefusedStale}
+	y.refusal = &resultRefused{why: message.NotStartedBrokenConnection}
 	var response pgproto3.ErrorResponse
 	if response.Decode(frame.Body()) == nil && response.Code == stateTerm {
-		y.refusal.why = message.RefusedTerm
+		y.refusal.why = message.NotStartedWrongTerm
 	}
 }
 
@@ -175,7 +175,7 @@
 	one := y.o.parses[0]
 	y.o.parses = y.o.parses[1:]
 	if one.statement.backend != "" {
-		y.r.conn.State.Prepared[one.statement.backend] = struct{}{}
+		y.r.conn.State.PreparedStatements[one.statement.backend] = struct{}{}
 	}
 	if !one.swallow {
 		y.s.statements.put(one.statement)
@@ -233,7 +233,7 @@
 		y.commit = y.commit.Max(position)
 		return nil
 	}
-	if position.Less(y.r.dispatch.Minimum) {
+	if position.Less(y.r.dispatch.MinPosition) {
 		return y.takeBehind()
 	}
 	return y.moveOn(ctx)
--- a/internal/edge/caller/relay_error.go
+++ b/internal/edge/caller/relay_error.go
@@ -15,7 +15,7 @@
 		return
 	}
 	y.failure = &response
-	y.r.conn.State.Unsure = y.r.conn.State.Unsure || y.wasSetUp
+	y.r.conn.State.GroupSettingsUncertain = y.r.conn.State.GroupSettingsUncertain || y.wasSetUp
 	// After an error the database skips the rest of an extended batch.
 	y.o.parses = nil
 	y.o.closes = nil
@@ -41,14 +41,14 @@
 }
 
 // refusedWhy tells whether an error is a word between database and proxy.
-func (y *relay) refusedWhy(state string) (message.RefusedWhy, bool) {
+func (y *relay) refusedWhy(state string) (message.NotStartedReason, bool) {
 	switch state {
 	case stateTerm:
-		return message.RefusedTerm, true
+		return message.NotStartedWrongTerm, true
 	case stateDuplicate:
-		return message.RefusedDuplicate, true
+		return message.NotStartedDuplicateKey, true
 	case stateReadOnly:
-		return message.RefusedReadOnly, y.r.dispatch.Access == model.AccessWrite
+		return message.NotStartedReadOnly, y.r.dispatch.Access == model.AccessWrite
 	}
 	return 0, false
 }
@@ -57,7 +57,7 @@
 // be run elsewhere any more.
 func (y *relay) rewritten(response pgproto3.ErrorResponse) *problem {
 	if response.Code == stateDuplicate && y.r.ownKey {
-		p := refusals[message.RefuseDuplicate]
+		p := refusals[message.RefuseDuplicateKey]
 		return p.with(response.Message)
 	}
 	return problemFenced.with(response.Message)
--- a/internal/edge/caller/render.go
+++ b/internal/edge/caller/render.go
@@ -68,30 +68,30 @@
 // prelude appends what sets the connection up for a dispatched request.
 func (o *outgoing) prelude(conn *database.Conn, d message.Dispatch, extended bool) {
 	state := &conn.State
-	if len(state.Prepared) > preparedLimit {
-		state.Dirty = true
+	if len(state.PreparedStatements) > preparedLimit {
+		state.NeedsReset = true
 	}
-	if state.Dirty {
+	if state.NeedsReset {
 		o.query("DISCARD ALL")
 		forget(state)
 	}
 	work := workOf(d)
-	if state.Work != work || state.Unsure {
+	if state.GroupWork != work || state.GroupSettingsUncertain {
 		o.setUp("SET group_work = '"+work+"'", extended)
-		state.Work = work
+		state.GroupWork = work
 	}
 	reads := d.Access == model.AccessRead
-	if state.Reads != reads || state.Unsure {
+	if state.GroupRead != reads || state.GroupSettingsUncertain {
 		o.setUp("SET group_read = '"+onOff(reads)+"'", extended)
-		state.Reads = reads
+		state.GroupRead = reads
 	}
-	state.Unsure = false
+	state.GroupSettingsUncertain = false
 }
 
 // forget sets the state of a connection after DISCARD ALL.
-func forget(state *database.State) {
-	clear(state.Prepared)
-	*state = database.State{Prepared: state.Prepared}
+func forget(state *database.SessionState) {
+	clear(state.PreparedStatements)
+	*state = database.SessionState{PreparedStatements: state.PreparedStatements}
 }
 
 func workOf(d message.Dispatch) string {
@@ -99,7 +99,7 @@
 	if d.Access == model.AccessRead {
 		return term + "/"
 	}
-	return term + "/" + d.Key
+	return term + "/" + d.IdempotencyKey
 }
 
 func onOff(on bool) string {
@@ -185,7 +185,7 @@
 	if one.backend == "" {
 		return false
 	}
-	_, found := conn.State.Prepared[one.backend]
+	_, found := conn.State.PreparedStatements[one.backend]
 	return found
 }
 
--- a/internal/edge/caller/request.go
+++ b/internal/edge/caller/request.go
@@ -56,34 +56,34 @@
 	s.current.Store(uint64(id))
 	key := h.key
 	if key == "" {
-		key = s.edge.options.Key + "-" + strconv.FormatUint(uint64(id), 10)
+		key = s.edge.options.IdempotencyKeyPrefix + "-" + strconv.FormatUint(uint64(id), 10)
 	}
 	requests.Add(1)
 	s.edge.sink.Post(message.RequestArrived{
-		Request:     id,
-		Session:     s.id,
-		Kind:        h.kind,
-		Key:         key,
-		OwnKey:      r.ownKey,
-		Transaction: b.runs() && b.traits.opensTransaction(),
-		Position:    h.token.Position,
-		Deadline:    h.deadline,
+		Request:           id,
+		Session:           s.id,
+		Kind:              h.kind,
+		IdempotencyKey:    key,
+		CallerSuppliedKey: r.ownKey,
+		Transaction:       b.runs() && b.traits.opensTransaction(),
+		TokenPosition:     h.token.Position,
+		Deadline:          h.deadline,
 	})
 	return r
 }
 
 // ended tells the core how the attempt ended.
-func (s *session) ended(r *request, answer message.Answer) {
+func (s *session) ended(r *request, answer message.Outcome) {
 	var elapsed time.Duration
 	if !r.sent.IsZero() {
 		elapsed = time.Since(r.sent)
 	}
-	s.edge.sink.Post(message.AnswerEnded{
-		Request: r.id,
-		Attempt: r.attempt,
-		Answer:  answer,
-		Elapsed: elapsed,
-		Opened:  r.opened,
+	s.edge.sink.Post(message.AttemptEnded{
+		Request:     r.id,
+		Attempt:     r.attempt,
+		Outcome:     answer,
+		Elapsed:     elapsed,
+		ConnectTime: r.opened,
 	})
 }
 
@@ -107,7 +107,7 @@
 // endCommitted ends a request whose connection was lost, and whose commit is
 // proven nevertheless. The answer to a COMMIT can be given; that to another
 // statement is lost with its rows.
-func (s *session) endCommitted(r *request, b *batch, a message.Acknowledge) error {
+func (s *session) endCommitted(r *request, b *batch, a message.AcknowledgeCommit) error {
 	s.endRequest(r)
 	s.resetOut()
 	s.giveToken(a.Token)
@@ -184,15 +184,15 @@
 	switch item := item.(type) {
 	case message.Dispatch:
 		concerns = item.Request == r.id && item.Attempt > r.attempt
-	case message.Refuse:
+	case message.RefuseRequest:
 		concerns = item.Request == r.id
-	case message.Abandon:
+	case message.AbortRequest:
 		concerns = item.Request == r.id
-	case message.Release:
+	case message.ReleaseResult:
 		concerns = item.Request == r.id && item.Attempt == r.attempt
-	case message.Drop:
+	case message.CloseConnection:
 		concerns = item.Request == r.id && item.Attempt == r.attempt
-	case message.Acknowledge:
+	case message.AcknowledgeCommit:
 		concerns = item.Request == r.id && item.Attempt == r.attempt
 	case callerGone:
 		s.withdraw(r)
--- a/internal/edge/caller/result.go
+++ b/internal/edge/caller/result.go
@@ -25,7 +25,7 @@
 type resultLost struct{ silent bool }
 
 // resultRefused: the database proved that it did not run the work.
-type resultRefused struct{ why message.RefusedWhy }
+type resultRefused struct{ why message.NotStartedReason }
 
 // resultBehind: the database's state is older than was asked for.
 type resultBehind struct{}
--- a/internal/edge/caller/session.go
+++ b/internal/edge/caller/session.go
@@ -26,7 +26,7 @@
 // and reads the backend connection while one is running, so that no row passes
 // from one goroutine to another.
 type session struct {
-	edge   *Edge
+	edge   *Server
 	id     model.SessionID
 	conn   net.Conn
 	reader *postgres.Reader
@@ -191,7 +191,7 @@
 	if s.request == nil {
 		return time.Time{}
 	}
-	return s.request.dispatch.Expires
+	return s.request.dispatch.Deadline
 }
 
 // idleItems looks at what has come for a session that waits for its caller.
@@ -205,23 +205,23 @@
 			break
 		}
 		switch item := item.(type) {
-		case message.Abandon:
+		case message.AbortRequest:
 			if s.owns(item.Request) {
 				s.why = abandonProblem(item)
-				s.breakTransaction(message.AnswerFailed{State: s.why.state})
+				s.breakTransaction(message.OutcomeDatabaseError{SQLState: s.why.state})
 			}
-		case message.Drop:
+		case message.CloseConnection:
 			if s.owns(item.Request) && s.request.attempt == item.Attempt {
 				s.why = problemFenced
-				s.breakTransaction(message.AnswerLost{Passed: true})
+				s.breakTransaction(message.OutcomeConnectionLost{PartlySent: true})
 			}
 		}
 	}
 	r := s.request
-	if r != nil && !time.Now().Before(r.dispatch.Expires) {
+	if r != nil && !time.Now().Before(r.dispatch.Deadline) {
 		s.edge.note(event.TransactionExpired, "session", s.id, "request", r.id)
 		s.why = problemIdle
-		s.breakTransaction(message.AnswerFailed{State: s.why.state})
+		s.breakTransaction(message.OutcomeDatabaseError{SQLState: s.why.state})
 	}
 	return nil
 }
@@ -230,7 +230,7 @@
 
 // breakTransaction rolls back an open transaction whose caller is idle. The
 // caller learns it with its next statement.
-func (s *session) breakTransaction(answer message.Answer) {
+func (s *session) breakTransaction(answer message.Outcome) {
 	r := s.request
 	s.dropConn(r)
 	s.ended(r, answer)
@@ -244,7 +244,7 @@
 	s.stopWatch()
 	if r := s.request; r != nil {
 		s.dropConn(r)
-		s.ended(r, message.AnswerFailed{State: stateProtocolViolation})
+		s.ended(r, message.OutcomeDatabaseError{SQLState: stateProtocolViolation})
 		s.endRequest(r)
 	}
 	var violation *ProtocolError
@@ -283,7 +283,7 @@
 // moveWriteDeadline gives the caller once to twice the time that it has to take
 // what is sent. Moving the deadline now and then only is cheaper.
 func (s *session) moveWriteDeadline() {
-	limit := s.edge.options.Write
+	limit := s.edge.options.WriteTimeout
 	now := time.Now()
 	if s.writeUntil.Sub(now) >= limit {
 		return
--- a/internal/edge/caller/session_test.go
+++ b/internal/edge/caller/session_test.go
@@ -148,14 +148,14 @@
 		name, text string
 		want       message.RequestArrived
 	}{
-		{"none", "select a", message.RequestArrived{Key: "i1-1"}},
+		{"none", "select a", message.RequestArrived{IdempotencyKey: "i1-1"}},
 		{
 			"comment", "select a /*kind='post',deadline='200ms',token='ratings%2F7:3'*/",
-			message.RequestArrived{Key: "i1-1", Kind: "post", Deadline: 200e6, Position: position(7, 3)},
+			message.RequestArrived{IdempotencyKey: "i1-1", Kind: "post", Deadline: 200e6, TokenPosition: position(7, 3)},
 		},
-		{"comment ahead", "/*key='finish-12'*/ INSERT x", message.RequestArrived{Key: "finish-12", OwnKey: true}},
-		{"transaction", "BEGIN /*kind='post'*/", message.RequestArrived{Key: "i1-1", Kind: "post", Transaction: true}},
-		{"start transaction", "start transaction", message.RequestArrived{Key: "i1-1", Transaction: true}},
+		{"comment ahead", "/*key='finish-12'*/ INSERT x", message.RequestArrived{IdempotencyKey: "finish-12", CallerSuppliedKey: true}},
+		{"transaction", "BEGIN /*kind='post'*/", message.RequestArrived{IdempotencyKey: "i1-1", Kind: "post", Transaction: true}},
+		{"start transaction", "start transaction", message.RequestArrived{IdempotencyKey: "i1-1", Transaction: true}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -281,7 +281,7 @@
 
 // TestLimits sends more than a session may.
 func TestLimits(t *testing.T) {
-	small := func(_ *bench, options *Options) { options.Message = 1000 }
+	small := func(_ *bench, options *Options) { options.MaxMessageSize = 1000 }
 	long := strings.Repeat("x", 2000)
 	t.Run("message", func(t *testing.T) {
 		caller := startRaw(t, newBench(t, small))
@@ -300,7 +300,7 @@
 		}
 	})
 	t.Run("sessions", func(t *testing.T) {
-		b := newBench(t, func(_ *bench, options *Options) { options.Sessions = 1 })
+		b := newBench(t, func(_ *bench, options *Options) { options.MaxSessions = 1 })
 		startRaw(t, b)
 		caller := dialRaw(t, b)
 		caller.send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "a"}})
--- a/internal/edge/caller/settings.go
+++ b/internal/edge/caller/settings.go
@@ -70,25 +70,25 @@
 // connection is of no use. Nothing of the caller's work was sent by then.
 func (s *session) replay(conn *database.Conn) (*problem, error) {
 	state := &conn.State
-	if state.Settings == s.settings.joined && !state.Dirty {
+	if state.CallerSettings == s.settings.joined && !state.NeedsReset {
 		return nil, nil
 	}
-	if state.Settings != "" {
-		state.Dirty = true
+	if state.CallerSettings != "" {
+		state.NeedsReset = true
 	}
 	if len(s.settings.list) == 0 {
 		return nil, nil
 	}
 	o := &s.work.outgoing
 	o.reset()
-	if state.Dirty {
+	if state.NeedsReset {
 		o.query("DISCARD ALL")
 		forget(state)
 	}
 	for _, one := range s.settings.list {
 		o.query(one.text)
 	}
-	state.Settings = s.settings.joined
+	state.CallerSettings = s.settings.joined
 	return s.runPreludes(conn, o)
 }
 
@@ -108,7 +108,7 @@
 		}
 		if frame.Type == 'E' && refused == nil {
 			refused = databaseProblem(frame)
-			conn.State.Dirty = true
+			conn.State.NeedsReset = true
 		}
 		y.takePrelude(frame)
 	}
@@ -126,7 +126,7 @@
 	}
 	s.settings.put(setting{name: command.name, text: command.text})
 	if r.conn != nil {
-		r.conn.State.Settings = s.settings.joined
+		r.conn.State.CallerSettings = s.settings.joined
 	}
 }
 
--- a/internal/edge/caller/standin_test.go
+++ b/internal/edge/caller/standin_test.go
@@ -26,12 +26,12 @@
 )
 
 // newStandinBench starts an edge before a stand-in database.
-func newStandinBench(t testing.TB, connections int) (*Edge, *standin.Database) {
+func newStandinBench(t testing.TB, connections int) (*Server, *standin.Database) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	any := netip.MustParseAddrPort("127.0.0.1:0")
 	db := standin.NewDatabase(standin.Options{
-		Name: testDatabase, Group: testGroup, Listen: any, Admin: any,
+		Name: testDatabase, Group: testGroup, Listen: any, AdminListen: any,
 		Slots: connections, Connections: connections + 10, Primary: true, Term: 7,
 	})
 	dbGone, err := db.Start(ctx)
@@ -43,18 +43,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	pool.Act(message.SetDatabases{Databases: []message.DatabaseTarget{{
+	pool.HandleAction(message.SetDatabases{Databases: []message.DatabaseTarget{{
 		Database: testDatabase, Group: testGroup, Address: db.Address(), Connections: connections,
 	}}})
 	core := &fakeCore{
 		keys:     map[model.RequestID]string{},
-		ended:    make(chan message.AnswerEnded),
+		ended:    make(chan message.AttemptEnded),
 		quiet:    true,
-		dispatch: message.Dispatch{Database: testDatabase, Term: 7, Gated: true, Access: model.AccessWrite},
+		dispatch: message.Dispatch{Database: testDatabase, Term: 7, HoldUntilDurable: true, Access: model.AccessWrite},
 	}
-	edge := NewEdge(Options{Listen: any, Key: "i1", Trust: true}, pool, core, logr.Discard())
+	edge := NewServer(Options{ListenAddress: any, IdempotencyKeyPrefix: "i1", Trust: true}, pool, core, logr.Discard())
 	core.edge = edge
-	edge.Act(message.Proven{Group: testGroup, Position: model.Position{Term: 7, Offset: 1 << 60}})
+	edge.HandleAction(message.SetDurablePosition{Group: testGroup, Position: model.Position{Term: 7, Offset: 1 << 60}})
 	edgeGone, err := edge.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
@@ -112,7 +112,7 @@
 }
 
 // openSQL opens the edge by database/sql with ordinary settings.
-func openSQL(t *testing.T, edge *Edge) *sql.DB {
+func openSQL(t *testing.T, edge *Server) *sql.DB {
 	t.Helper()
 	pool, err := sql.Open("pgx", "postgres://officer@"+edge.Address().String()+"/ratings?sslmode=disable")
 	if err != nil {
--- a/internal/edge/caller/startup.go
+++ b/internal/edge/caller/startup.go
@@ -43,7 +43,7 @@
 }
 
 // serve takes a connection from its first byte to its end.
-func (e *Edge) serve(ctx context.Context, conn net.Conn) {
+func (e *Server) serve(ctx context.Context, conn net.Conn) {
 	h := &hello{conn: conn, reader: postgres.NewReader(conn, passwordLimit)}
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(aLongTimeAgo) })
 	s, err := e.greet(h)
@@ -59,15 +59,15 @@
 }
 
 // serveSession runs a session that was let in.
-func (e *Edge) serveSession(ctx context.Context, s *session) {
+func (e *Server) serveSession(ctx context.Context, s *session) {
 	sessionsOpen.Add(1)
 	e.note(event.SessionOpened, "session", s.id, "group", s.group, "caller", s.caller)
 	e.sink.Post(message.SessionOpened{
-		Session:  s.id,
-		Group:    s.group,
-		Caller:   s.caller,
-		Position: s.hint.token.Position,
-		Roaming:  s.hint.roaming,
+		Session:       s.id,
+		Group:         s.group,
+		Caller:        s.caller,
+		TokenPosition: s.hint.token.Position,
+		Roaming:       s.hint.roaming,
 	})
 	reason := s.run(ctx)
 	e.remove(s)
@@ -78,7 +78,7 @@
 
 // greet goes through the startup, and returns the session that came of it, or
 // nil after a cancel request.
-func (e *Edge) greet(h *hello) (*session, error) {
+func (e *Server) greet(h *hello) (*session, error) {
 	err := h.conn.SetDeadline(time.Now().Add(startTimeout))
 	if err != nil {
 		return nil, err
@@ -100,15 +100,15 @@
 		e.remove(s)
 		return nil, err
 	}
-	h.reader.SetLimit(e.options.Message)
+	h.reader.SetLimit(e.options.MaxMessageSize)
 	return s, nil
 }
 
 // readStartup reads startup packets until one is a startup message or a cancel
 // request.
-func (e *Edge) readStartup(h *hello) error {
+func (e *Server) readStartup(h *hello) error {
 	for {
-		body, err := h.reader.Startup()
+		body, err := h.reader.NextStartupPacket()
 		if err != nil {
 			return err
 		}
@@ -139,7 +139,7 @@
 }
 
 // secure answers a request for TLS.
-func (e *Edge) secure(h *hello) error {
+func (e *Server) secure(h *hello) error {
 	if e.options.TLS == nil || h.secured {
 		_, err := h.conn.Write([]byte{'N'})
 		return err
@@ -164,7 +164,7 @@
 }
 
 // admit decides whether a caller may have a session.
-func (e *Edge) admit(h *hello) (*session, *problem) {
+func (e *Server) admit(h *hello) (*session, *problem) {
 	if e.draining.Load() {
 		return nil, problemEnding
 	}
@@ -177,13 +177,13 @@
 		return nil, refused
 	}
 	if !e.add(s) {
-		return nil, limitProblem(e.options.Sessions)
+		return nil, limitProblem(e.options.MaxSessions)
 	}
 	return s, nil
 }
 
 // newSession reads the startup parameters.
-func (e *Edge) newSession(h *hello) (*session, *problem) {
+func (e *Server) newSession(h *hello) (*session, *problem) {
 	parameters := h.startup.Parameters
 	group := parameters["database"]
 	if group == "" {
@@ -244,10 +244,10 @@
 }
 
 // welcome returns what tells a caller that it may begin.
-func (e *Edge) welcome(h *hello, s *session) []byte {
+func (e *Server) welcome(h *hello, s *session) []byte {
 	out, _ := (&pgproto3.AuthenticationOk{}).Encode(nil)
 	for _, status := range []pgproto3.ParameterStatus{
-		{Name: "server_version", Value: e.options.Version},
+		{Name: "server_version", Value: e.options.ServerVersion},
 		{Name: "server_encoding", Value: "UTF8"},
 		{Name: "client_encoding", Value: "UTF8"},
 		{Name: "DateStyle", Value: "ISO, MDY"},
@@ -268,17 +268,17 @@
 // The table of sessions.
 
 // add takes a session in, unless there are too many.
-func (e *Edge) add(s *session) bool {
+func (e *Server) add(s *session) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.sessions) >= e.options.Sessions {
+	if len(e.sessions) >= e.options.MaxSessions {
 		return false
 	}
 	e.sessions[s.id] = s
 	return true
 }
 
-func (e *Edge) remove(s *session) {
+func (e *Server) remove(s *session) {
 	e.mu.Lock()
 	delete(e.sessions, s.id)
 	e.mu.Unlock()
--- a/internal/edge/caller/startup_test.go
+++ b/internal/edge/caller/startup_test.go
@@ -76,7 +76,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			b := newBench(t, func(_ *bench, options *Options) {
-				test.options.Listen, test.options.Key = options.Listen, options.Key
+				test.options.ListenAddress, test.options.IdempotencyKeyPrefix = options.ListenAddress, options.IdempotencyKeyPrefix
 				*options = test.options
 			})
 			url := "postgres://" + test.user + "@" + b.edge.Address().String() + "/ratings?sslmode=" + test.mode
@@ -98,11 +98,11 @@
 // TestSettingsRefused gives settings that don't go together.
 func TestSettingsRefused(t *testing.T) {
 	for name, options := range map[string]Options{
-		"TLS without certificate": {Key: "i1", RequireTLS: true},
+		"TLS without certificate": {IdempotencyKeyPrefix: "i1", RequireTLS: true},
 		"no key":                  {},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := NewEdge(options, nil, nil, logr.Discard()).Start(context.Background())
+			_, err := NewServer(options, nil, nil, logr.Discard()).Start(context.Background())
 			var fault *OptionsError
 			if !errors.As(err, &fault) {
 				t.Errorf("got %v", err)
@@ -123,7 +123,7 @@
 	}
 	for _, text := range []string{"", "regatta", "pbkdf2-sha256$0$AA$AA", "pbkdf2-sha256$1$AA$AA", "md5$1$AAAAAAAAAAAAAAAAAAAAAA$AA"} {
 		_, err = ParsePasswordHash(text)
-		var fault *HashError
+		var fault *PasswordHashError
 		if !errors.As(err, &fault) {
 			t.Errorf("%q is taken", text)
 		}
@@ -186,7 +186,7 @@
 	f.Add(append(encode(), 'B', 0, 0, 0, 5, 'x'))
 	f.Add(append(encode(), 'Q', 0, 0, 0, 5, 'x'))
 	core := &fakeCore{keys: map[model.RequestID]string{}, quiet: true}
-	edge := NewEdge(Options{Listen: netip.AddrPort{}, Key: "i1", Trust: true, Message: 1 << 16}, nil, refusingCore{core}, logr.Discard())
+	edge := NewServer(Options{ListenAddress: netip.AddrPort{}, IdempotencyKeyPrefix: "i1", Trust: true, MaxMessageSize: 1 << 16}, nil, refusingCore{core}, logr.Discard())
 	core.edge = edge
 	f.Fuzz(func(_ *testing.T, raw []byte) {
 		near, far := net.Pipe()
--- a/internal/edge/caller/transaction_test.go
+++ b/internal/edge/caller/transaction_test.go
@@ -15,18 +15,18 @@
 // TestTransactionFaults runs BEGIN, INSERT x, select y, COMMIT against a fault
 // at each of them. The steps give the SQLSTATE of each statement.
 func TestTransactionFaults(t *testing.T) {
-	broken := message.AnswerLost{Passed: true}
-	unsure := message.AnswerLost{Passed: true, Committing: true}
+	broken := message.OutcomeConnectionLost{PartlySent: true}
+	unsure := message.OutcomeConnectionLost{PartlySent: true, MayHaveCommitted: true}
 	fenced := func(c *fakeConn) { c.fail("EG002", "term is 8") }
 	cases := []struct {
 		name     string
 		at       string
 		answer   func(c *fakeConn)
 		want     []string
-		answered message.Answer
+		answered message.Outcome
 	}{
-		{"none", "", nil, []string{"", "", "", ""}, message.AnswerCommitted{Position: model.Position{Term: 7, Offset: 101}}},
-		{"cut at BEGIN", "BEGIN", (*fakeConn).cut, []string{"40001"}, message.AnswerLost{}},
+		{"none", "", nil, []string{"", "", "", ""}, message.OutcomeCommitted{Position: model.Position{Term: 7, Offset: 101}}},
+		{"cut at BEGIN", "BEGIN", (*fakeConn).cut, []string{"40001"}, message.OutcomeConnectionLost{}},
 		{"cut at INSERT", "INSERT x", (*fakeConn).cut, []string{"", "40001", "25P02", ""}, broken},
 		{
 			"cut after a row", "select y", func(c *fakeConn) { c.describe(); c.shown(); c.row("y"); c.cut() },
@@ -38,22 +38,22 @@
 		{
 			"fenced at INSERT", "INSERT x", fenced,
 			[]string{"", "40001", "25P02", ""},
-			message.AnswerFailed{State: "40001"},
+			message.OutcomeDatabaseError{SQLState: "40001"},
 		},
 		{
 			"fenced at COMMIT", "COMMIT", func(c *fakeConn) { c.fail("EG002", "term is 8"); c.status = 'I' },
 			[]string{"", "", "", "40001"},
-			message.AnswerFailed{State: "40001"},
+			message.OutcomeDatabaseError{SQLState: "40001"},
 		},
 		{
 			"settled at COMMIT", "COMMIT", func(c *fakeConn) { c.fail("EG003", "forbidden"); c.status = 'I' },
 			[]string{"", "", "", "40001"},
-			message.AnswerFailed{State: "40001"},
+			message.OutcomeDatabaseError{SQLState: "40001"},
 		},
 		{
 			"error", "select y", func(c *fakeConn) { c.shown(); c.fail("22012", "division by zero") },
 			[]string{"", "", "22012", ""},
-			message.AnswerFailed{State: "22012"},
+			message.OutcomeDatabaseError{SQLState: "22012"},
 		},
 	}
 	for _, test := range cases {
@@ -75,7 +75,7 @@
 				t.Error(diff)
 			}
 			ended := <-b.core.ended
-			if diff := cmp.Diff(test.answered, ended.Answer); diff != "" {
+			if diff := cmp.Diff(test.answered, ended.Outcome); diff != "" {
 				t.Error(diff)
 			}
 			if status := conn.PgConn().TxStatus(); status != 'I' {
@@ -112,9 +112,9 @@
 		if !ok || !arrived.Transaction {
 			return false
 		}
-		b.core.edge.Act(message.Dispatch{
-			Request: arrived.Request, Attempt: 1, Database: testDatabase, Term: 7, Key: arrived.Key,
-			Expires: time.Now().Add(300 * time.Millisecond),
+		b.core.edge.HandleAction(message.Dispatch{
+			Request: arrived.Request, Attempt: 1, Database: testDatabase, Term: 7, IdempotencyKey: arrived.IdempotencyKey,
+			Deadline: time.Now().Add(300 * time.Millisecond),
 		})
 		return true
 	}
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	ended := <-b.core.ended
-	if diff := cmp.Diff(message.Answer(message.AnswerFailed{State: "25P03"}), ended.Answer); diff != "" {
+	if diff := cmp.Diff(message.Outcome(message.OutcomeDatabaseError{SQLState: "25P03"}), ended.Outcome); diff != "" {
 		t.Error(diff)
 	}
 	var got []string
@@ -149,8 +149,8 @@
 	}
 	conn.Close(context.Background())
 	ended := <-b.core.ended
-	if _, failed := ended.Answer.(message.AnswerFailed); !failed {
-		t.Errorf("got %#v", ended.Answer)
+	if _, failed := ended.Outcome.(message.OutcomeDatabaseError); !failed {
+		t.Errorf("got %#v", ended.Outcome)
 	}
 }
 
@@ -182,12 +182,12 @@
 					c.complete("SELECT 1")
 				})
 				b.core.hook = func(event message.Event) bool {
-					ended, ok := event.(message.AnswerEnded)
+					ended, ok := event.(message.AttemptEnded)
 					if !ok {
 						return false
 					}
-					switch ended.Answer.(type) {
-					case message.AnswerRefused, message.AnswerLost:
+					switch ended.Outcome.(type) {
+					case message.OutcomeNotStarted, message.OutcomeConnectionLost:
 						b.core.send(ended.Request, ended.Attempt+1)
 						return true
 					}
--- a/internal/edge/database/check.go
+++ b/internal/edge/database/check.go
@@ -29,16 +29,16 @@
 	err   error
 }
 
-// Check asks a database on a new connection how many statements it is running,
+// RunningStatements asks a database on a new connection how many statements it is running,
 // several times, and returns the least. The question takes no slot: a database
 // that is merely busy answers it. Where it returns zero, a statement that was
 // sent before since was not running at that moment. Checks of one database at
-// the same time are one. Its error is a *CheckError: the database does not
+// the same time are one. Its error is a *UnresponsiveError: the database does not
 // answer at all.
-func (p *Pool) Check(ctx context.Context, database model.DatabaseID, since time.Time, timeout time.Duration) (int, error) {
+func (p *Pool) RunningStatements(ctx context.Context, database model.DatabaseID, since time.Time, timeout time.Duration) (int, error) {
 	s := p.subpool(database)
 	if s == nil {
-		return 0, &CheckError{Database: database, Cause: &StatusError{Detail: "not known"}}
+		return 0, &UnresponsiveError{Database: database, Cause: &StatusDecodeError{Detail: "not known"}}
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -51,7 +51,7 @@
 		select {
 		case <-running.done:
 		case <-ctx.Done():
-			return 0, &CheckError{Database: database, Cause: ctx.Err()}
+			return 0, &UnresponsiveError{Database: database, Cause: ctx.Err()}
 		}
 		if !running.begun.Before(since) {
 			return running.busy, running.err
@@ -75,7 +75,7 @@
 	var err error
 	c.busy, err = s.askBusy(ctx)
 	if err != nil {
-		c.err = &CheckError{Database: s.database, Cause: err}
+		c.err = &UnresponsiveError{Database: s.database, Cause: err}
 	}
 	s.mu.Lock()
 	s.checking = nil
@@ -118,7 +118,7 @@
 		return 0, err
 	}
 	if len(results) != 1 || len(results[0].Rows) != 1 || len(results[0].Rows[0]) < statusColumns {
-		return 0, &StatusError{Detail: "not one row of its columns"}
+		return 0, &StatusDecodeError{Detail: "not one row of its columns"}
 	}
 	return strconv.Atoi(string(results[0].Rows[0][busyColumn]))
 }
--- a/internal/edge/database/conn.go
+++ b/internal/edge/database/conn.go
@@ -21,7 +21,7 @@
 	// Reader cuts the database's answers into frames.
 	Reader *postgres.Reader
 	// State tells what the connection's server side remembers.
-	State State
+	State SessionState
 
 	net     net.Conn
 	subpool *subpool
@@ -42,24 +42,24 @@
 	peekBuffer [1]byte
 }
 
-// State is what the server side of a connection remembers. Its holder keeps it
+// SessionState is what the server side of a connection remembers. Its holder keeps it
 // up to date; the pool only carries it.
-type State struct {
-	// Work is the value of the setting group_work.
-	Work string
-	// Reads says that the setting group_read is on.
-	Reads bool
-	// Unsure says that Work and Reads may not be in force: the transaction
+type SessionState struct {
+	// GroupWork is the value of the setting group_work.
+	GroupWork string
+	// GroupRead says that the setting group_read is on.
+	GroupRead bool
+	// GroupSettingsUncertain says that Work and Reads may not be in force: the transaction
 	// that set them has failed.
-	Unsure bool
-	// Prepared holds the names of the prepared statements.
-	Prepared map[string]struct{}
-	// Settings is the text of the callers' settings that are in force; empty
+	GroupSettingsUncertain bool
+	// PreparedStatements holds the names of the prepared statements.
+	PreparedStatements map[string]struct{}
+	// CallerSettings is the text of the callers' settings that are in force; empty
 	// where there are none. Sessions with the same settings share the
 	// connection.
-	Settings string
-	// Dirty says that the connection has to be reset before its next use.
-	Dirty bool
+	CallerSettings string
+	// NeedsReset says that the connection has to be reset before its next use.
+	NeedsReset bool
 }
 
 // Write sends b whole, or fails within once to twice the timeout. It returns how
--- a/internal/edge/database/errors.go
+++ b/internal/edge/database/errors.go
@@ -10,7 +10,7 @@
 // AcquireError reports that no connection could be had. Nothing was sent.
 type AcquireError struct {
 	Database model.DatabaseID
-	Why      message.RefusedWhy
+	Reason   message.NotStartedReason
 	// Cause is the failure below, or nil.
 	Cause error
 }
@@ -18,30 +18,30 @@
 // Error implements error.
 func (e *AcquireError) Error() string {
 	if e.Cause == nil {
-		return fmt.Sprintf("no connection to database %s: %s", e.Database, e.Why)
+		return fmt.Sprintf("no connection to database %s: %s", e.Database, e.Reason)
 	}
-	return fmt.Sprintf("no connection to database %s: %s: %v", e.Database, e.Why, e.Cause)
+	return fmt.Sprintf("no connection to database %s: %s: %v", e.Database, e.Reason, e.Cause)
 }
 
 // Unwrap returns the cause.
 func (e *AcquireError) Unwrap() error { return e.Cause }
 
-// CheckError reports that a database did not answer on a new connection.
-type CheckError struct {
+// UnresponsiveError reports that a database did not answer on a new connection.
+type UnresponsiveError struct {
 	Database model.DatabaseID
 	Cause    error
 }
 
 // Error implements error.
-func (e *CheckError) Error() string {
+func (e *UnresponsiveError) Error() string {
 	return fmt.Sprintf("database %s does not answer on a new connection: %v", e.Database, e.Cause)
 }
 
 // Unwrap returns the cause.
-func (e *CheckError) Unwrap() error { return e.Cause }
+func (e *UnresponsiveError) Unwrap() error { return e.Cause }
 
-// StatusError reports an answer to a status question that can't be read.
-type StatusError struct{ Detail string }
+// StatusDecodeError reports an answer to a status question that can't be read.
+type StatusDecodeError struct{ Detail string }
 
 // Error implements error.
-func (e *StatusError) Error() string { return "status of the database: " + e.Detail }
+func (e *StatusDecodeError) Error() string { return "status of the database: " + e.Detail }
--- a/internal/edge/database/open.go
+++ b/internal/edge/database/open.go
@@ -65,8 +65,8 @@
 	}
 	conn := &Conn{
 		Database: s.database,
-		Reader:   postgres.NewBusyReader(opened.Conn, s.pool.options.Message),
-		State:    State{Prepared: map[string]struct{}{}},
+		Reader:   postgres.NewRetainingReader(opened.Conn, s.pool.options.MaxMessageBytes),
+		State:    SessionState{PreparedStatements: map[string]struct{}{}},
 		net:      opened.Conn,
 		subpool:  s,
 		address:  target.Address,
@@ -78,18 +78,18 @@
 }
 
 // refusedWhy tells what a failed connect means.
-func refusedWhy(err error) message.RefusedWhy {
+func refusedWhy(err error) message.NotStartedReason {
 	var answer *pgconn.PgError
 	if !errors.As(err, &answer) {
-		return message.RefusedUnreachable
+		return message.NotStartedUnreachable
 	}
 	switch answer.Code {
 	case stateTooMany:
-		return message.RefusedFull
+		return message.NotStartedTooManyConnections
 	case stateShutdown, stateCrashShutdown, stateCannotConnect:
-		return message.RefusedLeaving
+		return message.NotStartedShuttingDown
 	}
-	return message.RefusedUnreachable
+	return message.NotStartedUnreachable
 }
 
 // Cancel asks the database to cancel the statement that runs on c, on a
--- a/internal/edge/database/pool.go
+++ b/internal/edge/database/pool.go
@@ -22,7 +22,7 @@
 //
 //	pool := database.NewPool(database.PoolOptions{User: "eelgrassfold"}, log)
 //	ended, err := pool.Start(ctx)
-//	pool.Act(message.SetDatabases{Databases: targets})
+//	pool.HandleAction(message.SetDatabases{Databases: targets})
 //	conn, err := pool.Acquire(ctx, "ratings-a", expires)
 //	...
 //	pool.Release(conn)
@@ -67,9 +67,9 @@
 	Password string
 	// TLS is the setting for the connections; nil for none.
 	TLS *tls.Config
-	// Message is the greatest message that is taken from a database, in
+	// MaxMessageBytes is the greatest message that is taken from a database, in
 	// bytes; zero for 64 MiB.
-	Message int
+	MaxMessageBytes int
 }
 
 // Pool holds the data connections of all databases.
@@ -83,8 +83,8 @@
 
 // NewPool returns a pool that knows no database yet.
 func NewPool(options PoolOptions, log logr.Logger) *Pool {
-	if options.Message == 0 {
-		options.Message = messageLimit
+	if options.MaxMessageBytes == 0 {
+		options.MaxMessageBytes = messageLimit
 	}
 	return &Pool{options: options, log: log, subpools: map[model.DatabaseID]*subpool{}}
 }
@@ -100,8 +100,8 @@
 	return ended, nil
 }
 
-// Act takes SetDatabases, and reports whether action was that.
-func (p *Pool) Act(action message.Action) bool {
+// HandleAction takes SetDatabases, and reports whether action was that.
+func (p *Pool) HandleAction(action message.Action) bool {
 	set, ok := action.(message.SetDatabases)
 	if !ok {
 		return false
@@ -116,7 +116,7 @@
 func (p *Pool) Acquire(ctx context.Context, database model.DatabaseID, expires time.Time) (*Conn, time.Duration, error) {
 	s := p.subpool(database)
 	if s == nil {
-		return nil, 0, &AcquireError{Database: database, Why: message.RefusedUnreachable}
+		return nil, 0, &AcquireError{Database: database, Reason: message.NotStartedUnreachable}
 	}
 	return s.acquire(ctx, expires)
 }
@@ -138,10 +138,10 @@
 	c.subpool.forget()
 }
 
-// Distrust closes the idle connections to the database of c that were not used
+// CloseIdle closes the idle connections to the database of c that were not used
 // after since: c was found silent, and whatever has lost track of it has most
 // likely lost track of those as well. The ones used later are spared.
-func (p *Pool) Distrust(c *Conn, since time.Time) { c.subpool.closeIdle(since) }
+func (p *Pool) CloseIdle(c *Conn, since time.Time) { c.subpool.closeIdle(since) }
 
 func (p *Pool) subpool(database model.DatabaseID) *subpool {
 	p.mu.Lock()
--- a/internal/edge/database/pool_test.go
+++ b/internal/edge/database/pool_test.go
@@ -139,7 +139,7 @@
 func (s *server) address() netip.AddrPort { return s.listener.Addr().(*net.TCPAddr).AddrPort() }
 
 func set(pool *Pool, address netip.AddrPort, connections int, leaving bool) {
-	pool.Act(message.SetDatabases{Databases: []message.DatabaseTarget{
+	pool.HandleAction(message.SetDatabases{Databases: []message.DatabaseTarget{
 		{Database: "a", Group: "ratings", Address: address, Connections: connections, Leaving: leaving},
 	}})
 }
@@ -154,10 +154,10 @@
 }
 
 // whyOf returns the reason of an *AcquireError, or -1.
-func whyOf(err error) message.RefusedWhy {
+func whyOf(err error) message.NotStartedReason {
 	var refused *AcquireError
 	if errors.As(err, &refused) {
-		return refused.Why
+		return refused.Reason
 	}
 	return -1
 }
@@ -193,7 +193,7 @@
 			set(pool, s.address(), 2, false)
 		}, 2},
 		{"taken away and named again", func(s *server, pool *Pool, conn *Conn) {
-			pool.Act(message.SetDatabases{})
+			pool.HandleAction(message.SetDatabases{})
 			pool.Release(conn)
 			set(pool, s.address(), 2, false)
 		}, 2},
@@ -216,15 +216,15 @@
 	cases := []struct {
 		name   string
 		change func(s *server, pool *Pool)
-		want   message.RefusedWhy
+		want   message.NotStartedReason
 	}{
-		{"full", func(s *server, _ *Pool) { s.refuse = "53300" }, message.RefusedFull},
-		{"shutting down", func(s *server, _ *Pool) { s.refuse = "57P01" }, message.RefusedLeaving},
-		{"starting", func(s *server, _ *Pool) { s.refuse = "57P03" }, message.RefusedLeaving},
-		{"another error", func(s *server, _ *Pool) { s.refuse = "28000" }, message.RefusedUnreachable},
-		{"gone", func(s *server, _ *Pool) { s.listener.Close() }, message.RefusedUnreachable},
-		{"leaving", func(s *server, pool *Pool) { set(pool, s.address(), 2, true) }, message.RefusedLeaving},
-		{"taken away", func(_ *server, pool *Pool) { pool.Act(message.SetDatabases{}) }, message.RefusedLeaving},
+		{"full", func(s *server, _ *Pool) { s.refuse = "53300" }, message.NotStartedTooManyConnections},
+		{"shutting down", func(s *server, _ *Pool) { s.refuse = "57P01" }, message.NotStartedShuttingDown},
+		{"starting", func(s *server, _ *Pool) { s.refuse = "57P03" }, message.NotStartedShuttingDown},
+		{"another error", func(s *server, _ *Pool) { s.refuse = "28000" }, message.NotStartedUnreachable},
+		{"gone", func(s *server, _ *Pool) { s.listener.Close() }, message.NotStartedUnreachable},
+		{"leaving", func(s *server, pool *Pool) { set(pool, s.address(), 2, true) }, message.NotStartedShuttingDown},
+		{"taken away", func(_ *server, pool *Pool) { pool.HandleAction(message.SetDatabases{}) }, message.NotStartedShuttingDown},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -245,7 +245,7 @@
 func TestUnknownDatabase(t *testing.T) {
 	pool := newPool(t, newServer(t))
 	_, _, err := pool.Acquire(context.Background(), "b", time.Now().Add(time.Minute))
-	if diff := cmp.Diff(message.RefusedUnreachable, whyOf(err)); diff != "" {
+	if diff := cmp.Diff(message.NotStartedUnreachable, whyOf(err)); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -262,7 +262,7 @@
 			pool := newPool(t, s)
 			first, second := take(t, pool), take(t, pool)
 			_, _, err := pool.Acquire(context.Background(), "a", time.Now())
-			if diff := cmp.Diff(message.RefusedFull, whyOf(err)); diff != "" {
+			if diff := cmp.Diff(message.NotStartedTooManyConnections, whyOf(err)); diff != "" {
 				t.Error(diff)
 			}
 			got := make(chan error, 1)
@@ -311,7 +311,7 @@
 	pool.Release(before)
 	since := time.Now()
 	pool.Release(after)
-	pool.Distrust(after, since)
+	pool.CloseIdle(after, since)
 	first, second := take(t, pool), take(t, pool)
 	if first != after || second == before {
 		t.Errorf("used again: the later one %v, the earlier one %v", first == after, second == before)
--- a/internal/edge/database/subpool.go
+++ b/internal/edge/database/subpool.go
@@ -63,7 +63,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.retired || s.current.Leaving {
-		return nil, false, &AcquireError{Database: s.database, Why: message.RefusedLeaving}
+		return nil, false, &AcquireError{Database: s.database, Reason: message.NotStartedShuttingDown}
 	}
 	if n := len(s.idle); n > 0 {
 		conn := s.idle[n-1]
@@ -85,7 +85,7 @@
 	if err != nil {
 		s.forget()
 		openFailures.Add(1)
-		return nil, opened, &AcquireError{Database: s.database, Why: refusedWhy(err), Cause: err}
+		return nil, opened, &AcquireError{Database: s.database, Reason: refusedWhy(err), Cause: err}
 	}
 	opens.Add(1)
 	return conn, opened, nil
@@ -113,7 +113,7 @@
 		cause = ctx.Err()
 	}
 	s.withdraw(turn)
-	return nil, &AcquireError{Database: s.database, Why: message.RefusedFull, Cause: cause}
+	return nil, &AcquireError{Database: s.database, Reason: message.NotStartedTooManyConnections, Cause: cause}
 }
 
 // withdraw gives up a turn; what has come with it meanwhile goes on.
--- a/internal/edge/group/connection.go
+++ b/internal/edge/group/connection.go
@@ -116,9 +116,9 @@
 				return errors.WithStack(err)
 			}
 		case *pgproto3.ErrorResponse:
-			return &StatementError{State: answer.Code, Message: answer.Message}
+			return &StatementError{SQLState: answer.Code, Message: answer.Message}
 		default:
-			return &ProtocolError{Where: "startup", Got: fmt.Sprintf("%T", answer)}
+			return &ProtocolError{Step: "startup", MessageType: fmt.Sprintf("%T", answer)}
 		}
 	}
 }
@@ -148,17 +148,17 @@
 			names = columnNames(answer)
 		case *pgproto3.DataRow:
 			if found != nil || len(answer.Values) != len(names) {
-				return nil, &ProtocolError{Where: "answer", Got: "a row too many or of another length"}
+				return nil, &ProtocolError{Step: "answer", MessageType: "a row too many or of another length"}
 			}
 			found = newRow(names, answer.Values)
 		case *pgproto3.ErrorResponse:
-			refusal = &StatementError{State: answer.Code, Message: answer.Message}
+			refusal = &StatementError{SQLState: answer.Code, Message: answer.Message}
 		case *pgproto3.ReadyForQuery:
 			return c.finish(found, refusal)
 		case *pgproto3.CommandComplete, *pgproto3.ParameterStatus, *pgproto3.NoticeResponse:
 			continue
 		default:
-			return nil, &ProtocolError{Where: "answer", Got: fmt.Sprintf("%T", answer)}
+			return nil, &ProtocolError{Step: "answer", MessageType: fmt.Sprintf("%T", answer)}
 		}
 	}
 }
@@ -169,7 +169,7 @@
 		return nil, refusal
 	}
 	if found == nil {
-		return nil, &ProtocolError{Where: "answer", Got: "no row"}
+		return nil, &ProtocolError{Step: "answer", MessageType: "no row"}
 	}
 	return found, nil
 }
--- a/internal/edge/group/edge.go
+++ b/internal/edge/group/edge.go
@@ -6,9 +6,9 @@
 // Probe, Await, Fence, Promote, Follow and Settle flow in, and SetDatabases
 // tells where the databases are. Each question is one statement of the
 // PostgreSQL protocol on a control connection (docs/design/
-// database-protocol.md). For each question exactly one DatabaseAnswered or
-// SettleAnswered flows out: the database's answer, or AskTimeout when the
-// question's time is over, or AskUnreachable when there is no connection.
+// database-protocol.md). For each question exactly one ControlAnswered or
+// InDoubtResolved flows out: the database's answer, or ControlTimeout when the
+// question's time is over, or ControlUnreachable when there is no connection.
 //
 // Each database has two lanes with a connection each, opened with the first
 // question: one for questions that are answered at once, and one for Await,
@@ -30,8 +30,8 @@
 //
 //	edge := group.NewEdge(group.Options{User: "eelgrassfold"}, sink, log)
 //	ended, err := edge.Start(ctx)
-//	edge.Act(message.SetDatabases{Databases: targets})
-//	edge.Act(message.Probe{Database: "ratings-a", Ask: 1, Timeout: time.Second})
+//	edge.HandleAction(message.SetDatabases{Databases: targets})
+//	edge.HandleAction(message.Probe{Database: "ratings-a", Ask: 1, Timeout: time.Second})
 package group
 
 import (
@@ -64,11 +64,11 @@
 	// Password is sent in clear text to a database that asks for it so. Other
 	// ways to authenticate are not offered.
 	Password string
-	// Connect is the longest time for opening a connection.
-	Connect time.Duration
-	// Backoff is the longest pause after the first failure to connect. It
-	// doubles with each failure up to BackoffMax.
-	Backoff, BackoffMax time.Duration
+	// ConnectTimeout is the longest time for opening a connection.
+	ConnectTimeout time.Duration
+	// InitialBackoff is the longest pause after the first failure to connect. It
+	// doubles with each failure up to MaxBackoff.
+	InitialBackoff, MaxBackoff time.Duration
 	// Now is the clock.
 	Now func() time.Time
 }
@@ -77,14 +77,14 @@
 	if o.User == "" {
 		o.User = defaultUser
 	}
-	if o.Connect == 0 {
-		o.Connect = defaultConnect
+	if o.ConnectTimeout == 0 {
+		o.ConnectTimeout = defaultConnect
 	}
-	if o.Backoff == 0 {
-		o.Backoff = defaultBackoff
+	if o.InitialBackoff == 0 {
+		o.InitialBackoff = defaultBackoff
 	}
-	if o.BackoffMax == 0 {
-		o.BackoffMax = defaultBackoffMax
+	if o.MaxBackoff == 0 {
+		o.MaxBackoff = defaultBackoffMax
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -95,8 +95,8 @@
 // -----------------------------------------------------------------------------
 // The edge.
 
-// Edge asks control questions. NewEdge makes one.
-type Edge struct {
+// Client asks control questions. NewEdge makes one.
+type Client struct {
 	options Options
 	sink    message.Sink
 	log     *eventlog.Writer
@@ -118,12 +118,12 @@
 	await   *lane
 }
 
-// NewEdge returns an edge that posts its answers to sink.
-func NewEdge(options Options, sink message.Sink, log logr.Logger) *Edge {
-	return &Edge{
+// NewClient returns an edge that posts its answers to sink.
+func NewClient(options Options, sink message.Sink, log logr.Logger) *Client {
+	return &Client{
 		options: options.withDefaults(),
 		sink:    sink,
-		log:     eventlog.NewWriter(log, eventlog.DefaultLimit),
+		log:     eventlog.NewWriter(log, eventlog.DefaultLinesPerSecond),
 		ended:   make(chan struct{}),
 		lanes:   map[model.DatabaseID]lanes{},
 	}
@@ -131,7 +131,7 @@
 
 // Start lets questions be sent until ctx ends. The channel is closed when all
 // connections are closed and all questions are answered. It never fails.
-func (e *Edge) Start(ctx context.Context) (<-chan error, error) {
+func (e *Client) Start(ctx context.Context) (<-chan error, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.ctx = ctx
@@ -143,9 +143,9 @@
 	return over, nil
 }
 
-// Act takes an action and reports whether it is one of this edge. It never
+// HandleAction takes an action and reports whether it is one of this edge. It never
 // blocks.
-func (e *Edge) Act(action message.Action) bool {
+func (e *Client) HandleAction(action message.Action) bool {
 	if set, found := action.(message.SetDatabases); found {
 		e.setDatabases(set.Databases)
 		return true
@@ -159,15 +159,15 @@
 	return true
 }
 
-func (e *Edge) ask(q *question) {
+func (e *Client) ask(q *question) {
 	e.mu.Lock()
 	pair, known := e.lanes[q.database]
 	e.mu.Unlock()
 	if !known {
-		e.sink.Post(q.failed(message.AskUnreachable))
+		e.sink.Post(q.failed(message.ControlUnreachable))
 		return
 	}
-	if _, blocks := q.action.(message.Await); blocks {
+	if _, blocks := q.action.(message.AwaitPosition); blocks {
 		pair.await.push(q)
 		return
 	}
@@ -177,7 +177,7 @@
 // -----------------------------------------------------------------------------
 // The lanes' lives.
 
-func (e *Edge) setDatabases(databases []message.DatabaseTarget) {
+func (e *Client) setDatabases(databases []message.DatabaseTarget) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ctx != nil && e.ctx.Err() != nil {
@@ -200,7 +200,7 @@
 	}
 }
 
-func (e *Edge) add(to target) {
+func (e *Client) add(to target) {
 	pair := lanes{
 		target:  to,
 		control: newLane("control", to, e.options, e.sink, e.log),
@@ -212,7 +212,7 @@
 	}
 }
 
-func (e *Edge) launch(pair lanes) {
+func (e *Client) launch(pair lanes) {
 	for _, l := range []*lane{pair.control, pair.await} {
 		e.running++
 		go func() {
@@ -228,7 +228,7 @@
 }
 
 // supervise reads the ends of the lanes until ctx is over and all have ended.
-func (e *Edge) supervise(ctx context.Context, over chan<- error) {
+func (e *Client) supervise(ctx context.Context, over chan<- error) {
 	defer close(over)
 	done := ctx.Done()
 	for {
