--- a/internal/edge/group/edge_test.go
+++ b/internal/edge/group/edge_test.go
@@ -42,11 +42,11 @@
 
 func healthy() reply { return row("a replica 4 n4 4:120 4:118 b t f 3 1") }
 
-func healthyStatus() message.Status {
-	return message.Status{
+func healthyStatus() message.DatabaseStatus {
+	return message.DatabaseStatus{
 		Role: model.RoleReplica, Term: 4, Nonce: "n4",
 		Received: model.Position{Term: 4, Offset: 120}, Applied: model.Position{Term: 4, Offset: 118},
-		Source: "b", Streaming: true, Slots: 3, Busy: 1,
+		Source: "b", Streaming: true, Slots: 3, SlotsInUse: 1,
 	}
 }
 
@@ -178,24 +178,24 @@
 // brief is a time that tests of timeouts wait for.
 const brief = 40 * time.Millisecond
 
-func startEdge(t *testing.T, addresses map[model.DatabaseID]netip.AddrPort) (*group.Edge, sink) {
+func startEdge(t *testing.T, addresses map[model.DatabaseID]netip.AddrPort) (*group.Client, sink) {
 	t.Helper()
-	return startEdgeWith(t, group.Options{Connect: long, BackoffMax: time.Millisecond}, addresses)
+	return startEdgeWith(t, group.Options{ConnectTimeout: long, MaxBackoff: time.Millisecond}, addresses)
 }
 
 func startEdgeWith(
 	t *testing.T, options group.Options, addresses map[model.DatabaseID]netip.AddrPort,
-) (*group.Edge, sink) {
+) (*group.Client, sink) {
 	t.Helper()
 	events := make(sink, 100)
-	edge := group.NewEdge(options, events, logr.Discard())
+	edge := group.NewClient(options, events, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
 	over, err := edge.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cancel(); <-over })
-	edge.Act(targets(addresses))
+	edge.HandleAction(targets(addresses))
 	return edge, events
 }
 
@@ -207,7 +207,7 @@
 	return set
 }
 
-var ignoreAsked = cmpopts.IgnoreFields(message.DatabaseAnswered{}, "Asked")
+var ignoreAsked = cmpopts.IgnoreFields(message.ControlAnswered{}, "SentAt")
 
 func expectEvent(t *testing.T, events sink, want message.Event) {
 	t.Helper()
@@ -238,18 +238,18 @@
 		}
 		return reply{state: "EG001"}
 	}
-	settle := message.Settle{Database: "a", Ask: 7, Key: "k'1", Term: 4, Timeout: long}
-	fence := message.Fence{Database: "a", Ask: 7, Term: 5, Nonce: "n'5", Timeout: long}
-	probe := message.Probe{Database: "a", Ask: 7, Timeout: long}
-	answered := func(err message.AskErr) message.Event {
-		event := message.DatabaseAnswered{Database: "a", Ask: 7, Err: err}
-		if err == message.AskOK || err == message.AskConflict {
+	settle := message.ResolveInDoubt{Database: "a", CorrelationID: 7, IdempotencyKey: "k'1", Term: 4, Timeout: long}
+	fence := message.Fence{Database: "a", CorrelationID: 7, Term: 5, Nonce: "n'5", Timeout: long}
+	probe := message.Probe{Database: "a", CorrelationID: 7, Timeout: long}
+	answered := func(err message.ControlErr) message.Event {
+		event := message.ControlAnswered{Database: "a", CorrelationID: 7, Err: err}
+		if err == message.ControlOK || err == message.ControlConflict {
 			event.Status = status
 		}
 		return event
 	}
-	settled := func(committed bool, position model.Position, err message.AskErr) message.Event {
-		return message.SettleAnswered{Database: "a", Ask: 7, Key: "k'1", Committed: committed, Position: position, Err: err}
+	settled := func(committed bool, position model.Position, err message.ControlErr) message.Event {
+		return message.InDoubtResolved{Database: "a", CorrelationID: 7, IdempotencyKey: "k'1", Committed: committed, Position: position, Err: err}
 	}
 	cases := []struct {
 		name     string
@@ -261,102 +261,102 @@
 		sentWant []string
 	}{
 		{
-			name: "probe", action: probe, answer: always(healthy()), want: answered(message.AskOK),
+			name: "probe", action: probe, answer: always(healthy()), want: answered(message.ControlOK),
 			sentWant: []string{"CALL group_status()"},
 		},
 		{
-			name: "fence", action: fence, answer: always(healthy()), want: answered(message.AskOK),
+			name: "fence", action: fence, answer: always(healthy()), want: answered(message.ControlOK),
 			sentWant: []string{"CALL group_fence(5, 'n''5')"},
 		},
 		{
 			name:   "promote",
-			action: message.Promote{Database: "a", Ask: 7, Term: 5, Nonce: "n5", Timeout: long},
-			answer: always(healthy()), want: answered(message.AskOK),
+			action: message.Promote{Database: "a", CorrelationID: 7, Term: 5, Nonce: "n5", Timeout: long},
+			answer: always(healthy()), want: answered(message.ControlOK),
 			sentWant: []string{"CALL group_promote(5, 'n5')"},
 		},
 		{
 			name: "follow",
 			action: message.Follow{
-				Database: "a", Ask: 7, Term: 5, Source: "b",
+				Database: "a", CorrelationID: 7, Term: 5, Source: "b",
 				Address: netip.MustParseAddrPort("127.0.0.1:99"), Timeout: long,
 			},
-			answer: always(healthy()), want: answered(message.AskOK),
+			answer: always(healthy()), want: answered(message.ControlOK),
 			sentWant: []string{"CALL group_follow(5, 'b', '127.0.0.1:99')"},
 		},
 		{
 			name: "settle committed", action: settle,
 			answer: always(reply{columns: "committed position", values: "t 4:99"}),
-			want:   settled(true, model.Position{Term: 4, Offset: 99}, message.AskOK), sentWant: []string{"CALL group_settle(4, 'k''1')"},
+			want:   settled(true, model.Position{Term: 4, Offset: 99}, message.ControlOK), sentWant: []string{"CALL group_settle(4, 'k''1')"},
 		},
 		{
 			name: "settle never", action: settle,
 			answer: always(reply{columns: "committed position", values: "f 4:121"}),
-			want:   settled(false, model.Position{Term: 4, Offset: 121}, message.AskOK), sentWant: []string{"CALL group_settle(4, 'k''1')"},
+			want:   settled(false, model.Position{Term: 4, Offset: 121}, message.ControlOK), sentWant: []string{"CALL group_settle(4, 'k''1')"},
 		},
 		{
 			name: "settle conflict", action: settle, answer: always(reply{state: "EG001"}),
-			want: settled(false, model.Position{}, message.AskConflict), sentWant: []string{"CALL group_settle(4, 'k''1')"},
+			want: settled(false, model.Position{}, message.ControlConflict), sentWant: []string{"CALL group_settle(4, 'k''1')"},
 		},
 		{
 			name: "settle row unreadable", action: settle,
 			answer: always(reply{columns: "committed position", values: "yes 4:121"}),
-			want:   settled(false, model.Position{}, message.AskUnreachable), sentWant: []string{"CALL group_settle(4, 'k''1')"},
+			want:   settled(false, model.Position{}, message.ControlUnreachable), sentWant: []string{"CALL group_settle(4, 'k''1')"},
 		},
 		{
-			name: "conflict with status", action: fence, answer: conflict, want: answered(message.AskConflict),
+			name: "conflict with status", action: fence, answer: conflict, want: answered(message.ControlConflict),
 			sentWant: []string{"CALL group_fence(5, 'n''5')", "CALL group_status()"},
 		},
 		{
-			name: "conflict without status", action: fence, answer: always(reply{state: "EG001"}), want: answered(message.AskRefused),
+			name: "conflict without status", action: fence, answer: always(reply{state: "EG001"}), want: answered(message.ControlRefused),
 			sentWant: []string{"CALL group_fence(5, 'n''5')", "CALL group_status()"},
 		},
 		{
-			name: "other error", action: probe, answer: always(reply{state: "42501"}), want: answered(message.AskRefused),
+			name: "other error", action: probe, answer: always(reply{state: "42501"}), want: answered(message.ControlRefused),
 			sentWant: []string{"CALL group_status()"},
 		},
 		{
-			name: "no listener", action: probe, absent: true, answer: always(healthy()), want: answered(message.AskUnreachable),
+			name: "no listener", action: probe, absent: true, answer: always(healthy()), want: answered(message.ControlUnreachable),
 		},
 		{
-			name: "too many connections", action: probe, login: "53300", answer: always(healthy()), want: answered(message.AskUnreachable),
+			name: "too many connections", action: probe, login: "53300", answer: always(healthy()), want: answered(message.ControlUnreachable),
 		},
 		{
-			name: "connection broken", action: fence, answer: always(reply{hangUp: true}), want: answered(message.AskUnreachable),
+			name: "connection broken", action: fence, answer: always(reply{hangUp: true}), want: answered(message.ControlUnreachable),
 			sentWant: []string{"CALL group_fence(5, 'n''5')"},
 		},
 		{
 			name: "other database at the address", action: probe,
-			answer: always(row("c replica 4 n4 4:120 4:118 b t f 3 1")), want: answered(message.AskUnreachable),
+			answer: always(row("c replica 4 n4 4:120 4:118 b t f 3 1")), want: answered(message.ControlUnreachable),
 			sentWant: []string{"CALL group_status()"},
 		},
 		{
 			name: "position unreadable", action: probe,
-			answer: always(row("a replica 4 n4 4-120 4:118 b t f 3 1")), want: answered(message.AskUnreachable),
+			answer: always(row("a replica 4 n4 4-120 4:118 b t f 3 1")), want: answered(message.ControlUnreachable),
 			sentWant: []string{"CALL group_status()"},
 		},
 		{
 			name: "role unreadable", action: probe,
-			answer: always(row("a leader 4 n4 4:120 4:118 b t f 3 1")), want: answered(message.AskUnreachable),
+			answer: always(row("a leader 4 n4 4:120 4:118 b t f 3 1")), want: answered(message.ControlUnreachable),
 			sentWant: []string{"CALL group_status()"},
 		},
 		{
 			name: "column absent", action: probe,
-			answer: always(reply{columns: "database role", values: "a replica"}), want: answered(message.AskUnreachable),
+			answer: always(reply{columns: "database role", values: "a replica"}), want: answered(message.ControlUnreachable),
 			sentWant: []string{"CALL group_status()"},
 		},
 		{
-			name: "no row", action: probe, answer: always(reply{}), want: answered(message.AskUnreachable),
+			name: "no row", action: probe, answer: always(reply{}), want: answered(message.ControlUnreachable),
 			sentWant: []string{"CALL group_status()"},
 		},
 		{
 			name:   "zero byte in a key",
-			action: message.Settle{Database: "a", Ask: 7, Key: "k\x00", Term: 4, Timeout: long},
+			action: message.ResolveInDoubt{Database: "a", CorrelationID: 7, IdempotencyKey: "k\x00", Term: 4, Timeout: long},
 			answer: always(healthy()),
-			want:   message.SettleAnswered{Database: "a", Ask: 7, Key: "k\x00", Err: message.AskRefused},
+			want:   message.InDoubtResolved{Database: "a", CorrelationID: 7, IdempotencyKey: "k\x00", Err: message.ControlRefused},
 		},
 		{
-			name: "unknown database", action: message.Probe{Database: "z", Ask: 7, Timeout: long}, answer: always(healthy()),
-			want: message.DatabaseAnswered{Database: "z", Ask: 7, Err: message.AskUnreachable},
+			name: "unknown database", action: message.Probe{Database: "z", CorrelationID: 7, Timeout: long}, answer: always(healthy()),
+			want: message.ControlAnswered{Database: "z", CorrelationID: 7, Err: message.ControlUnreachable},
 		},
 	}
 	for _, c := range cases {
@@ -368,7 +368,7 @@
 				address = closedAddress(t)
 			}
 			edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": address})
-			if !edge.Act(c.action) {
+			if !edge.HandleAction(c.action) {
 				t.Fatal("the action was not taken")
 			}
 			expectEvent(t, events, c.want)
@@ -382,7 +382,7 @@
 func TestStartupAsksForControl(t *testing.T) {
 	database := newScripted(t, func(string) reply { return healthy() })
 	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
-	edge.Act(message.Probe{Database: "a", Ask: 1, Timeout: long})
+	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: long})
 	<-events
 	want := []map[string]string{{
 		"user": "eelgrassfold", "database": "ratings",
@@ -406,11 +406,11 @@
 		return answer
 	})
 	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
-	edge.Act(message.Await{Database: "a", Ask: 1, Position: model.Position{Term: 4, Offset: 200}, Timeout: long})
-	edge.Act(message.Probe{Database: "a", Ask: 2, Timeout: long})
-	expectEvent(t, events, message.DatabaseAnswered{Database: "a", Ask: 2, Status: healthyStatus()})
+	edge.HandleAction(message.AwaitPosition{Database: "a", CorrelationID: 1, Position: model.Position{Term: 4, Offset: 200}, Timeout: long})
+	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 2, Timeout: long})
+	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 2, Status: healthyStatus()})
 	close(released)
-	expectEvent(t, events, message.DatabaseAnswered{Database: "a", Ask: 1, Status: healthyStatus()})
+	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 1, Status: healthyStatus()})
 	if diff := cmp.Diff(2, database.most); diff != "" {
 		t.Errorf("connections: %s", diff)
 	}
@@ -425,21 +425,21 @@
 		return answer
 	})
 	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
-	edge.Act(message.Probe{Database: "a", Ask: 1, Timeout: long})
+	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: long})
 	<-reached
 	for ask := uint64(2); ask <= 4; ask++ {
-		edge.Act(message.Probe{Database: "a", Ask: ask, Timeout: long})
+		edge.HandleAction(message.Probe{Database: "a", CorrelationID: ask, Timeout: long})
 	}
-	edge.Act(message.Fence{Database: "a", Ask: 5, Term: 5, Nonce: "n5", Timeout: long})
-	edge.Act(message.Probe{Database: "a", Ask: 6, Timeout: long})
+	edge.HandleAction(message.Fence{Database: "a", CorrelationID: 5, Term: 5, Nonce: "n5", Timeout: long})
+	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 6, Timeout: long})
 	arrived := time.Now()
 	close(first)
 	for ask := uint64(1); ask <= 6; ask++ {
-		answered := (<-events).(message.DatabaseAnswered)
-		if diff := cmp.Diff(ask, answered.Ask); diff != "" {
+		answered := (<-events).(message.ControlAnswered)
+		if diff := cmp.Diff(ask, answered.CorrelationID); diff != "" {
 			t.Errorf("order: %s", diff)
 		}
-		if ask > 1 && answered.Asked.Before(arrived) {
+		if ask > 1 && answered.SentAt.Before(arrived) {
 			t.Errorf("question %d is answered by a statement sent before it arrived", ask)
 		}
 	}
@@ -468,7 +468,7 @@
 	})
 	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
 	await := func(ask, offset uint64) {
-		edge.Act(message.Await{Database: "a", Ask: ask, Position: model.Position{Term: 4, Offset: offset}, Timeout: long})
+		edge.HandleAction(message.AwaitPosition{Database: "a", CorrelationID: ask, Position: model.Position{Term: 4, Offset: offset}, Timeout: long})
 	}
 	await(1, 100)
 	<-reached
@@ -478,7 +478,7 @@
 	close(first)
 	var order []uint64
 	for range 4 {
-		order = append(order, (<-events).(message.DatabaseAnswered).Ask)
+		order = append(order, (<-events).(message.ControlAnswered).CorrelationID)
 	}
 	if diff := cmp.Diff([]uint64{1, 4, 3, 2}, order); diff != "" {
 		t.Errorf("order: %s", diff)
@@ -499,13 +499,13 @@
 		return healthy()
 	})
 	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
-	edge.Act(message.Probe{Database: "a", Ask: 1, Timeout: long})
-	expectEvent(t, events, message.DatabaseAnswered{Database: "a", Ask: 1, Status: healthyStatus()})
-	edge.Act(message.Fence{Database: "a", Ask: 2, Term: 5, Nonce: "n5", Timeout: brief})
-	expectEvent(t, events, message.DatabaseAnswered{Database: "a", Ask: 2, Err: message.AskTimeout})
+	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: long})
+	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 1, Status: healthyStatus()})
+	edge.HandleAction(message.Fence{Database: "a", CorrelationID: 2, Term: 5, Nonce: "n5", Timeout: brief})
+	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 2, Err: message.ControlTimeout})
 	close(late)
-	edge.Act(message.Probe{Database: "a", Ask: 3, Timeout: long})
-	expectEvent(t, events, message.DatabaseAnswered{Database: "a", Ask: 3, Status: healthyStatus()})
+	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 3, Timeout: long})
+	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 3, Status: healthyStatus()})
 }
 
 func TestQuestionBehindABlockedOneTimesOut(t *testing.T) {
@@ -519,11 +519,11 @@
 		return answer
 	})
 	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
-	edge.Act(message.Probe{Database: "a", Ask: 1, Timeout: long})
+	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: long})
 	<-events
-	edge.Act(message.Fence{Database: "a", Ask: 2, Term: 5, Nonce: "n5", Timeout: long})
-	edge.Act(message.Probe{Database: "a", Ask: 3, Timeout: brief})
-	expectEvent(t, events, message.DatabaseAnswered{Database: "a", Ask: 3, Err: message.AskTimeout})
+	edge.HandleAction(message.Fence{Database: "a", CorrelationID: 2, Term: 5, Nonce: "n5", Timeout: long})
+	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 3, Timeout: brief})
+	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 3, Err: message.ControlTimeout})
 }
 
 func TestBrokenIdleConnectionIsReplacedUnseen(t *testing.T) {
@@ -534,19 +534,19 @@
 	})
 	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
 	for ask := uint64(1); ask <= 3; ask++ {
-		edge.Act(message.Probe{Database: "a", Ask: ask, Timeout: long})
-		expectEvent(t, events, message.DatabaseAnswered{Database: "a", Ask: ask, Status: healthyStatus()})
+		edge.HandleAction(message.Probe{Database: "a", CorrelationID: ask, Timeout: long})
+		expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: ask, Status: healthyStatus()})
 	}
 }
 
 func TestDatabaseComesBack(t *testing.T) {
 	database := newScripted(t, func(string) reply { return healthy() })
 	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": closedAddress(t)})
-	edge.Act(message.Probe{Database: "a", Ask: 1, Timeout: long})
-	expectEvent(t, events, message.DatabaseAnswered{Database: "a", Ask: 1, Err: message.AskUnreachable})
-	edge.Act(targets(map[model.DatabaseID]netip.AddrPort{"a": database.address()}))
-	edge.Act(message.Probe{Database: "a", Ask: 2, Timeout: long})
-	expectEvent(t, events, message.DatabaseAnswered{Database: "a", Ask: 2, Status: healthyStatus()})
+	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: long})
+	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 1, Err: message.ControlUnreachable})
+	edge.HandleAction(targets(map[model.DatabaseID]netip.AddrPort{"a": database.address()}))
+	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 2, Timeout: long})
+	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 2, Status: healthyStatus()})
 }
 
 func TestEndAnswersAllQuestions(t *testing.T) {
@@ -559,33 +559,33 @@
 		return answer
 	})
 	events := make(sink, 10)
-	edge := group.NewEdge(group.Options{Connect: long}, events, logr.Discard())
+	edge := group.NewClient(group.Options{ConnectTimeout: long}, events, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
 	over, err := edge.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	edge.Act(targets(map[model.DatabaseID]netip.AddrPort{"a": database.address()}))
-	edge.Act(message.Fence{Database: "a", Ask: 1, Term: 5, Nonce: "n5", Timeout: long})
+	edge.HandleAction(targets(map[model.DatabaseID]netip.AddrPort{"a": database.address()}))
+	edge.HandleAction(message.Fence{Database: "a", CorrelationID: 1, Term: 5, Nonce: "n5", Timeout: long})
 	<-reached
-	edge.Act(message.Fence{Database: "a", Ask: 2, Term: 5, Nonce: "n5", Timeout: long})
+	edge.HandleAction(message.Fence{Database: "a", CorrelationID: 2, Term: 5, Nonce: "n5", Timeout: long})
 	cancel()
 	<-over
-	edge.Act(message.Probe{Database: "a", Ask: 3, Timeout: long})
-	answered := map[uint64]message.AskErr{}
+	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 3, Timeout: long})
+	answered := map[uint64]message.ControlErr{}
 	for range 3 {
-		event := (<-events).(message.DatabaseAnswered)
-		answered[event.Ask] = event.Err
+		event := (<-events).(message.ControlAnswered)
+		answered[event.CorrelationID] = event.Err
 	}
-	want := map[uint64]message.AskErr{1: message.AskUnreachable, 2: message.AskUnreachable, 3: message.AskUnreachable}
+	want := map[uint64]message.ControlErr{1: message.ControlUnreachable, 2: message.ControlUnreachable, 3: message.ControlUnreachable}
 	if diff := cmp.Diff(want, answered); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func TestOtherActionsAreLeft(t *testing.T) {
-	edge := group.NewEdge(group.Options{}, make(sink), logr.Discard())
-	if edge.Act(message.Leave{}) {
+	edge := group.NewClient(group.Options{}, make(sink), logr.Discard())
+	if edge.HandleAction(message.Terminate{}) {
 		t.Error("took an action of another edge")
 	}
 }
--- a/internal/edge/group/errors.go
+++ b/internal/edge/group/errors.go
@@ -11,49 +11,49 @@
 
 // StatementError is an ErrorResponse of a database.
 type StatementError struct {
-	// State is the SQLSTATE.
-	State string
+	// SQLState is the SQLSTATE.
+	SQLState string
 	// Message is the database's own text.
 	Message string
 }
 
 // Error implements error.
 func (e *StatementError) Error() string {
-	return fmt.Sprintf("the database answered %s: %s", e.State, e.Message)
+	return fmt.Sprintf("the database answered %s: %s", e.SQLState, e.Message)
 }
 
 // ProtocolError reports a message that does not belong where it came.
 type ProtocolError struct {
-	// Where names the step, such as "startup".
-	Where string
-	// Got names the message.
-	Got string
+	// Step names the step, such as "startup".
+	Step string
+	// MessageType names the message.
+	MessageType string
 }
 
 // Error implements error.
 func (e *ProtocolError) Error() string {
-	return fmt.Sprintf("unexpected %s during %s", e.Got, e.Where)
+	return fmt.Sprintf("unexpected %s during %s", e.MessageType, e.Step)
 }
 
-// IdentityError reports that another database than expected answers at an
+// UnexpectedDatabaseError reports that another database than expected answers at an
 // address.
-type IdentityError struct {
+type UnexpectedDatabaseError struct {
 	Expected, Got model.DatabaseID
 }
 
 // Error implements error.
-func (e *IdentityError) Error() string {
+func (e *UnexpectedDatabaseError) Error() string {
 	return fmt.Sprintf("database %s answers in place of %s", e.Got, e.Expected)
 }
 
 // ColumnError reports a column of an answer that is absent or can't be read.
 type ColumnError struct {
 	Column string
-	// Text is the value, empty where the column is absent.
-	Text string
+	// Value is the value, empty where the column is absent.
+	Value string
 }
 
 // Error implements error.
 func (e *ColumnError) Error() string {
-	return fmt.Sprintf("column %s of the answer can't be read: %q", e.Column, e.Text)
+	return fmt.Sprintf("column %s of the answer can't be read: %q", e.Column, e.Value)
 }
--- a/internal/edge/group/lane.go
+++ b/internal/edge/group/lane.go
@@ -60,8 +60,8 @@
 		// With a factor of 1 around half the interval, the pause is uniform
 		// between 0 and the whole interval: full jitter.
 		backoff: backoff.ExponentialBackOff{
-			InitialInterval:     options.Backoff / 2,
-			MaxInterval:         options.BackoffMax / 2,
+			InitialInterval:     options.InitialBackoff / 2,
+			MaxInterval:         options.MaxBackoff / 2,
 			Multiplier:          2,
 			RandomizationFactor: 1,
 		},
@@ -78,7 +78,7 @@
 	}
 	l.mu.Unlock()
 	if retired {
-		l.answer(q, q.failed(message.AskUnreachable))
+		l.answer(q, q.failed(message.ControlUnreachable))
 		return
 	}
 	l.stir()
@@ -91,7 +91,7 @@
 	l.retired = true
 	waiting := slices.Clone(l.queue)
 	l.mu.Unlock()
-	l.fail(waiting, message.AskUnreachable)
+	l.fail(waiting, message.ControlUnreachable)
 	l.stir()
 }
 
@@ -105,9 +105,9 @@
 // expire answers a question whose time is over.
 func (l *lane) expire(q *question) {
 	l.mu.Lock()
-	why := message.AskUnreachable
+	why := message.ControlUnreachable
 	if l.connected {
-		why = message.AskTimeout
+		why = message.ControlTimeout
 	}
 	event := q.failed(why)
 	l.mu.Unlock()
@@ -128,7 +128,7 @@
 	l.sink.Post(event)
 }
 
-func (l *lane) fail(questions []*question, why message.AskErr) {
+func (l *lane) fail(questions []*question, why message.ControlErr) {
 	for _, q := range questions {
 		l.mu.Lock()
 		event := q.failed(why)
@@ -203,14 +203,14 @@
 	if len(waiting) == 0 {
 		return false
 	}
-	expires := l.options.Now().Add(l.options.Connect)
+	expires := l.options.Now().Add(l.options.ConnectTimeout)
 	if last := latest(waiting); last.Before(expires) {
 		expires = last
 	}
 	conn, err := open(ctx, l.target, l.options, expires)
 	if err != nil {
 		l.postpone(err)
-		l.fail(waiting, message.AskUnreachable)
+		l.fail(waiting, message.ControlUnreachable)
 		return false
 	}
 	l.conn = conn
@@ -252,7 +252,7 @@
 	asked := l.options.Now()
 	statement := q.statement(asked)
 	if !isSendable(statement) {
-		l.fail(batch, message.AskRefused)
+		l.fail(batch, message.ControlRefused)
 		return
 	}
 	l.mu.Lock()
@@ -268,7 +268,7 @@
 		return
 	}
 	l.backoff.Reset()
-	l.serveRow(batch, answered, message.AskOK)
+	l.serveRow(batch, answered, message.ControlOK)
 }
 
 func (l *lane) exchange(statement string, expires time.Time) (*row, error) {
@@ -279,7 +279,7 @@
 }
 
 // serveRow answers a batch from a row.
-func (l *lane) serveRow(batch []*question, answered *row, why message.AskErr) {
+func (l *lane) serveRow(batch []*question, answered *row, why message.ControlErr) {
 	if batch[0].isSettle() {
 		l.serveSettle(batch[0], answered)
 		return
@@ -287,7 +287,7 @@
 	status, err := answered.status(l.target.database)
 	if err != nil {
 		l.breakOff(err)
-		l.fail(batch, message.AskUnreachable)
+		l.fail(batch, message.ControlUnreachable)
 		return
 	}
 	var unmet []*question
@@ -296,24 +296,24 @@
 			unmet = append(unmet, q)
 			continue
 		}
-		l.answer(q, message.DatabaseAnswered{
-			Database: q.database, Ask: q.ask, Asked: q.asked, Status: status, Err: why,
+		l.answer(q, message.ControlAnswered{
+			Database: q.database, CorrelationID: q.ask, SentAt: q.asked, Status: status, Err: why,
 		})
 	}
 	l.requeue(unmet)
 }
 
 func (l *lane) serveSettle(q *question, answered *row) {
-	event := message.SettleAnswered{
-		Database:  q.database,
-		Ask:       q.ask,
-		Key:       q.action.(message.Settle).Key,
-		Committed: answered.bool("committed"),
-		Position:  answered.position("position"),
+	event := message.InDoubtResolved{
+		Database:       q.database,
+		CorrelationID:  q.ask,
+		IdempotencyKey: q.action.(message.ResolveInDoubt).IdempotencyKey,
+		Committed:      answered.bool("committed"),
+		Position:       answered.position("position"),
 	}
 	if answered.err != nil {
 		l.breakOff(answered.err)
-		l.fail([]*question{q}, message.AskUnreachable)
+		l.fail([]*question{q}, message.ControlUnreachable)
 		return
 	}
 	l.answer(q, event)
@@ -338,7 +338,7 @@
 		return
 	}
 	l.again = l.options.Now().Add(l.backoff.NextBackOff())
-	l.fail(batch, message.AskUnreachable)
+	l.fail(batch, message.ControlUnreachable)
 }
 
 // serveSilence answers the questions of a batch whose time is over, and queues
@@ -350,7 +350,7 @@
 	if over < 0 {
 		over = len(batch)
 	}
-	l.fail(batch[:over], message.AskTimeout)
+	l.fail(batch[:over], message.ControlTimeout)
 	l.drop()
 	l.requeue(batch[over:])
 }
@@ -361,13 +361,13 @@
 	counters.Add("refused", 1)
 	l.note(event.ControlRefused,
 		event.F("statement", batch[0].name()),
-		event.F("state", refusal.State),
+		event.F("state", refusal.SQLState),
 		event.F("error", refusal.Message))
 	switch {
-	case refusal.State != conflictState:
-		l.fail(batch, message.AskRefused)
+	case refusal.SQLState != conflictState:
+		l.fail(batch, message.ControlRefused)
 	case batch[0].isSettle():
-		l.fail(batch, message.AskConflict)
+		l.fail(batch, message.ControlConflict)
 	default:
 		l.serveConflict(batch, expires)
 	}
@@ -378,11 +378,11 @@
 	var refusal *StatementError
 	switch {
 	case errors.As(err, &refusal):
-		l.fail(batch, message.AskRefused)
+		l.fail(batch, message.ControlRefused)
 	case err != nil:
 		l.serveFailure(batch, err, false, expires)
 	default:
-		l.serveRow(batch, answered, message.AskConflict)
+		l.serveRow(batch, answered, message.ControlConflict)
 	}
 }
 
@@ -397,7 +397,7 @@
 	}
 	l.mu.Unlock()
 	if retired {
-		l.fail(batch, message.AskUnreachable)
+		l.fail(batch, message.ControlUnreachable)
 	}
 }
 
@@ -437,7 +437,7 @@
 // position ends with the first question's time, since the database was told to
 // answer before it.
 func batchExpires(batch []*question) time.Time {
-	if _, blocks := batch[0].action.(message.Await); blocks {
+	if _, blocks := batch[0].action.(message.AwaitPosition); blocks {
 		return batch[0].expires
 	}
 	return latest(batch)
--- a/internal/edge/group/question.go
+++ b/internal/edge/group/question.go
@@ -32,17 +32,17 @@
 func newQuestion(action message.Action) (*question, bool) {
 	switch a := action.(type) {
 	case message.Probe:
-		return &question{action: a, database: a.Database, ask: a.Ask, timeout: a.Timeout}, true
-	case message.Await:
-		return &question{action: a, database: a.Database, ask: a.Ask, timeout: a.Timeout}, true
+		return &question{action: a, database: a.Database, ask: a.CorrelationID, timeout: a.Timeout}, true
+	case message.AwaitPosition:
+		return &question{action: a, database: a.Database, ask: a.CorrelationID, timeout: a.Timeout}, true
 	case message.Fence:
-		return &question{action: a, database: a.Database, ask: a.Ask, timeout: a.Timeout}, true
+		return &question{action: a, database: a.Database, ask: a.CorrelationID, timeout: a.Timeout}, true
 	case message.Promote:
-		return &question{action: a, database: a.Database, ask: a.Ask, timeout: a.Timeout}, true
+		return &question{action: a, database: a.Database, ask: a.CorrelationID, timeout: a.Timeout}, true
 	case message.Follow:
-		return &question{action: a, database: a.Database, ask: a.Ask, timeout: a.Timeout}, true
-	case message.Settle:
-		return &question{action: a, database: a.Database, ask: a.Ask, timeout: a.Timeout}, true
+		return &question{action: a, database: a.Database, ask: a.CorrelationID, timeout: a.Timeout}, true
+	case message.ResolveInDoubt:
+		return &question{action: a, database: a.Database, ask: a.CorrelationID, timeout: a.Timeout}, true
 	default:
 		return nil, false
 	}
@@ -55,8 +55,8 @@
 	case message.Probe:
 		_, found := other.action.(message.Probe)
 		return found
-	case message.Await:
-		_, found := other.action.(message.Await)
+	case message.AwaitPosition:
+		_, found := other.action.(message.AwaitPosition)
 		return found
 	default:
 		return false
@@ -64,8 +64,8 @@
 }
 
 // isMet reports whether status is what the question waits for.
-func (q *question) isMet(status message.Status) bool {
-	await, found := q.action.(message.Await)
+func (q *question) isMet(status message.DatabaseStatus) bool {
+	await, found := q.action.(message.AwaitPosition)
 	if !found {
 		return true
 	}
@@ -75,11 +75,11 @@
 // comparePositions orders questions that wait for a position by the position.
 // All others are equal.
 func comparePositions(a, b *question) int {
-	first, found := a.action.(message.Await)
+	first, found := a.action.(message.AwaitPosition)
 	if !found {
 		return 0
 	}
-	second := b.action.(message.Await)
+	second := b.action.(message.AwaitPosition)
 	switch {
 	case first.Position.Less(second.Position):
 		return -1
@@ -92,7 +92,7 @@
 
 // isSettle reports whether the question has an answer of its own form.
 func (q *question) isSettle() bool {
-	_, found := q.action.(message.Settle)
+	_, found := q.action.(message.ResolveInDoubt)
 	return found
 }
 
@@ -105,7 +105,7 @@
 // statement is the text to send at the time now.
 func (q *question) statement(now time.Time) string {
 	switch a := q.action.(type) {
-	case message.Await:
+	case message.AwaitPosition:
 		return call("group_wait", quote(a.Position.String()), milliseconds(awaitTime(q.expires.Sub(now))))
 	case message.Fence:
 		return call("group_fence", number(a.Term), quote(string(a.Nonce)))
@@ -113,19 +113,19 @@
 		return call("group_promote", number(a.Term), quote(string(a.Nonce)))
 	case message.Follow:
 		return call("group_follow", number(a.Term), quote(string(a.Source)), quote(a.Address.String()))
-	case message.Settle:
-		return call("group_settle", number(a.Term), quote(a.Key))
+	case message.ResolveInDoubt:
+		return call("group_settle", number(a.Term), quote(a.IdempotencyKey))
 	default:
 		return call("group_status")
 	}
 }
 
 // failed is the answer to a question that got none of use.
-func (q *question) failed(why message.AskErr) message.Event {
-	if settle, found := q.action.(message.Settle); found {
-		return message.SettleAnswered{Database: q.database, Ask: q.ask, Key: settle.Key, Err: why}
+func (q *question) failed(why message.ControlErr) message.Event {
+	if settle, found := q.action.(message.ResolveInDoubt); found {
+		return message.InDoubtResolved{Database: q.database, CorrelationID: q.ask, IdempotencyKey: settle.IdempotencyKey, Err: why}
 	}
-	return message.DatabaseAnswered{Database: q.database, Ask: q.ask, Asked: q.asked, Err: why}
+	return message.ControlAnswered{Database: q.database, CorrelationID: q.ask, SentAt: q.asked, Err: why}
 }
 
 // -----------------------------------------------------------------------------
--- a/internal/edge/group/row.go
+++ b/internal/edge/group/row.go
@@ -71,28 +71,28 @@
 
 func (r *row) fail(column string) {
 	if r.err == nil {
-		r.err = &ColumnError{Column: column, Text: r.values[column]}
+		r.err = &ColumnError{Column: column, Value: r.values[column]}
 	}
 }
 
 // status reads the row that answers every control statement but the settling
-// of a key. Its errors are *ColumnError and *IdentityError.
-func (r *row) status(database model.DatabaseID) (message.Status, error) {
+// of a key. Its errors are *ColumnError and *UnexpectedDatabaseError.
+func (r *row) status(database model.DatabaseID) (message.DatabaseStatus, error) {
 	name := model.DatabaseID(r.text("database"))
-	status := message.Status{
-		Role:      r.role("role"),
-		Term:      model.Term(r.uint("term")),
-		Nonce:     model.Nonce(r.text("nonce")),
-		Received:  r.position("received"),
-		Applied:   r.position("applied"),
-		Source:    model.DatabaseID(r.text("source")),
-		Streaming: r.bool("streaming"),
-		Leaving:   r.bool("leaving"),
-		Slots:     r.int("slots"),
-		Busy:      r.int("busy"),
+	status := message.DatabaseStatus{
+		Role:       r.role("role"),
+		Term:       model.Term(r.uint("term")),
+		Nonce:      model.Nonce(r.text("nonce")),
+		Received:   r.position("received"),
+		Applied:    r.position("applied"),
+		Source:     model.DatabaseID(r.text("source")),
+		Streaming:  r.bool("streaming"),
+		Leaving:    r.bool("leaving"),
+		Slots:      r.int("slots"),
+		SlotsInUse: r.int("busy"),
 	}
 	if r.err == nil && name != database {
-		r.err = &IdentityError{Expected: database, Got: name}
+		r.err = &UnexpectedDatabaseError{Expected: database, Got: name}
 	}
 	return status, r.err
 }
--- a/internal/edge/group/standin_test.go
+++ b/internal/edge/group/standin_test.go
@@ -20,7 +20,7 @@
 type members struct {
 	t      *testing.T
 	all    map[model.DatabaseID]*database.Database
-	edge   *group.Edge
+	edge   *group.Client
 	events sink
 }
 
@@ -33,7 +33,7 @@
 	for _, name := range []model.DatabaseID{"a", "b", "c"} {
 		options := database.Options{
 			Name: name, Group: "ratings", Slots: 3, Connections: 20, Password: "sesame",
-			Listen: netip.MustParseAddrPort("127.0.0.1:0"), Admin: netip.MustParseAddrPort("127.0.0.1:0"),
+			Listen: netip.MustParseAddrPort("127.0.0.1:0"), AdminListen: netip.MustParseAddrPort("127.0.0.1:0"),
 		}
 		if name == "a" {
 			options.Primary, options.Term = true, 1
@@ -48,23 +48,23 @@
 		t.Cleanup(func() { cancel(); <-over })
 		m.all[name], addresses[name] = db, db.Address()
 	}
-	m.edge, m.events = startEdgeWith(t, group.Options{Password: "sesame", Connect: long}, addresses)
+	m.edge, m.events = startEdgeWith(t, group.Options{Password: "sesame", ConnectTimeout: long}, addresses)
 	return m
 }
 
 // put asks a question and returns its answer.
 func (m *members) put(action message.Action) message.Event {
-	m.edge.Act(action)
+	m.edge.HandleAction(action)
 	return <-m.events
 }
 
 // status asks a question and returns what its answer tells.
-func (m *members) status(action message.Action) (message.Status, message.AskErr) {
-	answered := m.put(action).(message.DatabaseAnswered)
+func (m *members) status(action message.Action) (message.DatabaseStatus, message.ControlErr) {
+	answered := m.put(action).(message.ControlAnswered)
 	return answered.Status, answered.Err
 }
 
-func (m *members) expect(action message.Action, want message.AskErr) message.Status {
+func (m *members) expect(action message.Action, want message.ControlErr) message.DatabaseStatus {
 	m.t.Helper()
 	status, got := m.status(action)
 	if diff := cmp.Diff(want.String(), got.String()); diff != "" {
@@ -75,41 +75,41 @@
 
 func TestPromotionOfAStandIn(t *testing.T) {
 	m := startMembers(t)
-	primary := m.expect(message.Probe{Database: "a", Timeout: long}, message.AskOK)
+	primary := m.expect(message.Probe{Database: "a", Timeout: long}, message.ControlOK)
 	for _, replica := range []model.DatabaseID{"b", "c"} {
-		m.expect(message.Await{Database: replica, Position: primary.Received, Timeout: long}, message.AskOK)
+		m.expect(message.AwaitPosition{Database: replica, Position: primary.Received, Timeout: long}, message.ControlOK)
 	}
 	m.all["a"].SetFault(database.FaultFreeze{})
-	m.expect(message.Probe{Database: "a", Timeout: brief}, message.AskTimeout)
+	m.expect(message.Probe{Database: "a", Timeout: brief}, message.ControlTimeout)
 	term := primary.Term + 1
 	for _, replica := range []model.DatabaseID{"b", "c", "c"} {
-		fenced := m.expect(message.Fence{Database: replica, Term: term, Nonce: "n'2", Timeout: long}, message.AskOK)
+		fenced := m.expect(message.Fence{Database: replica, Term: term, Nonce: "n'2", Timeout: long}, message.ControlOK)
 		if diff := cmp.Diff([]any{term, model.Nonce("n'2")}, []any{fenced.Term, fenced.Nonce}); diff != "" {
 			t.Error(diff)
 		}
 	}
-	conflict := m.expect(message.Fence{Database: "c", Term: term, Nonce: "other", Timeout: long}, message.AskConflict)
+	conflict := m.expect(message.Fence{Database: "c", Term: term, Nonce: "other", Timeout: long}, message.ControlConflict)
 	if diff := cmp.Diff(model.Nonce("n'2"), conflict.Nonce); diff != "" {
 		t.Error(diff)
 	}
-	promoted := m.expect(message.Promote{Database: "b", Term: term, Nonce: "n'2", Timeout: long}, message.AskOK)
+	promoted := m.expect(message.Promote{Database: "b", Term: term, Nonce: "n'2", Timeout: long}, message.ControlOK)
 	if diff := cmp.Diff(model.RolePrimary, promoted.Role); diff != "" {
 		t.Error(diff)
 	}
 	m.expect(message.Follow{
 		Database: "c", Term: term, Source: "b", Address: m.all["b"].Address(), Timeout: long,
-	}, message.AskOK)
-	never := m.put(message.Settle{Database: "b", Key: "k'1", Term: term, Timeout: long}).(message.SettleAnswered)
-	if diff := cmp.Diff([]any{message.AskOK, false}, []any{never.Err, never.Committed}); diff != "" {
+	}, message.ControlOK)
+	never := m.put(message.ResolveInDoubt{Database: "b", IdempotencyKey: "k'1", Term: term, Timeout: long}).(message.InDoubtResolved)
+	if diff := cmp.Diff([]any{message.ControlOK, false}, []any{never.Err, never.Committed}); diff != "" {
 		t.Error(diff)
 	}
-	received := m.expect(message.Await{Database: "c", Position: never.Position, Timeout: long}, message.AskOK)
+	received := m.expect(message.AwaitPosition{Database: "c", Position: never.Position, Timeout: long}, message.ControlOK)
 	if diff := cmp.Diff(never.Position, received.Received); diff != "" {
 		t.Error(diff)
 	}
 	m.all["a"].SetFault(database.FaultNone{})
-	old := m.put(message.Settle{Database: "a", Key: "k'1", Term: term, Timeout: long}).(message.SettleAnswered)
-	if diff := cmp.Diff(message.AskConflict, old.Err); diff != "" {
+	old := m.put(message.ResolveInDoubt{Database: "a", IdempotencyKey: "k'1", Term: term, Timeout: long}).(message.InDoubtResolved)
+	if diff := cmp.Diff(message.ControlConflict, old.Err); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -117,10 +117,10 @@
 func TestSilentStandInHeals(t *testing.T) {
 	m := startMembers(t)
 	for range 3 {
-		m.expect(message.Probe{Database: "a", Timeout: long}, message.AskOK)
+		m.expect(message.Probe{Database: "a", Timeout: long}, message.ControlOK)
 		m.all["a"].SetFault(database.FaultSilent{})
-		m.expect(message.Probe{Database: "a", Timeout: brief}, message.AskTimeout)
+		m.expect(message.Probe{Database: "a", Timeout: brief}, message.ControlTimeout)
 		m.all["a"].SetFault(database.FaultNone{})
-		m.expect(message.Probe{Database: "a", Timeout: long}, message.AskOK)
+		m.expect(message.Probe{Database: "a", Timeout: long}, message.ControlOK)
 	}
 }
--- a/internal/edge/operator/client.go
+++ b/internal/edge/operator/client.go
@@ -85,15 +85,15 @@
 // Submit asks for a manifest to be accepted, against the number that was
 // reviewed. The decision says how it went, also where it was not accepted; the
 // error tells that there is none.
-func (c *Client) Submit(ctx context.Context, body []byte, expected uint64, who string) (Decision, error) {
+func (c *Client) Submit(ctx context.Context, body []byte, expected uint64, who string) (SubmissionResult, error) {
 	path := "/manifest?expected=" + strconv.FormatUint(expected, 10)
 	status, answer, err := c.do(ctx, http.MethodPost, path, who, body)
 	if err != nil {
-		return Decision{}, err
+		return SubmissionResult{}, err
 	}
-	var decision Decision
-	if json.Unmarshal(answer, &decision) != nil || decision.Error == "" {
-		return Decision{}, answerError(status, answer)
+	var decision SubmissionResult
+	if json.Unmarshal(answer, &decision) != nil || decision.Outcome == "" {
+		return SubmissionResult{}, answerError(status, answer)
 	}
 	return decision, nil
 }
@@ -133,7 +133,7 @@
 		return 0, nil, errors.WithStack(err)
 	}
 	if len(answer) > maxAnswer {
-		return 0, nil, &SizeError{Limit: maxAnswer}
+		return 0, nil, &AnswerTooLargeError{Limit: maxAnswer}
 	}
 	return response.StatusCode, answer, nil
 }
@@ -144,5 +144,5 @@
 	if json.Unmarshal(body, &answered) != nil {
 		answered.Detail = string(bytes.TrimSpace(body))
 	}
-	return &AnswerError{Status: status, Detail: answered.Detail}
+	return &StatusError{Status: status, Detail: answered.Detail}
 }
--- a/internal/edge/operator/edge.go
+++ b/internal/edge/operator/edge.go
@@ -5,11 +5,11 @@
 //
 //	GET  /health                 alive at all
 //	GET  /ready                  200 when it takes callers' work, else 503
-//	GET  /status                 StateWanted  -> Reported, JSON
-//	GET  /logbook?group=G        StateWanted  -> Reported, JSON
-//	GET  /manifest               StateWanted  -> Reported, JSON
+//	GET  /status                 ReportRequested  -> Reported, JSON
+//	GET  /logbook?group=G        ReportRequested  -> Reported, JSON
+//	GET  /manifest               ReportRequested  -> Reported, JSON
 //	GET  /debug/vars             expvar's counters, JSON
-//	POST /drain                  DrainWanted
+//	POST /drain                  DrainRequested
 //	POST /manifest?expected=N    ManifestSubmitted -> ManifestDecided
 //
 // A submission carries the manifest as its body and the submitter's name in
@@ -77,14 +77,14 @@
 	// Token is the bearer token of those that may change things. Without one
 	// nobody may.
 	Token string
-	// Ready tells whether the instance takes callers' work.
-	Ready func() bool
-	// Wait is how long the core's answer is waited for; 0 means 20 s.
-	Wait time.Duration
+	// IsReady tells whether the instance takes callers' work.
+	IsReady func() bool
+	// AnswerTimeout is how long the core's answer is waited for; 0 means 20 s.
+	AnswerTimeout time.Duration
 }
 
-// Edge serves operators. NewEdge makes one.
-type Edge struct {
+// Server serves operators. NewEdge makes one.
+type Server struct {
 	options Options
 	sink    message.Sink
 	lines   logr.Logger
@@ -98,29 +98,29 @@
 	asks map[uint64]chan message.Action
 }
 
-// NewEdge returns an edge that posts what operators want to sink.
-func NewEdge(options Options, sink message.Sink, log logr.Logger) *Edge {
+// NewServer returns an edge that posts what operators want to sink.
+func NewServer(options Options, sink message.Sink, log logr.Logger) *Server {
 	if !options.Address.IsValid() {
 		options.Address = defaultAddress
 	}
-	if options.Wait == 0 {
-		options.Wait = defaultWait
+	if options.AnswerTimeout == 0 {
+		options.AnswerTimeout = defaultWait
 	}
-	if options.Ready == nil {
-		options.Ready = func() bool { return false }
+	if options.IsReady == nil {
+		options.IsReady = func() bool { return false }
 	}
-	return &Edge{
+	return &Server{
 		options: options,
 		sink:    sink,
 		lines:   log,
-		log:     eventlog.NewWriter(log, eventlog.DefaultLimit),
+		log:     eventlog.NewWriter(log, eventlog.DefaultLinesPerSecond),
 		asks:    map[uint64]chan message.Action{},
 	}
 }
 
 // Start listens until ctx ends. The channel is closed when all requests have
 // ended, after an error where serving failed before.
-func (e *Edge) Start(ctx context.Context) (<-chan error, error) {
+func (e *Server) Start(ctx context.Context) (<-chan error, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", e.options.Address.String())
 	if err != nil {
@@ -143,13 +143,13 @@
 	return over, nil
 }
 
-func (e *Edge) newServer(ctx context.Context) *http.Server {
+func (e *Server) newServer(ctx context.Context) *http.Server {
 	return &http.Server{
 		Handler:           e.newHandler(),
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 		ReadHeaderTimeout: requestTime,
 		ReadTimeout:       requestTime,
-		WriteTimeout:      requestTime + e.options.Wait + answerTime,
+		WriteTimeout:      requestTime + e.options.AnswerTimeout + answerTime,
 		IdleTimeout:       idleTime,
 		MaxHeaderBytes:    maxHeaders,
 		ErrorLog:          slog.NewLogLogger(logr.ToSlogHandler(e.lines), slog.LevelWarn),
@@ -157,7 +157,7 @@
 }
 
 // supervise ends the server when ctx is over.
-func (e *Edge) supervise(ctx context.Context, server *http.Server, served <-chan error) error {
+func (e *Server) supervise(ctx context.Context, server *http.Server, served <-chan error) error {
 	select {
 	case err := <-served:
 		return errors.WithStack(err)
@@ -175,20 +175,20 @@
 }
 
 // Address is where the edge listens. It is valid after Start.
-func (e *Edge) Address() netip.AddrPort {
+func (e *Server) Address() netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.address
 }
 
-// Act takes an action and reports whether it is one of this edge. It never
+// HandleAction takes an action and reports whether it is one of this edge. It never
 // blocks.
-func (e *Edge) Act(action message.Action) bool {
+func (e *Server) HandleAction(action message.Action) bool {
 	switch a := action.(type) {
-	case message.Reported:
-		e.answer(a.Ask, a)
+	case message.ReportAnswered:
+		e.answer(a.CorrelationID, a)
 	case message.ManifestDecided:
-		e.answer(a.Ask, a)
+		e.answer(a.CorrelationID, a)
 	default:
 		return false
 	}
@@ -199,7 +199,7 @@
 // Questions to the core.
 
 // open begins a question. It reports false where too many are open.
-func (e *Edge) open() (uint64, <-chan message.Action, bool) {
+func (e *Server) open() (uint64, <-chan message.Action, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.asks) >= maxAsks {
@@ -212,7 +212,7 @@
 }
 
 // answer hands an answer to its question, if that is still open.
-func (e *Edge) answer(ask uint64, action message.Action) {
+func (e *Server) answer(ask uint64, action message.Action) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if answers, found := e.asks[ask]; found {
@@ -223,12 +223,12 @@
 
 // put asks the core and waits for its answer. Without one it returns nil, and
 // whether the question was put at all.
-func (e *Edge) put(ctx context.Context, question func(ask uint64) message.Event) (answer message.Action, asked bool) {
+func (e *Server) put(ctx context.Context, question func(ask uint64) message.Event) (answer message.Action, asked bool) {
 	ask, answers, free := e.open()
 	if !free {
 		return nil, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, e.options.Wait)
+	ctx, cancel := context.WithTimeout(ctx, e.options.AnswerTimeout)
 	defer cancel()
 	e.sink.Post(question(ask))
 	select {
--- a/internal/edge/operator/edge_test.go
+++ b/internal/edge/operator/edge_test.go
@@ -24,7 +24,7 @@
 
 // core answers questions as a test says, and keeps the events.
 type core struct {
-	edge   *operator.Edge
+	edge   *operator.Server
 	answer func(event message.Event) []message.Action
 	events chan message.Event
 }
@@ -32,7 +32,7 @@
 func (c *core) Post(event message.Event) {
 	c.events <- event
 	for _, action := range c.answer(event) {
-		c.edge.Act(action)
+		c.edge.HandleAction(action)
 	}
 }
 
@@ -41,7 +41,7 @@
 func start(t *testing.T, options operator.Options, answer func(message.Event) []message.Action) (*core, *operator.Client) {
 	t.Helper()
 	c := &core{answer: answer, events: make(chan message.Event, 1000)}
-	c.edge = operator.NewEdge(options, c, logr.Discard())
+	c.edge = operator.NewServer(options, c, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
 	over, err := c.edge.Start(ctx)
 	if err != nil {
@@ -72,28 +72,28 @@
 	cases := []struct {
 		name    string
 		decided message.ManifestDecided
-		want    operator.Decision
+		want    operator.SubmissionResult
 	}{
-		{"accepted", message.ManifestDecided{Number: 5}, operator.Decision{Number: 5, Error: "ok"}},
+		{"accepted", message.ManifestDecided{Number: 5}, operator.SubmissionResult{ManifestNumber: 5, Outcome: "ok"}},
 		{
 			"invalid",
 			message.ManifestDecided{Number: 4, Err: message.SubmitInvalid, Detail: "line 3"},
-			operator.Decision{Number: 4, Error: "invalid", Detail: "line 3"},
+			operator.SubmissionResult{ManifestNumber: 4, Outcome: "invalid", Detail: "line 3"},
 		},
 		{
 			"conflict",
 			message.ManifestDecided{Number: 6, Err: message.SubmitConflict, Detail: "6, not 4"},
-			operator.Decision{Number: 6, Error: "conflict", Detail: "6, not 4"},
+			operator.SubmissionResult{ManifestNumber: 6, Outcome: "conflict", Detail: "6, not 4"},
 		},
-		{"unavailable", message.ManifestDecided{Err: message.SubmitUnavailable}, operator.Decision{Error: "unavailable"}},
-		{"unknown", message.ManifestDecided{Err: message.SubmitUnknown}, operator.Decision{Error: "unknown"}},
+		{"unavailable", message.ManifestDecided{Err: message.SubmitUnavailable}, operator.SubmissionResult{Outcome: "unavailable"}},
+		{"unknown", message.ManifestDecided{Err: message.SubmitUnknown}, operator.SubmissionResult{Outcome: "unknown"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			core, client := start(t, operator.Options{Token: "secret", Wait: long}, func(event message.Event) []message.Action {
+			core, client := start(t, operator.Options{Token: "secret", AnswerTimeout: long}, func(event message.Event) []message.Action {
 				decided := c.decided
-				decided.Ask = event.(message.ManifestSubmitted).Ask
-				return []message.Action{message.ManifestDecided{Ask: decided.Ask + 1000}, decided, decided}
+				decided.CorrelationID = event.(message.ManifestSubmitted).CorrelationID
+				return []message.Action{message.ManifestDecided{CorrelationID: decided.CorrelationID + 1000}, decided, decided}
 			})
 			got, err := client.Submit(context.Background(), []byte("service = 'x'"), 4, "pipeline")
 			if err != nil {
@@ -102,7 +102,7 @@
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Error(diff)
 			}
-			want := []message.Event{message.ManifestSubmitted{Ask: 1, Body: []byte("service = 'x'"), Expected: 4, Who: "pipeline"}}
+			want := []message.Event{message.ManifestSubmitted{CorrelationID: 1, Body: []byte("service = 'x'"), ExpectedNumber: 4, Submitter: "pipeline"}}
 			if diff := cmp.Diff(want, core.waiting()); diff != "" {
 				t.Error(diff)
 			}
@@ -111,9 +111,9 @@
 }
 
 func TestReports(t *testing.T) {
-	core, client := start(t, operator.Options{Wait: long}, func(event message.Event) []message.Action {
-		wanted := event.(message.StateWanted)
-		return []message.Action{message.Reported{Ask: wanted.Ask, Body: map[string]any{"topic": wanted.Topic}}}
+	core, client := start(t, operator.Options{AnswerTimeout: long}, func(event message.Event) []message.Action {
+		wanted := event.(message.ReportRequested)
+		return []message.Action{message.ReportAnswered{CorrelationID: wanted.CorrelationID, Body: map[string]any{"topic": wanted.Topic}}}
 	})
 	ctx := context.Background()
 	asks := []func() (json.RawMessage, error){
@@ -137,9 +137,9 @@
 		t.Error(diff)
 	}
 	want := []message.Event{
-		message.StateWanted{Ask: 1, Topic: message.TopicStatus},
-		message.StateWanted{Ask: 2, Topic: message.TopicLogbook, Group: "a b&c"},
-		message.StateWanted{Ask: 3, Topic: message.TopicManifest},
+		message.ReportRequested{CorrelationID: 1, Topic: message.TopicStatus},
+		message.ReportRequested{CorrelationID: 2, Topic: message.TopicLogbook, Group: "a b&c"},
+		message.ReportRequested{CorrelationID: 3, Topic: message.TopicManifest},
 	}
 	if diff := cmp.Diff(want, core.waiting()); diff != "" {
 		t.Error(diff)
@@ -148,12 +148,12 @@
 
 func TestHealthReadinessDrainAndCounters(t *testing.T) {
 	ready := false
-	core, client := start(t, operator.Options{Token: "secret", Ready: func() bool { return ready }}, silent)
+	core, client := start(t, operator.Options{Token: "secret", IsReady: func() bool { return ready }}, silent)
 	ctx := context.Background()
 	if err := client.Health(ctx); err != nil {
 		t.Error(err)
 	}
-	var refused *operator.AnswerError
+	var refused *operator.StatusError
 	if err := client.Ready(ctx); !errors.As(err, &refused) || refused.Status != http.StatusServiceUnavailable {
 		t.Errorf("not ready: %v", err)
 	}
@@ -164,7 +164,7 @@
 	if err := client.Drain(ctx); err != nil {
 		t.Error(err)
 	}
-	if diff := cmp.Diff([]message.Event{message.DrainWanted{}}, core.waiting()); diff != "" {
+	if diff := cmp.Diff([]message.Event{message.DrainRequested{}}, core.waiting()); diff != "" {
 		t.Error(diff)
 	}
 	vars, err := client.Vars(ctx)
@@ -234,11 +234,11 @@
 }
 
 func TestCoreDoesNotAnswer(t *testing.T) {
-	_, client := start(t, operator.Options{Token: "secret", Wait: time.Millisecond}, silent)
+	_, client := start(t, operator.Options{Token: "secret", AnswerTimeout: time.Millisecond}, silent)
 	ctx := context.Background()
 	// More than may be open at once: each question makes room when it ends.
 	for range 70 {
-		var refused *operator.AnswerError
+		var refused *operator.StatusError
 		if _, err := client.Status(ctx); !errors.As(err, &refused) || refused.Status != http.StatusServiceUnavailable {
 			t.Fatalf("status: %v", err)
 		}
@@ -247,14 +247,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := operator.Decision{Error: "unknown", Detail: "no decision in time"}
+	want := operator.SubmissionResult{Outcome: "unknown", Detail: "no decision in time"}
 	if diff := cmp.Diff(want, decision); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func TestTooManyQuestionsAreRefusedUnasked(t *testing.T) {
-	core, client := start(t, operator.Options{Token: "secret", Wait: long}, silent)
+	core, client := start(t, operator.Options{Token: "secret", AnswerTimeout: long}, silent)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
 	for range 64 {
@@ -270,7 +270,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := operator.Decision{Error: "unavailable", Detail: "too many requests wait"}
+	want := operator.SubmissionResult{Outcome: "unavailable", Detail: "too many requests wait"}
 	if diff := cmp.Diff(want, decision); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/edge/operator/errors.go
+++ b/internal/edge/operator/errors.go
@@ -8,8 +8,8 @@
 // -----------------------------------------------------------------------------
 // Failures.
 
-// AnswerError is an instance's answer other than a success.
-type AnswerError struct {
+// StatusError is an instance's answer other than a success.
+type StatusError struct {
 	// Status is the HTTP status.
 	Status int
 	// Detail is the instance's explanation.
@@ -17,15 +17,17 @@
 }
 
 // Error implements error.
-func (e *AnswerError) Error() string {
+func (e *StatusError) Error() string {
 	return fmt.Sprintf("the instance answered %d %s: %s", e.Status, http.StatusText(e.Status), e.Detail)
 }
 
-// SizeError reports an answer above its bound.
-type SizeError struct {
+// AnswerTooLargeError reports an answer above its bound.
+type AnswerTooLargeError struct {
 	// Limit is the bound in bytes.
 	Limit int
 }
 
 // Error implements error.
-func (e *SizeError) Error() string { return fmt.Sprintf("answer larger than %d bytes", e.Limit) }
+func (e *AnswerTooLargeError) Error() string {
+	return fmt.Sprintf("answer larger than %d bytes", e.Limit)
+}
--- a/internal/edge/operator/handler.go
+++ b/internal/edge/operator/handler.go
@@ -27,13 +27,13 @@
 	headerWho = "Who"
 )
 
-// Decision is the answer to a submission.
-type Decision struct {
-	// Number is that of the manifest now accepted.
-	Number uint64 `json:"number"`
-	// Error names the outcome: "ok", "invalid", "conflict", "unavailable" or
+// SubmissionResult is the answer to a submission.
+type SubmissionResult struct {
+	// ManifestNumber is that of the manifest now accepted.
+	ManifestNumber uint64 `json:"number"`
+	// Outcome names the outcome: "ok", "invalid", "conflict", "unavailable" or
 	// "unknown".
-	Error string `json:"error"`
+	Outcome string `json:"error"`
 	// Detail explains it.
 	Detail string `json:"detail"`
 }
@@ -55,7 +55,7 @@
 // -----------------------------------------------------------------------------
 // Routes.
 
-func (e *Edge) newHandler() http.Handler {
+func (e *Server) newHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", e.health)
 	mux.HandleFunc("GET /ready", e.ready)
@@ -68,12 +68,12 @@
 	return mux
 }
 
-func (e *Edge) health(w http.ResponseWriter, _ *http.Request) {
+func (e *Server) health(w http.ResponseWriter, _ *http.Request) {
 	reply(w, http.StatusOK, failure{Detail: "alive"})
 }
 
-func (e *Edge) ready(w http.ResponseWriter, _ *http.Request) {
-	if !e.options.Ready() {
+func (e *Server) ready(w http.ResponseWriter, _ *http.Request) {
+	if !e.options.IsReady() {
 		reply(w, http.StatusServiceUnavailable, failure{Detail: "not ready"})
 		return
 	}
@@ -81,13 +81,13 @@
 }
 
 // report returns the handler of one report.
-func (e *Edge) report(topic message.ReportTopic) http.HandlerFunc {
+func (e *Server) report(topic message.ReportTopic) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		group := r.URL.Query().Get("group")
 		answer, _ := e.put(r.Context(), func(ask uint64) message.Event {
-			return message.StateWanted{Ask: ask, Topic: topic, Group: group}
+			return message.ReportRequested{CorrelationID: ask, Topic: topic, Group: group}
 		})
-		reported, found := answer.(message.Reported)
+		reported, found := answer.(message.ReportAnswered)
 		if !found {
 			reply(w, http.StatusServiceUnavailable, failure{Detail: "the instance gave no report in time"})
 			return
@@ -96,8 +96,8 @@
 	}
 }
 
-func (e *Edge) drain(w http.ResponseWriter, r *http.Request) {
-	e.sink.Post(message.DrainWanted{})
+func (e *Server) drain(w http.ResponseWriter, r *http.Request) {
+	e.sink.Post(message.DrainRequested{})
 	e.note(r, http.StatusAccepted)
 	reply(w, http.StatusAccepted, failure{Detail: "draining"})
 }
@@ -105,15 +105,15 @@
 // -----------------------------------------------------------------------------
 // Submissions.
 
-func (e *Edge) submit(w http.ResponseWriter, r *http.Request) {
+func (e *Server) submit(w http.ResponseWriter, r *http.Request) {
 	submitted, status, detail := readSubmission(w, r)
 	if status != http.StatusOK {
 		e.note(r, status)
-		reply(w, status, Decision{Error: message.SubmitInvalid.String(), Detail: detail})
+		reply(w, status, SubmissionResult{Outcome: message.SubmitInvalid.String(), Detail: detail})
 		return
 	}
 	answer, asked := e.put(r.Context(), func(ask uint64) message.Event {
-		submitted.Ask = ask
+		submitted.CorrelationID = ask
 		return submitted
 	})
 	decided, found := answer.(message.ManifestDecided)
@@ -125,7 +125,7 @@
 	}
 	status = decisionStatus[decided.Err]
 	e.note(r, status)
-	reply(w, status, Decision{Number: decided.Number, Error: decided.Err.String(), Detail: decided.Detail})
+	reply(w, status, SubmissionResult{ManifestNumber: decided.Number, Outcome: decided.Err.String(), Detail: decided.Detail})
 }
 
 // readSubmission reads a request. Its status is 200, or that of a refusal with
@@ -147,7 +147,7 @@
 	case err != nil:
 		return submitted, http.StatusBadRequest, "the body could not be read"
 	}
-	return message.ManifestSubmitted{Body: body, Expected: expected, Who: who}, http.StatusOK, ""
+	return message.ManifestSubmitted{Body: body, ExpectedNumber: expected, Submitter: who}, http.StatusOK, ""
 }
 
 // -----------------------------------------------------------------------------
@@ -155,7 +155,7 @@
 
 // authorized lets requests with the token pass. A browser sends no such header
 // of its own, so that other pages can't act in an operator's name.
-func (e *Edge) authorized(next http.HandlerFunc) http.HandlerFunc {
+func (e *Server) authorized(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		token, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		if e.options.Token == "" || !found || !equal(token, e.options.Token) {
@@ -175,7 +175,7 @@
 	return subtle.ConstantTimeCompare(first[:], second[:]) == 1
 }
 
-func (e *Edge) note(r *http.Request, status int) {
+func (e *Server) note(r *http.Request, status int) {
 	e.log.Write(time.Now(), event.OperatorRequest,
 		event.F("method", r.Method), event.F("path", r.URL.Path),
 		event.F("who", r.Header.Get(headerWho)), event.F("status", status))
--- a/internal/edge/peer/bench_test.go
+++ b/internal/edge/peer/bench_test.go
@@ -13,12 +13,12 @@
 // encoding, authentication and decoding, without the network.
 func BenchmarkHeartbeat(b *testing.B) {
 	beat := message.Heartbeat{
-		Instance: "lanier-1017", Zone: "lanier", Peer: netip.MustParseAddrPort("10.0.4.17:7400"),
+		Instance: "lanier-1017", Zone: "lanier", PeerAddress: netip.MustParseAddrPort("10.0.4.17:7400"),
 		Sequence: 1 << 20, Manifest: 1 << 16,
 	}
 	for i := range 8 {
 		beat.Known = append(beat.Known, message.KnownPeer{
-			Instance: model.InstanceID(fmt.Sprintf("savannah-%d", 1000+i)), Peer: beat.Peer,
+			Instance: model.InstanceID(fmt.Sprintf("savannah-%d", 1000+i)), PeerAddress: beat.PeerAddress,
 		})
 	}
 	send, receive := sealer{key: make([]byte, 32)}, opener{key: make([]byte, 32)}
--- a/internal/edge/peer/codec.go
+++ b/internal/edge/peer/codec.go
@@ -44,17 +44,17 @@
 var kinds = []kind{
 	{"heartbeat", 1, true, decode[message.Heartbeat], message.Heartbeat{}},
 	{"manifest-offer", 2, false, decode[message.ManifestOffer], message.ManifestOffer{}},
-	{"manifest-wanted", 3, false, decode[message.ManifestWanted], message.ManifestWanted{}},
-	{"group-news", 4, false, decode[message.GroupNews], message.GroupNews{}},
+	{"manifest-wanted", 3, false, decode[message.ManifestRequest], message.ManifestRequest{}},
+	{"group-news", 4, false, decode[message.GroupUpdate], message.GroupUpdate{}},
 	{"database-leaving", 5, false, decode[message.DatabaseLeaving], message.DatabaseLeaving{}},
-	{"demand", 6, true, decode[message.Demand], message.Demand{}},
-	{"permit", 7, true, decode[message.Permit], message.Permit{}},
-	{"bulletin", 8, true, decode[message.Bulletin], message.Bulletin{}},
+	{"demand", 6, true, decode[message.LeaseRequest], message.LeaseRequest{}},
+	{"permit", 7, true, decode[message.LeaseGrant], message.LeaseGrant{}},
+	{"bulletin", 8, true, decode[message.GossipState], message.GossipState{}},
 	{"databases-offer", 9, false, decode[message.DatabasesOffer], message.DatabasesOffer{}},
-	{"bulletin-wanted", 11, true, decode[message.BulletinWanted], message.BulletinWanted{}},
-	{"survey-wanted", 13, false, decode[message.SurveyWanted], message.SurveyWanted{}},
-	{"survey-told", 14, false, decode[message.SurveyTold], message.SurveyTold{}},
-	{"databases-wanted", 10, false, decode[message.DatabasesWanted], message.DatabasesWanted{}},
+	{"bulletin-wanted", 11, true, decode[message.GossipStateRequest], message.GossipStateRequest{}},
+	{"survey-wanted", 13, false, decode[message.PrimarySurveyRequest], message.PrimarySurveyRequest{}},
+	{"survey-told", 14, false, decode[message.PrimarySurveyResponse], message.PrimarySurveyResponse{}},
+	{"databases-wanted", 10, false, decode[message.DatabasesRequest], message.DatabasesRequest{}},
 }
 
 var (
@@ -85,7 +85,7 @@
 	encoder := msgpack.NewEncoder(&out)
 	encoder.UseCompactInts(true)
 	if err := encoder.Encode(m); err != nil {
-		return nil, &DecodeError{Name: k.name, Cause: errors.WithStack(err)}
+		return nil, &DecodeError{MessageName: k.name, Cause: errors.WithStack(err)}
 	}
 	if out.Len() <= packAbove {
 		return out.Bytes(), nil
@@ -116,7 +116,7 @@
 	reader := flate.NewReader(bytes.NewReader(body))
 	content, err := io.ReadAll(io.LimitReader(reader, maxFrame+1))
 	if err != nil {
-		return nil, &DecodeError{Name: "packed", Cause: errors.WithStack(err)}
+		return nil, &DecodeError{MessageName: "packed", Cause: errors.WithStack(err)}
 	}
 	if len(content) > maxFrame {
 		return nil, &FrameSizeError{Size: len(content), Limit: maxFrame}
@@ -125,7 +125,7 @@
 }
 
 // decodeMessage reads what encodeMessage wrote. It returns no message for a
-// keepalive. Its errors are *FrameSizeError, *NumberError and *DecodeError.
+// keepalive. Its errors are *FrameSizeError, *UnknownMessageNumberError and *DecodeError.
 func decodeMessage(content []byte) (message.PeerMessage, error) {
 	if len(content) > 0 && content[0] == packed {
 		var err error
@@ -141,18 +141,18 @@
 	}
 	k, known := kindsByNumber[content[0]]
 	if !known {
-		return nil, &NumberError{Number: content[0]}
+		return nil, &UnknownMessageNumberError{Number: content[0]}
 	}
 	if err := checkShape(content[1:]); err != nil {
-		return nil, &DecodeError{Name: k.name, Cause: err}
+		return nil, &DecodeError{MessageName: k.name, Cause: err}
 	}
 	reader := bytes.NewReader(content[1:])
 	m, err := k.decode(msgpack.NewDecoder(reader))
 	if err != nil {
-		return nil, &DecodeError{Name: k.name, Cause: err}
+		return nil, &DecodeError{MessageName: k.name, Cause: err}
 	}
 	if reader.Len() > 0 {
-		return nil, &DecodeError{Name: k.name, Cause: &TrailingError{Size: reader.Len()}}
+		return nil, &DecodeError{MessageName: k.name, Cause: &TrailingBytesError{Count: reader.Len()}}
 	}
 	return m, nil
 }
@@ -171,7 +171,7 @@
 // announced lengths that the value can't hold, and extension types, which no
 // message has. The library allocates arrays as long as is announced, which
 // could be more memory than there is. Its errors
-// are *ShapeError and those of the library.
+// are *MessageStructureError and those of the library.
 func checkShape(body []byte) error {
 	reader := bytes.NewReader(body)
 	return checkValue(msgpack.NewDecoder(reader), reader, 0)
@@ -190,7 +190,7 @@
 		count, err = decoder.DecodeMapLen()
 		count *= 2
 	case msgpcode.IsExt(code):
-		return &ShapeError{Depth: depth}
+		return &MessageStructureError{Depth: depth}
 	default:
 		err = decoder.Skip()
 	}
@@ -198,7 +198,7 @@
 		return errors.WithStack(err)
 	}
 	if count > min(maxElements, reader.Len()) || depth > maxDepth {
-		return &ShapeError{Elements: count, Depth: depth}
+		return &MessageStructureError{Elements: count, Depth: depth}
 	}
 	for range count {
 		if err := checkValue(decoder, reader, depth+1); err != nil {
--- a/internal/edge/peer/codec_test.go
+++ b/internal/edge/peer/codec_test.go
@@ -25,47 +25,47 @@
 var equal = cmp.Options{
 	cmpopts.EquateEmpty(),
 	cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b }),
-	cmpopts.IgnoreUnexported(message.Bulletin{}, message.GroupNote{}, lease.Row{}, lease.Duty{}),
+	cmpopts.IgnoreUnexported(message.GossipState{}, message.GroupGossip{}, lease.GroupRow{}, lease.CoordinatorLease{}),
 }
 
 // samples has a value of each message.
 var samples = []message.PeerMessage{
 	message.Heartbeat{
-		Instance: "i1", Zone: "lanier", Peer: netip.MustParseAddrPort("10.0.0.1:7000"), Sequence: 300,
+		Instance: "i1", Zone: "lanier", PeerAddress: netip.MustParseAddrPort("10.0.0.1:7000"), Sequence: 300,
 		Manifest: 4, Leaving: true,
-		Known: []message.KnownPeer{{Instance: "i2", Peer: netip.MustParseAddrPort("[fd00::2]:7000")}},
+		Known: []message.KnownPeer{{Instance: "i2", PeerAddress: netip.MustParseAddrPort("[fd00::2]:7000")}},
 	},
 	message.ManifestOffer{Number: 5, Digest: "sum", Body: []byte("body")},
-	message.ManifestWanted{Above: 4},
-	message.GroupNews{Group: "ratings", Row: []byte("row"), Record: []byte("rec")},
+	message.ManifestRequest{NewerThan: 4},
+	message.GroupUpdate{Group: "ratings", Row: []byte("row"), Record: []byte("rec")},
 	message.DatabaseLeaving{Database: "ratings-a", Leaving: true},
-	message.Demand{
-		Group: "ratings", Sequence: 9, Seen: 8,
-		Wants: []message.Want{
-			{Databases: []model.DatabaseID{"ratings-a", "ratings-b"}, Rank: 1, Late: true, Waiting: 3, Slack: -time.Second},
+	message.LeaseRequest{
+		Group: "ratings", Sequence: 9, LastGrantSeen: 8,
+		Demands: []message.SlotDemand{
+			{Databases: []model.DatabaseID{"ratings-a", "ratings-b"}, Rank: 1, PastTarget: true, Waiting: 3, TimeToDeadline: -time.Second},
 		},
-		Held:   []message.HeldLease{{Lease: 70, Database: "ratings-a", Rank: 1}},
-		Limits: []message.SlotLimit{{Database: "ratings-b", Slots: 1}},
+		HeldLeases: []message.HeldLease{{ID: 70, Database: "ratings-a", Rank: 1}},
+		Limits:     []message.SlotLimit{{Database: "ratings-b", Slots: 1}},
 	},
-	message.Permit{
-		Group: "ratings", Sequence: 9, Seen: 7, Valid: time.Second,
-		Leases: []message.Lease{{Lease: 70, Database: "ratings-a", Rank: 1, Recall: true}},
+	message.LeaseGrant{
+		Group: "ratings", Sequence: 9, LastRequestSeen: 7, ValidFor: time.Second,
+		Leases: []message.Lease{{ID: 70, Database: "ratings-a", Rank: 1, Recalled: true}},
 	},
-	message.Bulletin{
-		Name: "front-1", Zone: "lanier", Peer: netip.MustParseAddrPort("10.0.0.1:7000"),
-		Sent: 9 * time.Second, Echo: 8 * time.Second, Stored: true, Configuration: 4, Databases: 12,
-		View: 13, ViewAge: 300 * time.Millisecond, Duty: lease.Duty{Holder: "front-1-ab", Name: "front-1", Token: 2, Version: 11},
-		Holder: true,
-		Groups: []message.GroupNote{{
-			Group: "ratings", Row: lease.Row{Epoch: 3, Phase: lease.PhaseChanging, Primary: "ratings-a", Term: 2, Steward: "front-1-ab"},
-			Failing: time.Second, Sampled: model.Position{Term: 2, Offset: 70}, SampleAge: time.Millisecond,
+	message.GossipState{
+		Instance: "front-1", Zone: "lanier", PeerAddress: netip.MustParseAddrPort("10.0.0.1:7000"),
+		SenderClock: 9 * time.Second, EchoedClock: 8 * time.Second, StoreReachable: true, ConfigurationVersion: 4, DatabasesVersion: 12,
+		ViewVersion: 13, ViewAge: 300 * time.Millisecond, CoordinatorLease: lease.CoordinatorLease{Holder: "front-1-ab", HolderName: "front-1", FencingToken: 2, Version: 11},
+		HolderAlive: true,
+		Groups: []message.GroupGossip{{
+			Group: "ratings", Row: lease.GroupRow{Epoch: 3, Phase: lease.PhaseChanging, Primary: "ratings-a", Term: 2, Coordinator: "front-1-ab"},
+			UnansweredFor: time.Second, SampledPosition: model.Position{Term: 2, Offset: 70}, SampleAge: time.Millisecond,
 		}},
 	},
 	message.DatabasesOffer{Version: 12, Entries: []message.DatabaseEntry{{Key: "ratings-a", Value: []byte("entry"), Version: 11}}},
-	message.DatabasesWanted{Above: 11},
-	message.BulletinWanted{Sent: 9 * time.Second},
-	message.SurveyWanted{Group: "ratings", Sent: 9 * time.Second},
-	message.SurveyTold{Group: "ratings", Sent: 9 * time.Second, Primary: "ratings-a", Proved: true},
+	message.DatabasesRequest{NewerThan: 11},
+	message.GossipStateRequest{SenderClock: 9 * time.Second},
+	message.PrimarySurveyRequest{Group: "ratings", SenderClock: 9 * time.Second},
+	message.PrimarySurveyResponse{Group: "ratings", SenderClock: 9 * time.Second, Primary: "ratings-a", Confirmed: true},
 }
 
 func TestBytesOfEachMessage(t *testing.T) {
@@ -139,44 +139,44 @@
 	})
 	drawn := []*rapid.Generator[message.PeerMessage]{
 		asMessage(rapid.Make[message.ManifestOffer]()),
-		asMessage(rapid.Make[message.ManifestWanted]()),
-		asMessage(rapid.Make[message.GroupNews]()),
+		asMessage(rapid.Make[message.ManifestRequest]()),
+		asMessage(rapid.Make[message.GroupUpdate]()),
 		asMessage(rapid.Make[message.DatabaseLeaving]()),
-		asMessage(rapid.Make[message.Demand]()),
-		asMessage(rapid.Make[message.Permit]()),
+		asMessage(rapid.Make[message.LeaseRequest]()),
+		asMessage(rapid.Make[message.LeaseGrant]()),
 		asMessage(rapid.Make[message.DatabasesOffer]()),
-		asMessage(rapid.Make[message.DatabasesWanted]()),
-		asMessage(rapid.Make[message.BulletinWanted]()),
-		asMessage(rapid.Make[message.SurveyWanted]()),
-		asMessage(rapid.Make[message.SurveyTold]()),
-		asMessage(rapid.Custom(func(t *rapid.T) message.Bulletin {
-			note := rapid.Custom(func(t *rapid.T) message.GroupNote {
-				return message.GroupNote{
+		asMessage(rapid.Make[message.DatabasesRequest]()),
+		asMessage(rapid.Make[message.GossipStateRequest]()),
+		asMessage(rapid.Make[message.PrimarySurveyRequest]()),
+		asMessage(rapid.Make[message.PrimarySurveyResponse]()),
+		asMessage(rapid.Custom(func(t *rapid.T) message.GossipState {
+			note := rapid.Custom(func(t *rapid.T) message.GroupGossip {
+				return message.GroupGossip{
 					Group: model.GroupID(rapid.String().Draw(t, "group")),
-					Row: lease.Row{
+					Row: lease.GroupRow{
 						Epoch: rapid.Uint64().Draw(t, "epoch"), Phase: lease.Phase(rapid.IntRange(0, 1).Draw(t, "phase")),
 						Primary: model.DatabaseID(rapid.String().Draw(t, "primary")), Version: rapid.Uint64().Draw(t, "version"),
 					},
-					Failing:   time.Duration(rapid.Int64().Draw(t, "failing")),
-					Sampled:   rapid.Make[model.Position]().Draw(t, "sampled"),
-					SampleAge: time.Duration(rapid.Int64().Draw(t, "age")),
+					UnansweredFor:   time.Duration(rapid.Int64().Draw(t, "failing")),
+					SampledPosition: rapid.Make[model.Position]().Draw(t, "sampled"),
+					SampleAge:       time.Duration(rapid.Int64().Draw(t, "age")),
 				}
 			})
-			return message.Bulletin{
-				Name: model.InstanceID(rapid.String().Draw(t, "name")), Peer: address.Draw(t, "peer"),
-				Sent: time.Duration(rapid.Int64().Draw(t, "sent")), Echo: time.Duration(rapid.Int64().Draw(t, "echo")),
-				View: rapid.Uint64().Draw(t, "view"), ViewAge: time.Duration(rapid.Int64().Draw(t, "age")),
-				Duty:   lease.Duty{Holder: model.InstanceID(rapid.String().Draw(t, "holder")), Token: rapid.Uint64().Draw(t, "token")},
-				Groups: rapid.SliceOf(note).Draw(t, "groups"),
+			return message.GossipState{
+				Instance: model.InstanceID(rapid.String().Draw(t, "name")), PeerAddress: address.Draw(t, "peer"),
+				SenderClock: time.Duration(rapid.Int64().Draw(t, "sent")), EchoedClock: time.Duration(rapid.Int64().Draw(t, "echo")),
+				ViewVersion: rapid.Uint64().Draw(t, "view"), ViewAge: time.Duration(rapid.Int64().Draw(t, "age")),
+				CoordinatorLease: lease.CoordinatorLease{Holder: model.InstanceID(rapid.String().Draw(t, "holder")), FencingToken: rapid.Uint64().Draw(t, "token")},
+				Groups:           rapid.SliceOf(note).Draw(t, "groups"),
 			}
 		})),
 		asMessage(rapid.Custom(func(t *rapid.T) message.Heartbeat {
 			known := rapid.SliceOf(rapid.Custom(func(t *rapid.T) message.KnownPeer {
-				return message.KnownPeer{Instance: model.InstanceID(rapid.String().Draw(t, "id")), Peer: address.Draw(t, "peer")}
+				return message.KnownPeer{Instance: model.InstanceID(rapid.String().Draw(t, "id")), PeerAddress: address.Draw(t, "peer")}
 			}))
 			return message.Heartbeat{
 				Instance: model.InstanceID(rapid.String().Draw(t, "id")), Zone: model.ZoneID(rapid.String().Draw(t, "zone")),
-				Peer: address.Draw(t, "peer"), Sequence: rapid.Uint64().Draw(t, "seq"),
+				PeerAddress: address.Draw(t, "peer"), Sequence: rapid.Uint64().Draw(t, "seq"),
 				Manifest: rapid.Uint64().Draw(t, "man"), Leaving: rapid.Bool().Draw(t, "leave"), Known: known.Draw(t, "known"),
 			}
 		})),
@@ -290,16 +290,16 @@
 
 func TestQueueDropsTheOldestReplaceable(t *testing.T) {
 	heartbeat := func(sequence uint64) message.PeerMessage { return message.Heartbeat{Sequence: sequence} }
-	news := message.PeerMessage(message.GroupNews{Group: "ratings"})
+	news := message.PeerMessage(message.GroupUpdate{Group: "ratings"})
 	cases := []struct {
 		name string
 		// oldest is at the head of a queue filled with news.
 		oldest, pushed, dropped message.PeerMessage
 	}{
 		{"heartbeat makes room", heartbeat(1), news, heartbeat(1)},
-		{"demand makes room", message.Demand{Sequence: 1}, heartbeat(2), message.Demand{Sequence: 1}},
-		{"permit makes room", message.Permit{Sequence: 1}, heartbeat(2), message.Permit{Sequence: 1}},
-		{"nothing makes room", news, message.ManifestWanted{Above: 1}, message.ManifestWanted{Above: 1}},
+		{"demand makes room", message.LeaseRequest{Sequence: 1}, heartbeat(2), message.LeaseRequest{Sequence: 1}},
+		{"permit makes room", message.LeaseGrant{Sequence: 1}, heartbeat(2), message.LeaseGrant{Sequence: 1}},
+		{"nothing makes room", news, message.ManifestRequest{NewerThan: 1}, message.ManifestRequest{NewerThan: 1}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/edge/peer/edge.go
+++ b/internal/edge/peer/edge.go
@@ -3,8 +3,8 @@
 // # What flows in and out
 //
 // SetPeers tells which links to keep, and SendPeer sends one message.
-// PeerLinked flows out when a link stands, PeerHeard for each message of a
-// peer, and PeerLost when a link ends or could not be made. Messages may be
+// PeerLinked flows out when a link stands, PeerMessageReceived for each message of a
+// peer, and PeerDisconnected when a link ends or could not be made. Messages may be
 // lost, and the core depends on none of them.
 //
 // A link is one TCP connection with frames behind their length. Both ends
@@ -38,8 +38,8 @@
 //
 //	edge := peer.NewEdge(peer.Options{Instance: "i1", Listen: address, Key: key}, sink, log)
 //	ended, err := edge.Start(ctx)
-//	edge.Act(message.SetPeers{Peers: []message.PeerTarget{{Address: seed}}})
-//	edge.Act(message.SendPeer{To: "i2", Body: message.ManifestWanted{Above: 4}})
+//	edge.HandleAction(message.SetPeers{Peers: []message.PeerTarget{{Address: seed}}})
+//	edge.HandleAction(message.SendPeer{To: "i2", Body: message.ManifestRequest{Above: 4}})
 package peer
 
 import (
@@ -91,17 +91,17 @@
 	// TLS, where set, secures the links. It must ask for and verify the
 	// certificates of both ends, which name their IP addresses.
 	TLS *tls.Config
-	// Keepalive is how often something is sent at least.
-	Keepalive time.Duration
-	// Silence is the time without a frame after which a link is closed.
-	Silence time.Duration
-	// Handshake is the longest time for connecting and authentication.
-	Handshake time.Duration
-	// Write is the longest time that the other end may take nothing.
-	Write time.Duration
-	// Backoff is the longest pause before the second try to connect. It
-	// doubles with each failure up to BackoffMax.
-	Backoff, BackoffMax time.Duration
+	// KeepaliveInterval is how often something is sent at least.
+	KeepaliveInterval time.Duration
+	// IdleTimeout is the time without a frame after which a link is closed.
+	IdleTimeout time.Duration
+	// HandshakeTimeout is the longest time for connecting and authentication.
+	HandshakeTimeout time.Duration
+	// WriteTimeout is the longest time that the other end may take nothing.
+	WriteTimeout time.Duration
+	// InitialBackoff is the longest pause before the second try to connect. It
+	// doubles with each failure up to MaxBackoff.
+	InitialBackoff, MaxBackoff time.Duration
 }
 
 func (o Options) withDefaults() Options {
@@ -109,12 +109,12 @@
 		value    *time.Duration
 		fallback time.Duration
 	}{
-		{&o.Keepalive, defaultKeepalive},
-		{&o.Silence, defaultSilence},
-		{&o.Handshake, defaultHandshake},
-		{&o.Write, defaultWrite},
-		{&o.Backoff, defaultBackoff},
-		{&o.BackoffMax, defaultBackoffMax},
+		{&o.KeepaliveInterval, defaultKeepalive},
+		{&o.IdleTimeout, defaultSilence},
+		{&o.HandshakeTimeout, defaultHandshake},
+		{&o.WriteTimeout, defaultWrite},
+		{&o.InitialBackoff, defaultBackoff},
+		{&o.MaxBackoff, defaultBackoffMax},
 	} {
 		if *each.value == 0 {
 			*each.value = each.fallback
@@ -127,15 +127,15 @@
 func (o Options) check() error {
 	switch {
 	case o.Instance == "":
-		return &ConfigError{Why: "no instance ID"}
+		return &ConfigError{Reason: "no instance ID"}
 	case o.TLS == nil && len(o.Key) < minKey:
-		return &ConfigError{Why: "the key is shorter than 16 bytes and there is no TLS"}
+		return &ConfigError{Reason: "the key is shorter than 16 bytes and there is no TLS"}
 	case o.TLS == nil:
 		return nil
 	case o.TLS.ClientAuth != tls.RequireAndVerifyClientCert:
-		return &ConfigError{Why: "TLS does not verify the certificates of those that connect"}
+		return &ConfigError{Reason: "TLS does not verify the certificates of those that connect"}
 	case o.TLS.InsecureSkipVerify:
-		return &ConfigError{Why: "TLS does not verify the certificates of those connected to"}
+		return &ConfigError{Reason: "TLS does not verify the certificates of those connected to"}
 	default:
 		return nil
 	}
@@ -144,8 +144,8 @@
 // -----------------------------------------------------------------------------
 // The edge.
 
-// Edge keeps the links to peers. NewEdge makes one.
-type Edge struct {
+// Transport keeps the links to peers. NewEdge makes one.
+type Transport struct {
 	options Options
 	sink    message.Sink
 	log     *eventlog.Writer
@@ -166,12 +166,12 @@
 	wanted map[netip.AddrPort]bool
 }
 
-// NewEdge returns an edge that posts what it hears to sink.
-func NewEdge(options Options, sink message.Sink, log logr.Logger) *Edge {
-	return &Edge{
+// NewTransport returns an edge that posts what it hears to sink.
+func NewTransport(options Options, sink message.Sink, log logr.Logger) *Transport {
+	return &Transport{
 		options:   options.withDefaults(),
 		sink:      sink,
-		log:       eventlog.NewWriter(log, eventlog.DefaultLimit),
+		log:       eventlog.NewWriter(log, eventlog.DefaultLinesPerSecond),
 		ended:     make(chan struct{}),
 		strangers: make(chan struct{}, maxStrangers),
 		links:     map[model.InstanceID]*link{},
@@ -181,7 +181,7 @@
 
 // Start listens and keeps links until ctx ends. The channel is closed when all
 // links are. Its errors are *ConfigError and those of listening.
-func (e *Edge) Start(ctx context.Context) (<-chan error, error) {
+func (e *Transport) Start(ctx context.Context) (<-chan error, error) {
 	if err := e.options.check(); err != nil {
 		return nil, err
 	}
@@ -202,15 +202,15 @@
 }
 
 // Address is where the edge listens. It is valid after Start.
-func (e *Edge) Address() netip.AddrPort {
+func (e *Transport) Address() netip.AddrPort {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Act takes an action and reports whether it is one of this edge. It never
+// HandleAction takes an action and reports whether it is one of this edge. It never
 // blocks.
-func (e *Edge) Act(action message.Action) bool {
+func (e *Transport) HandleAction(action message.Action) bool {
 	switch a := action.(type) {
 	case message.SendPeer:
 		e.send(a)
@@ -222,7 +222,7 @@
 	return true
 }
 
-func (e *Edge) send(action message.SendPeer) {
+func (e *Transport) send(action message.SendPeer) {
 	l := e.linkTo(action.To)
 	name := kindOf(action.Body).name
 	if l == nil {
@@ -237,7 +237,7 @@
 	e.note(event.PeerDropped, event.F("peer", action.To), event.F("message", kindOf(dropped).name))
 }
 
-func (e *Edge) note(numbered event.Event, fields ...event.Field) {
+func (e *Transport) note(numbered event.Event, fields ...event.Field) {
 	e.log.Write(time.Now(), numbered, fields...)
 }
 
@@ -246,13 +246,13 @@
 
 // spawn runs work on a goroutine of the edge. It is called from such a
 // goroutine, or with the context alive.
-func (e *Edge) spawn(work func()) {
+func (e *Transport) spawn(work func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.spawnLocked(work)
 }
 
-func (e *Edge) spawnLocked(work func()) {
+func (e *Transport) spawnLocked(work func()) {
 	e.running++
 	go func() {
 		work()
@@ -262,7 +262,7 @@
 
 // supervise reads the ends of the goroutines until ctx is over and all have
 // ended.
-func (e *Edge) supervise(ctx context.Context, listener net.Listener, over chan<- error) {
+func (e *Transport) supervise(ctx context.Context, listener net.Listener, over chan<- error) {
 	defer close(over)
 	done := ctx.Done()
 	for {
@@ -285,25 +285,25 @@
 	}
 }
 
-func (e *Edge) closeAll() {
+func (e *Transport) closeAll() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, l := range e.links {
-		l.close(&EndedError{})
+		l.close(&LinkClosedError{})
 	}
 }
 
 // -----------------------------------------------------------------------------
 // Which link counts.
 
-func (e *Edge) linkTo(peer model.InstanceID) *link {
+func (e *Transport) linkTo(peer model.InstanceID) *link {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.links[peer]
 }
 
 // register makes l the link to its peer, unless the one that stands counts.
-func (e *Edge) register(l *link) bool {
+func (e *Transport) register(l *link) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.ctx.Err() != nil || !e.isWanted(l) {
@@ -314,7 +314,7 @@
 		return false
 	}
 	if old != nil {
-		old.close(&ReplacedError{})
+		old.close(&LinkReplacedError{})
 	}
 	e.links[l.peer()] = l
 	return true
@@ -322,7 +322,7 @@
 
 // replaces reports whether l takes the place of old: both ends of a pair
 // decide alike.
-func (e *Edge) replaces(l, old *link) bool {
+func (e *Transport) replaces(l, old *link) bool {
 	if l.dialed == old.dialed {
 		return true
 	}
@@ -332,7 +332,7 @@
 
 // unregister forgets a link that has ended. It reports whether the peer is now
 // without a link.
-func (e *Edge) unregister(l *link) bool {
+func (e *Transport) unregister(l *link) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.links[l.peer()] != l {
@@ -344,30 +344,30 @@
 
 // serve carries messages over a link until it ends. Where another link to the
 // same peer counts, it ends at once.
-func (e *Edge) serve(l *link) {
+func (e *Transport) serve(l *link) {
 	defer close(l.done)
 	if !e.register(l) {
-		l.close(&ReplacedError{})
+		l.close(&LinkReplacedError{})
 		return
 	}
 	counters.Add("linked", 1)
 	e.note(event.PeerLinked,
 		event.F("peer", l.peer()), event.F("address", l.address.String()), event.F("dialed", l.dialed))
-	e.sink.Post(message.PeerLinked{Peer: l.peer()})
+	e.sink.Post(message.PeerConnected{Peer: l.peer()})
 	reason := l.run(e.options, func(m message.PeerMessage) {
-		e.sink.Post(message.PeerHeard{From: l.peer(), Body: m})
+		e.sink.Post(message.PeerMessageReceived{From: l.peer(), Body: m})
 	})
 	e.reject(l.peer(), l.address, reason)
 	counters.Add("ended", 1)
 	e.note(event.PeerUnlinked,
 		event.F("peer", l.peer()), event.F("address", l.address.String()), event.F("error", reason.Error()))
 	if e.unregister(l) {
-		e.sink.Post(message.PeerLost{Peer: l.peer(), Address: l.address})
+		e.sink.Post(message.PeerDisconnected{Peer: l.peer(), Address: l.address})
 	}
 }
 
 // reject counts and logs what the other end did wrong, if it did.
-func (e *Edge) reject(peer model.InstanceID, address netip.AddrPort, err error) {
+func (e *Transport) reject(peer model.InstanceID, address netip.AddrPort, err error) {
 	name := faultOf(err)
 	if name == "" {
 		return
--- a/internal/edge/peer/edge_test.go
+++ b/internal/edge/peer/edge_test.go
@@ -44,7 +44,7 @@
 
 // instance is an edge that runs in a test.
 type instance struct {
-	*Edge
+	*Transport
 	events sink
 	stop   func()
 }
@@ -53,14 +53,14 @@
 	t.Helper()
 	options := Options{
 		Instance: id, Listen: loopback, Key: testKey,
-		Keepalive: time.Millisecond, Silence: long, Handshake: long, Write: long,
-		BackoffMax: time.Millisecond,
+		KeepaliveInterval: time.Millisecond, IdleTimeout: long, HandshakeTimeout: long, WriteTimeout: long,
+		MaxBackoff: time.Millisecond,
 	}
 	if change != nil {
 		change(&options)
 	}
 	events := make(sink, 100_000)
-	edge := NewEdge(options, events, logr.Discard())
+	edge := NewTransport(options, events, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
 	over, err := edge.Start(ctx)
 	if err != nil {
@@ -79,18 +79,18 @@
 	for _, address := range addresses {
 		set.Peers = append(set.Peers, message.PeerTarget{Instance: id, Address: address})
 	}
-	i.Act(set)
+	i.HandleAction(set)
 }
 
 // deliver sends m until it is heard, and returns what was heard.
-func deliver(from, to instance, m message.PeerMessage) message.PeerHeard {
+func deliver(from, to instance, m message.PeerMessage) message.PeerMessageReceived {
 	for {
-		from.Act(message.SendPeer{To: to.options.Instance, Body: m})
+		from.HandleAction(message.SendPeer{To: to.options.Instance, Body: m})
 		timer := time.NewTimer(retry)
 		for waiting := true; waiting; {
 			select {
 			case event := <-to.events:
-				if heard, found := event.(message.PeerHeard); found && cmp.Equal(heard.Body, m, equal) {
+				if heard, found := event.(message.PeerMessageReceived); found && cmp.Equal(heard.Body, m, equal) {
 					timer.Stop()
 					return heard
 				}
@@ -102,9 +102,9 @@
 }
 
 // awaitLost waits until a link or a try to make one is told to be lost.
-func (i instance) awaitLost() message.PeerLost {
+func (i instance) awaitLost() message.PeerDisconnected {
 	for {
-		if lost, found := (<-i.events).(message.PeerLost); found {
+		if lost, found := (<-i.events).(message.PeerDisconnected); found {
 			return lost
 		}
 	}
@@ -127,13 +127,13 @@
 	for _, linked := range []struct {
 		by   instance
 		want message.Event
-	}{{a, message.PeerLinked{Peer: "b"}}, {b, message.PeerLinked{Peer: "a"}}} {
+	}{{a, message.PeerConnected{Peer: "b"}}, {b, message.PeerConnected{Peer: "a"}}} {
 		if diff := cmp.Diff(linked.want, <-linked.by.events, equal); diff != "" {
 			t.Error(diff)
 		}
 	}
 	for _, m := range samples {
-		want := message.PeerHeard{From: "a", Body: m}
+		want := message.PeerMessageReceived{From: "a", Body: m}
 		if diff := cmp.Diff(want, deliver(a, b, m), equal); diff != "" {
 			t.Error(diff)
 		}
@@ -167,7 +167,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			edge := NewEdge(Options{Instance: c.self}, nil, logr.Discard())
+			edge := NewTransport(Options{Instance: c.self}, nil, logr.Discard())
 			made := func(dialed bool) *link { return &link{dialed: dialed, session: session{peer: c.peer}} }
 			if diff := cmp.Diff(c.want, edge.replaces(made(c.newLink), made(c.oldDialed))); diff != "" {
 				t.Error(diff)
@@ -182,7 +182,7 @@
 	a.keep("b", address)
 	deliver(b, a, samples[0])
 	b.stop()
-	if diff := cmp.Diff(message.PeerLost{Peer: "b", Address: address}, a.awaitLost(), equal); diff != "" {
+	if diff := cmp.Diff(message.PeerDisconnected{Peer: "b", Address: address}, a.awaitLost(), equal); diff != "" {
 		t.Error(diff)
 	}
 	c := start(t, "c", func(o *Options) { o.Listen = address })
@@ -203,7 +203,7 @@
 func TestSendWithoutLinkIsCounted(t *testing.T) {
 	a := start(t, "a", nil)
 	before := count("unlinked.demand")
-	a.Act(message.SendPeer{To: "z", Body: message.Demand{}})
+	a.HandleAction(message.SendPeer{To: "z", Body: message.LeaseRequest{}})
 	if diff := cmp.Diff(before+1, count("unlinked.demand")); diff != "" {
 		t.Error(diff)
 	}
@@ -335,16 +335,16 @@
 		change func(*Options)
 		act    func(a instance, s *stranger)
 	}{
-		{"no hello", func(o *Options) { o.Handshake = brief }, func(instance, *stranger) {}},
-		{"silent after the handshake", func(o *Options) { o.Silence = brief }, func(_ instance, s *stranger) { s.shake() }},
-		{"takes nothing", func(o *Options) { o.Write = brief }, func(a instance, s *stranger) {
+		{"no hello", func(o *Options) { o.HandshakeTimeout = brief }, func(instance, *stranger) {}},
+		{"silent after the handshake", func(o *Options) { o.IdleTimeout = brief }, func(_ instance, s *stranger) { s.shake() }},
+		{"takes nothing", func(o *Options) { o.WriteTimeout = brief }, func(a instance, s *stranger) {
 			s.shake().send(s.seal([]byte{3, 0x80}))
 			<-a.events
 			// It can't be compressed, so that the connection fills.
 			body := make([]byte, maxFrame/2)
 			_, _ = rand.Read(body)
 			for range maxQueue {
-				a.Act(message.SendPeer{To: "z", Body: message.ManifestOffer{Body: body}})
+				a.HandleAction(message.SendPeer{To: "z", Body: message.ManifestOffer{Body: body}})
 			}
 			a.awaitLost()
 		}},
@@ -404,7 +404,7 @@
 			a := start(t, "a", nil)
 			address := addressOfListener(listener)
 			a.keep("z", address)
-			want := message.PeerLost{Peer: "z", Address: address}
+			want := message.PeerDisconnected{Peer: "z", Address: address}
 			if diff := cmp.Diff(want, a.awaitLost(), equal); diff != "" {
 				t.Error(diff)
 			}
@@ -438,7 +438,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			c.options.Listen = loopback
-			_, err := NewEdge(c.options, nil, logr.Discard()).Start(context.Background())
+			_, err := NewTransport(c.options, nil, logr.Discard()).Start(context.Background())
 			var fault *ConfigError
 			if !errors.As(err, &fault) {
 				t.Errorf("got %v", err)
@@ -482,7 +482,7 @@
 	other := start(t, "c", func(o *Options) { o.TLS, o.Key = newTLS(t), nil })
 	before := count("rejected.authentication")
 	other.keep("b", b.Address())
-	if diff := cmp.Diff(message.PeerLost{Peer: "b", Address: b.Address()}, other.awaitLost(), equal); diff != "" {
+	if diff := cmp.Diff(message.PeerDisconnected{Peer: "b", Address: b.Address()}, other.awaitLost(), equal); diff != "" {
 		t.Error(diff)
 	}
 	other.stop()
--- a/internal/edge/peer/errors.go
+++ b/internal/edge/peer/errors.go
@@ -11,11 +11,11 @@
 // -----------------------------------------------------------------------------
 // Faults of the other end. Each of them closes the link.
 
-// VersionError reports a peer that speaks another version of the protocol.
-type VersionError struct{ Got, Want uint16 }
+// ProtocolVersionError reports a peer that speaks another version of the protocol.
+type ProtocolVersionError struct{ Got, Want uint16 }
 
 // Error implements error.
-func (e *VersionError) Error() string {
+func (e *ProtocolVersionError) Error() string {
 	return fmt.Sprintf("peer speaks protocol version %d, this instance %d", e.Got, e.Want)
 }
 
@@ -30,57 +30,59 @@
 	return fmt.Sprintf("frame of %d bytes, the limit is %d", e.Size, e.Limit)
 }
 
-// NumberError reports a message whose number is not in the table.
-type NumberError struct{ Number byte }
+// UnknownMessageNumberError reports a message whose number is not in the table.
+type UnknownMessageNumberError struct{ Number byte }
 
 // Error implements error.
-func (e *NumberError) Error() string { return fmt.Sprintf("unknown message number %d", e.Number) }
+func (e *UnknownMessageNumberError) Error() string {
+	return fmt.Sprintf("unknown message number %d", e.Number)
+}
 
 // DecodeError reports a message that can't be read.
 type DecodeError struct {
-	// Name names the message.
-	Name  string
-	Cause error
+	// MessageName names the message.
+	MessageName string
+	Cause       error
 }
 
 // Error implements error.
-func (e *DecodeError) Error() string { return "unreadable " + e.Name + ": " + e.Cause.Error() }
+func (e *DecodeError) Error() string { return "unreadable " + e.MessageName + ": " + e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Cause }
 
-// TrailingError reports bytes behind the end of a message.
-type TrailingError struct {
-	// Size is their number.
-	Size int
+// TrailingBytesError reports bytes behind the end of a message.
+type TrailingBytesError struct {
+	// Count is their number.
+	Count int
 }
 
 // Error implements error.
-func (e *TrailingError) Error() string { return fmt.Sprintf("%d bytes behind the end", e.Size) }
+func (e *TrailingBytesError) Error() string { return fmt.Sprintf("%d bytes behind the end", e.Count) }
 
-// ShapeError reports a message that announces more elements than it holds, or
+// MessageStructureError reports a message that announces more elements than it holds, or
 // nests them too deep.
-type ShapeError struct{ Elements, Depth int }
+type MessageStructureError struct{ Elements, Depth int }
 
 // Error implements error.
-func (e *ShapeError) Error() string {
+func (e *MessageStructureError) Error() string {
 	return fmt.Sprintf("%d elements announced at depth %d", e.Elements, e.Depth)
 }
 
 // AuthenticationError reports a proof or frame that was not made with the key.
 type AuthenticationError struct {
-	// Where names the step.
-	Where string
+	// Step names the step.
+	Step string
 }
 
 // Error implements error.
-func (e *AuthenticationError) Error() string { return "bad authentication of the " + e.Where }
+func (e *AuthenticationError) Error() string { return "bad authentication of the " + e.Step }
 
-// ReplayError reports an authentic frame out of its place.
-type ReplayError struct{ Got, Want uint64 }
+// FrameSequenceError reports an authentic frame out of its place.
+type FrameSequenceError struct{ Got, Want uint64 }
 
 // Error implements error.
-func (e *ReplayError) Error() string {
+func (e *FrameSequenceError) Error() string {
 	return fmt.Sprintf("frame %d came in the place of frame %d", e.Got, e.Want)
 }
 
@@ -91,12 +93,12 @@
 	fault() string
 }
 
-func (e *VersionError) fault() string        { return "version" }
-func (e *FrameSizeError) fault() string      { return "size" }
-func (e *NumberError) fault() string         { return "number" }
-func (e *DecodeError) fault() string         { return "unreadable" }
-func (e *AuthenticationError) fault() string { return "authentication" }
-func (e *ReplayError) fault() string         { return "replay" }
+func (e *ProtocolVersionError) fault() string      { return "version" }
+func (e *FrameSizeError) fault() string            { return "size" }
+func (e *UnknownMessageNumberError) fault() string { return "number" }
+func (e *DecodeError) fault() string               { return "unreadable" }
+func (e *AuthenticationError) fault() string       { return "authentication" }
+func (e *FrameSequenceError) fault() string        { return "replay" }
 
 // faultOf names what the other end did wrong; empty where the link failed
 // otherwise.
@@ -112,25 +114,27 @@
 // Other failures.
 
 // ConfigError reports options under which links would not be authenticated.
-type ConfigError struct{ Why string }
+type ConfigError struct{ Reason string }
 
 // Error implements error.
-func (e *ConfigError) Error() string { return "peer links: " + e.Why }
+func (e *ConfigError) Error() string { return "peer links: " + e.Reason }
 
-// SelfError reports a link from this instance to itself.
-type SelfError struct{ Instance model.InstanceID }
+// SelfConnectionError reports a link from this instance to itself.
+type SelfConnectionError struct{ Instance model.InstanceID }
 
 // Error implements error.
-func (e *SelfError) Error() string { return fmt.Sprintf("instance %s reached itself", e.Instance) }
+func (e *SelfConnectionError) Error() string {
+	return fmt.Sprintf("instance %s reached itself", e.Instance)
+}
 
-// ReplacedError ends a link whose place another one takes.
-type ReplacedError struct{}
+// LinkReplacedError ends a link whose place another one takes.
+type LinkReplacedError struct{}
 
 // Error implements error.
-func (e *ReplacedError) Error() string { return "another link to the same peer takes its place" }
+func (e *LinkReplacedError) Error() string { return "another link to the same peer takes its place" }
 
-// EndedError ends a link that is no longer wanted.
-type EndedError struct{}
+// LinkClosedError ends a link that is no longer wanted.
+type LinkClosedError struct{}
 
 // Error implements error.
-func (e *EndedError) Error() string { return "the link is no longer wanted" }
+func (e *LinkClosedError) Error() string { return "the link is no longer wanted" }
--- a/internal/edge/peer/frame.go
+++ b/internal/edge/peer/frame.go
@@ -87,18 +87,18 @@
 }
 
 // open returns the content of a frame. Its errors are *FrameSizeError,
-// *AuthenticationError and *ReplayError.
+// *AuthenticationError and *FrameSequenceError.
 func (o *opener) open(frame []byte) ([]byte, error) {
 	if len(frame) < sequenceSize+codeSize {
 		return nil, &FrameSizeError{Size: len(frame), Limit: maxFrame}
 	}
 	end := len(frame) - codeSize
 	if !hmac.Equal(frame[end:], code(o.key, frame[:end])) {
-		return nil, &AuthenticationError{Where: "frame"}
+		return nil, &AuthenticationError{Step: "frame"}
 	}
 	sequence := binary.BigEndian.Uint64(frame)
 	if sequence != o.sequence {
-		return nil, &ReplayError{Got: sequence, Want: o.sequence}
+		return nil, &FrameSequenceError{Got: sequence, Want: o.sequence}
 	}
 	o.sequence++
 	return frame[sequenceSize:end], nil
--- a/internal/edge/peer/handshake.go
+++ b/internal/edge/peer/handshake.go
@@ -80,13 +80,13 @@
 		return session{}, err
 	}
 	if introduced.Instance == self {
-		return session{}, &SelfError{Instance: self}
+		return session{}, &SelfConnectionError{Instance: self}
 	}
 	transcript := transcribe(as, mine, theirs)
 	wanted := sum(secret, []byte("proof "+as.other()), transcript)
 	check := func(proof []byte) error {
 		if !hmac.Equal(proof, wanted) {
-			return &AuthenticationError{Where: "peer"}
+			return &AuthenticationError{Step: "peer"}
 		}
 		return nil
 	}
@@ -135,20 +135,20 @@
 }
 
 // readHello reads an introduction. Its errors are *FrameSizeError,
-// *VersionError and *DecodeError.
+// *ProtocolVersionError and *DecodeError.
 func readHello(frame []byte) (hello, error) {
 	if len(frame) < versionSize {
 		return hello{}, &FrameSizeError{Size: len(frame), Limit: maxHello}
 	}
 	if got := binary.BigEndian.Uint16(frame); got != version {
-		return hello{}, &VersionError{Got: got, Want: version}
+		return hello{}, &ProtocolVersionError{Got: got, Want: version}
 	}
 	var h hello
 	if err := msgpack.Unmarshal(frame[versionSize:], &h); err != nil {
-		return hello{}, &DecodeError{Name: "hello", Cause: errors.WithStack(err)}
+		return hello{}, &DecodeError{MessageName: "hello", Cause: errors.WithStack(err)}
 	}
 	if h.Instance == "" || len(h.Nonce) != nonceSize {
-		return hello{}, &DecodeError{Name: "hello", Cause: &FrameSizeError{Size: len(h.Nonce), Limit: nonceSize}}
+		return hello{}, &DecodeError{MessageName: "hello", Cause: &FrameSizeError{Size: len(h.Nonce), Limit: nonceSize}}
 	}
 	return h, nil
 }
--- a/internal/edge/peer/keeper.go
+++ b/internal/edge/peer/keeper.go
@@ -25,7 +25,7 @@
 // Links that others dial.
 
 // accept takes connections until the listener is closed.
-func (e *Edge) accept(listener net.Listener) {
+func (e *Transport) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -46,7 +46,7 @@
 }
 
 // welcome authenticates an accepted connection and serves it.
-func (e *Edge) welcome(conn net.Conn) {
+func (e *Transport) welcome(conn net.Conn) {
 	address := addressOf(conn)
 	l, err := e.shake(e.ctx, conn, roleAcceptor, address)
 	<-e.strangers
@@ -74,7 +74,7 @@
 
 // setPeers starts a keeper for each new target and ends those of others, with
 // the links that they dialed.
-func (e *Edge) setPeers(targets []message.PeerTarget) {
+func (e *Transport) setPeers(targets []message.PeerTarget) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	wanted := map[message.PeerTarget]bool{}
@@ -91,7 +91,7 @@
 	}
 	for _, l := range e.links {
 		if !e.isWanted(l) {
-			l.close(&EndedError{})
+			l.close(&LinkClosedError{})
 		}
 	}
 	if e.ctx == nil || e.ctx.Err() != nil {
@@ -105,15 +105,15 @@
 }
 
 // isWanted reports whether SetPeers or the other end asks for a link.
-func (e *Edge) isWanted(l *link) bool { return !l.dialed || e.wanted[l.address] }
+func (e *Transport) isWanted(l *link) bool { return !l.dialed || e.wanted[l.address] }
 
-func (e *Edge) keep(target message.PeerTarget) {
+func (e *Transport) keep(target message.PeerTarget) {
 	ctx, cancel := context.WithCancel(e.ctx)
 	k := &keeper{
 		target: target, cancel: cancel, peer: target.Instance,
 		backoff: backoff.ExponentialBackOff{
-			InitialInterval:     e.options.Backoff / 2,
-			MaxInterval:         e.options.BackoffMax / 2,
+			InitialInterval:     e.options.InitialBackoff / 2,
+			MaxInterval:         e.options.MaxBackoff / 2,
 			Multiplier:          2,
 			RandomizationFactor: 1,
 		},
@@ -127,7 +127,7 @@
 
 // keepLinked dials whenever there is no link to the target, until ctx ends or
 // the target turns out to be this instance.
-func (e *Edge) keepLinked(ctx context.Context, k *keeper) {
+func (e *Transport) keepLinked(ctx context.Context, k *keeper) {
 	for ctx.Err() == nil {
 		if standing := e.linkTo(k.peer); standing != nil {
 			select {
@@ -137,7 +137,7 @@
 			continue
 		}
 		err := e.dialAndServe(ctx, k)
-		var self *SelfError
+		var self *SelfConnectionError
 		if errors.As(err, &self) {
 			return
 		}
@@ -151,8 +151,8 @@
 
 // dialAndServe makes a link and serves it until it ends. An error tells that
 // none was made.
-func (e *Edge) dialAndServe(ctx context.Context, k *keeper) error {
-	dialer := net.Dialer{Timeout: e.options.Handshake}
+func (e *Transport) dialAndServe(ctx context.Context, k *keeper) error {
+	dialer := net.Dialer{Timeout: e.options.HandshakeTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", k.target.Address.String())
 	if err != nil {
 		return errors.WithStack(err)
@@ -170,12 +170,12 @@
 	return nil
 }
 
-func (e *Edge) noteUnreachable(k *keeper, err error, pause time.Duration) {
+func (e *Transport) noteUnreachable(k *keeper, err error, pause time.Duration) {
 	counters.Add("unreachable", 1)
 	e.note(event.PeerUnreachable,
 		event.F("peer", k.peer), event.F("address", k.target.Address.String()),
 		event.F("error", err.Error()), event.F("again", pause.String()))
-	e.sink.Post(message.PeerLost{Peer: k.peer, Address: k.target.Address})
+	e.sink.Post(message.PeerDisconnected{Peer: k.peer, Address: k.target.Address})
 }
 
 // sleep waits for the time d or the end of ctx.
@@ -192,7 +192,7 @@
 // Both.
 
 // shake authenticates a connection in bounded time. On an error it is closed.
-func (e *Edge) shake(ctx context.Context, conn net.Conn, as role, address netip.AddrPort) (*link, error) {
+func (e *Transport) shake(ctx context.Context, conn net.Conn, as role, address netip.AddrPort) (*link, error) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
 	agreed, secured, err := e.authenticate(ctx, conn, as, address)
@@ -203,10 +203,10 @@
 	return newLink(secured, agreed, as == roleDialer, address), nil
 }
 
-func (e *Edge) authenticate(
+func (e *Transport) authenticate(
 	ctx context.Context, conn net.Conn, as role, address netip.AddrPort,
 ) (session, net.Conn, error) {
-	if err := conn.SetDeadline(time.Now().Add(e.options.Handshake)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(e.options.HandshakeTimeout)); err != nil {
 		return session{}, conn, errors.WithStack(err)
 	}
 	conn, err := e.secure(ctx, conn, as, address)
@@ -222,7 +222,7 @@
 }
 
 // secure wraps conn in TLS where the options ask for it.
-func (e *Edge) secure(ctx context.Context, conn net.Conn, as role, address netip.AddrPort) (net.Conn, error) {
+func (e *Transport) secure(ctx context.Context, conn net.Conn, as role, address netip.AddrPort) (net.Conn, error) {
 	if e.options.TLS == nil {
 		return conn, nil
 	}
@@ -243,7 +243,7 @@
 	case isBroken(err):
 		return conn, errors.WithStack(err)
 	default:
-		return conn, &AuthenticationError{Where: "TLS handshake: " + err.Error()}
+		return conn, &AuthenticationError{Step: "TLS handshake: " + err.Error()}
 	}
 }
 
--- a/internal/edge/peer/link.go
+++ b/internal/edge/peer/link.go
@@ -74,7 +74,7 @@
 func (l *link) read(options Options, heard func(message.PeerMessage)) error {
 	buffered := bufio.NewReader(l.conn)
 	for {
-		if err := l.conn.SetReadDeadline(time.Now().Add(options.Silence)); err != nil {
+		if err := l.conn.SetReadDeadline(time.Now().Add(options.IdleTimeout)); err != nil {
 			return errors.WithStack(err)
 		}
 		frame, err := readFrame(buffered, maxFrame)
@@ -102,17 +102,17 @@
 // the link is closed or can't take it in time.
 func (l *link) write(options Options) error {
 	buffered := bufio.NewWriter(l.conn)
-	ticker := time.NewTicker(options.Keepalive)
+	ticker := time.NewTicker(options.KeepaliveInterval)
 	defer ticker.Stop()
 	content := []byte{keepalive}
 	for {
-		if err := l.writeQueued(buffered, content, options.Write); err != nil {
+		if err := l.writeQueued(buffered, content, options.WriteTimeout); err != nil {
 			return err
 		}
 		content = nil
 		select {
 		case <-l.closed:
-			return &EndedError{}
+			return &LinkClosedError{}
 		case <-l.queue.wake:
 		case <-ticker.C:
 			content = []byte{keepalive}
--- a/internal/edge/platform/connection.go
+++ b/internal/edge/platform/connection.go
@@ -30,7 +30,7 @@
 	}
 	c.mu.Unlock()
 	if sealed {
-		return 0, &SealedError{}
+		return 0, &AbandonedConnError{}
 	}
 	n, err := c.Conn.Write(body)
 	counters.Add("sent.bytes", int64(n))
--- a/internal/edge/platform/edge.go
+++ b/internal/edge/platform/edge.go
@@ -28,10 +28,10 @@
 //
 // # Usage
 //
-//	port := platform.NewHTTPPort(platform.HTTPOptions{Address: address})
+//	port := platform.NewHTTPService(platform.HTTPOptions{Address: address})
 //	edge := platform.NewEdge(platform.Options{Port: port}, sink, log)
 //	ended, err := edge.Start(ctx)
-//	edge.Act(message.ReadRow{Ask: 1, Table: "groups", Key: "ratings", Timeout: time.Second})
+//	edge.HandleAction(message.ReadRow{Ask: 1, Table: "groups", Key: "ratings", Timeout: time.Second})
 package platform
 
 import (
@@ -61,14 +61,14 @@
 
 // Options are the settings of an Edge.
 type Options struct {
-	// Port is the platform's service.
-	Port Port
+	// Service is the platform's service.
+	Service Service
 	// Concurrency is the number of questions asked at once; 0 means 16.
 	Concurrency int
 }
 
-// Edge asks the platform. NewEdge makes one.
-type Edge struct {
+// Client asks the platform. NewEdge makes one.
+type Client struct {
 	options Options
 	sink    message.Sink
 	log     *eventlog.Writer
@@ -81,22 +81,22 @@
 	closed bool
 }
 
-// NewEdge returns an edge that posts its answers to sink.
-func NewEdge(options Options, sink message.Sink, log logr.Logger) *Edge {
+// NewClient returns an edge that posts its answers to sink.
+func NewClient(options Options, sink message.Sink, log logr.Logger) *Client {
 	if options.Concurrency == 0 {
 		options.Concurrency = defaultConcurrency
 	}
-	return &Edge{
+	return &Client{
 		options: options,
 		sink:    sink,
-		log:     eventlog.NewWriter(log, eventlog.DefaultLimit),
+		log:     eventlog.NewWriter(log, eventlog.DefaultLinesPerSecond),
 		wake:    make(chan struct{}, maxWaiting),
 	}
 }
 
 // Start asks questions until ctx ends. The channel is closed when all
 // questions are answered. It never fails.
-func (e *Edge) Start(ctx context.Context) (<-chan error, error) {
+func (e *Client) Start(ctx context.Context) (<-chan error, error) {
 	ended := make(chan struct{})
 	for range e.options.Concurrency {
 		go func() {
@@ -115,9 +115,9 @@
 	return over, nil
 }
 
-// Act takes an action and reports whether it is one of this edge. It never
+// HandleAction takes an action and reports whether it is one of this edge. It never
 // blocks.
-func (e *Edge) Act(action message.Action) bool {
+func (e *Client) HandleAction(action message.Action) bool {
 	q, found := newQuestion(action)
 	if found {
 		q.expires = time.Now().Add(q.timeout)
@@ -129,7 +129,7 @@
 // -----------------------------------------------------------------------------
 // The queue.
 
-func (e *Edge) push(q *question) {
+func (e *Client) push(q *question) {
 	e.mu.Lock()
 	closed, full := e.closed, len(e.queue) >= maxWaiting
 	if !closed && !full {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (e *Edge) stir() {
+func (e *Client) stir() {
 	select {
 	case e.wake <- struct{}{}:
 	default:
@@ -155,7 +155,7 @@
 }
 
 // expire answers a question whose time ended in the queue.
-func (e *Edge) expire(q *question) {
+func (e *Client) expire(q *question) {
 	e.mu.Lock()
 	place := slices.Index(e.queue, q)
 	if place >= 0 {
@@ -168,7 +168,7 @@
 }
 
 // pop takes the oldest question out of the queue.
-func (e *Edge) pop() (*question, bool) {
+func (e *Client) pop() (*question, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.queue) == 0 {
@@ -181,7 +181,7 @@
 }
 
 // close answers all questions that were not sent, now and later.
-func (e *Edge) close() {
+func (e *Client) close() {
 	e.mu.Lock()
 	e.closed = true
 	e.mu.Unlock()
@@ -194,15 +194,15 @@
 	}
 }
 
-func (e *Edge) giveUp(q *question, why string) {
-	err := &OutcomeError{Outcome: message.PlatformUnsent, Cause: &QueueError{Why: why}}
+func (e *Client) giveUp(q *question, why string) {
+	err := &OutcomeError{Outcome: message.PlatformUnreachable, Cause: &UnsentError{Reason: why}}
 	e.answer(q, q.failed(err), err)
 }
 
 // -----------------------------------------------------------------------------
 // The workers.
 
-func (e *Edge) work(ctx context.Context) {
+func (e *Client) work(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -215,18 +215,18 @@
 	}
 }
 
-func (e *Edge) put(ctx context.Context, q *question) {
+func (e *Client) put(ctx context.Context, q *question) {
 	ctx, cancel := context.WithDeadline(ctx, q.expires)
 	defer cancel()
-	answer, err := q.put(ctx, e.options.Port)
+	answer, err := q.put(ctx, e.options.Service)
 	e.answer(q, answer, err)
 }
 
-func (e *Edge) answer(q *question, answer message.Event, err error) {
+func (e *Client) answer(q *question, answer message.Event, err error) {
 	outcome := outcomeOf(err)
 	counters.Add(outcome.String(), 1)
 	switch outcome {
-	case message.PlatformOK, message.PlatformConflict, message.PlatformMissing:
+	case message.PlatformOK, message.PlatformConflict, message.PlatformNotFound:
 	default:
 		e.log.Write(time.Now(), event.PlatformFailed,
 			event.F("question", q.name),
--- a/internal/edge/platform/edge_test.go
+++ b/internal/edge/platform/edge_test.go
@@ -31,10 +31,10 @@
 
 func (s sink) Post(event message.Event) { s <- event }
 
-func startEdge(t *testing.T, options platform.Options) (*platform.Edge, sink) {
+func startEdge(t *testing.T, options platform.Options) (*platform.Client, sink) {
 	t.Helper()
 	events := make(sink, 2000)
-	edge := platform.NewEdge(options, events, logr.Discard())
+	edge := platform.NewClient(options, events, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
 	over, err := edge.Start(ctx)
 	if err != nil {
@@ -44,26 +44,26 @@
 	return edge, events
 }
 
-func newPort(address net.Addr) platform.Port {
-	return platform.NewHTTPPort(platform.HTTPOptions{Address: address.(*net.TCPAddr).AddrPort(), Token: "secret"})
+func newPort(address net.Addr) platform.Service {
+	return platform.NewHTTPService(platform.HTTPOptions{Address: address.(*net.TCPAddr).AddrPort(), Token: "secret"})
 }
 
 // -----------------------------------------------------------------------------
 // Questions and answers.
 
 var (
-	readRow     = message.ReadRow{Ask: 7, Table: "groups", Key: "a/b c", Timeout: long}
-	scanRows    = message.ScanRows{Ask: 7, Table: "groups", Prefix: "a/&", Timeout: long}
-	writeRows   = message.WriteRows{Ask: 7, Rows: []message.Row{{Table: "t", Key: "k", Version: "1", Body: []byte("new")}}, Timeout: long}
-	readObject  = message.ReadObject{Ask: 7, Name: "sum", Timeout: long}
-	writeObject = message.WriteObject{Ask: 7, Name: "sum", Body: []byte("body"), Timeout: long}
-	list        = message.ListInstances{Ask: 7, Timeout: long}
+	readRow     = message.ReadRow{CorrelationID: 7, Table: "groups", Key: "a/b c", Timeout: long}
+	scanRows    = message.ScanRows{CorrelationID: 7, Table: "groups", Prefix: "a/&", Timeout: long}
+	writeRows   = message.WriteRows{CorrelationID: 7, Rows: []message.Row{{Table: "t", Key: "k", Version: "1", Body: []byte("new")}}, Timeout: long}
+	readObject  = message.ReadObject{CorrelationID: 7, Name: "sum", Timeout: long}
+	writeObject = message.WriteObject{CorrelationID: 7, Name: "sum", Body: []byte("body"), Timeout: long}
+	list        = message.ListInstances{CorrelationID: 7, Timeout: long}
 )
 
 func TestQuestionsAndAnswers(t *testing.T) {
 	tooLarge := strings.Repeat("x", 4<<20+1)
-	unknown := message.RowsWritten{Ask: 7, Err: message.PlatformUnknown}
-	refused := message.RowsWritten{Ask: 7, Err: message.PlatformRefused}
+	unknown := message.RowsWritten{CorrelationID: 7, Err: message.PlatformUnknown}
+	refused := message.RowsWritten{CorrelationID: 7, Err: message.PlatformRefused}
 	sentWrite := `POST /transact {"rows":[{"table":"t","key":"k","version":"1","body":"bmV3"}]}`
 	cases := []struct {
 		name   string
@@ -76,33 +76,33 @@
 	}{
 		{
 			"row", readRow, 200, `"v1"`, "old",
-			message.RowsRead{Ask: 7, Rows: []message.Row{{Table: "groups", Key: "a/b c", Version: "v1", Body: []byte("old")}}},
+			message.RowsRead{CorrelationID: 7, Rows: []message.Row{{Table: "groups", Key: "a/b c", Version: "v1", Body: []byte("old")}}},
 			"GET /tables/groups/a%2Fb%20c ",
 		},
-		{"row missing", readRow, 404, "", "", message.RowsRead{Ask: 7, Err: message.PlatformMissing}, "GET /tables/groups/a%2Fb%20c "},
-		{"row refused", readRow, 503, "", "", message.RowsRead{Ask: 7, Err: message.PlatformRefused}, "GET /tables/groups/a%2Fb%20c "},
-		{"row too large", readRow, 200, "", tooLarge, message.RowsRead{Ask: 7, Err: message.PlatformUnknown}, "GET /tables/groups/a%2Fb%20c "},
+		{"row missing", readRow, 404, "", "", message.RowsRead{CorrelationID: 7, Err: message.PlatformNotFound}, "GET /tables/groups/a%2Fb%20c "},
+		{"row refused", readRow, 503, "", "", message.RowsRead{CorrelationID: 7, Err: message.PlatformRefused}, "GET /tables/groups/a%2Fb%20c "},
+		{"row too large", readRow, 200, "", tooLarge, message.RowsRead{CorrelationID: 7, Err: message.PlatformUnknown}, "GET /tables/groups/a%2Fb%20c "},
 		{
 			"scan", scanRows, 200, "", `[{"key":"a","version":"1","body":"b2xk"},{"key":"b","version":"2"}]`,
-			message.RowsRead{Ask: 7, Rows: []message.Row{
+			message.RowsRead{CorrelationID: 7, Rows: []message.Row{
 				{Table: "groups", Key: "a", Version: "1", Body: []byte("old")}, {Table: "groups", Key: "b", Version: "2"},
 			}},
 			"GET /tables/groups?prefix=a%2F%26 ",
 		},
-		{"scan unreadable", scanRows, 200, "", `{`, message.RowsRead{Ask: 7, Err: message.PlatformRefused}, "GET /tables/groups?prefix=a%2F%26 "},
+		{"scan unreadable", scanRows, 200, "", `{`, message.RowsRead{CorrelationID: 7, Err: message.PlatformRefused}, "GET /tables/groups?prefix=a%2F%26 "},
 		{
 			"write", writeRows, 200, "", `{"rows":[{"table":"t","key":"k","version":"2"}]}`,
-			message.RowsWritten{Ask: 7, Rows: []message.Row{{Table: "t", Key: "k", Version: "2", Body: []byte("new")}}},
+			message.RowsWritten{CorrelationID: 7, Rows: []message.Row{{Table: "t", Key: "k", Version: "2", Body: []byte("new")}}},
 			sentWrite,
 		},
 		{
 			"write conflict", writeRows, 409, "", `{"rows":[{"table":"t","key":"k","version":"3","body":"b2xk"}]}`,
 			message.RowsWritten{
-				Ask: 7, Rows: []message.Row{{Table: "t", Key: "k", Version: "3", Body: []byte("old")}}, Err: message.PlatformConflict,
+				CorrelationID: 7, Rows: []message.Row{{Table: "t", Key: "k", Version: "3", Body: []byte("old")}}, Err: message.PlatformConflict,
 			},
 			sentWrite,
 		},
-		{"write conflict unreadable", writeRows, 409, "", `{`, message.RowsWritten{Ask: 7, Err: message.PlatformConflict}, sentWrite},
+		{"write conflict unreadable", writeRows, 409, "", `{`, message.RowsWritten{CorrelationID: 7, Err: message.PlatformConflict}, sentWrite},
 		{"write answered with other rows", writeRows, 200, "", `{"rows":[{"table":"t","key":"z","version":"2"}]}`, unknown, sentWrite},
 		{"write answered with too few rows", writeRows, 200, "", `{"rows":[]}`, unknown, sentWrite},
 		{"write unreadable", writeRows, 200, "", `{`, unknown, sentWrite},
@@ -112,19 +112,19 @@
 		{"write unauthorized", writeRows, 401, "", ``, refused, sentWrite},
 		{"write redirected", writeRows, 307, "", ``, refused, sentWrite},
 		{"write redirected to another page", writeRows, 303, "", ``, refused, sentWrite},
-		{"row redirected", readRow, 302, "", "", message.RowsRead{Ask: 7, Err: message.PlatformRefused}, "GET /tables/groups/a%2Fb%20c "},
-		{"object", readObject, 200, "", "body", message.ObjectRead{Ask: 7, Name: "sum", Body: []byte("body")}, "GET /objects/sum "},
-		{"object missing", readObject, 404, "", "", message.ObjectRead{Ask: 7, Name: "sum", Err: message.PlatformMissing}, "GET /objects/sum "},
-		{"object written", writeObject, 204, "", "", message.ObjectWritten{Ask: 7, Name: "sum"}, "PUT /objects/sum body"},
-		{"object lost", writeObject, 500, "", "", message.ObjectWritten{Ask: 7, Name: "sum", Err: message.PlatformUnknown}, "PUT /objects/sum body"},
+		{"row redirected", readRow, 302, "", "", message.RowsRead{CorrelationID: 7, Err: message.PlatformRefused}, "GET /tables/groups/a%2Fb%20c "},
+		{"object", readObject, 200, "", "body", message.ObjectRead{CorrelationID: 7, Name: "sum", Body: []byte("body")}, "GET /objects/sum "},
+		{"object missing", readObject, 404, "", "", message.ObjectRead{CorrelationID: 7, Name: "sum", Err: message.PlatformNotFound}, "GET /objects/sum "},
+		{"object written", writeObject, 204, "", "", message.ObjectWritten{CorrelationID: 7, Name: "sum"}, "PUT /objects/sum body"},
+		{"object lost", writeObject, 500, "", "", message.ObjectWritten{CorrelationID: 7, Name: "sum", Err: message.PlatformUnknown}, "PUT /objects/sum body"},
 		{
 			"instances", list, 200, "", `[{"instance":"i1","zone":"lanier","peer":"127.0.0.1:7","leaving":true}]`,
-			message.InstancesListed{Ask: 7, Instances: []message.ListedInstance{
-				{Instance: "i1", Zone: "lanier", Peer: netip.MustParseAddrPort("127.0.0.1:7"), Leaving: true},
+			message.InstancesListed{CorrelationID: 7, Instances: []message.ListedInstance{
+				{Instance: "i1", Zone: "lanier", PeerAddress: netip.MustParseAddrPort("127.0.0.1:7"), Leaving: true},
 			}},
 			"GET /instances ",
 		},
-		{"instances unreadable", list, 200, "", `[{"peer":"here"}]`, message.InstancesListed{Ask: 7, Err: message.PlatformRefused}, "GET /instances "},
+		{"instances unreadable", list, 200, "", `[{"peer":"here"}]`, message.InstancesListed{CorrelationID: 7, Err: message.PlatformRefused}, "GET /instances "},
 	}
 	compare := cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })
 	for _, c := range cases {
@@ -142,8 +142,8 @@
 				_, _ = io.WriteString(w, c.body)
 			}))
 			defer server.Close()
-			edge, events := startEdge(t, platform.Options{Port: newPort(server.Listener.Addr())})
-			if !edge.Act(c.action) {
+			edge, events := startEdge(t, platform.Options{Service: newPort(server.Listener.Addr())})
+			if !edge.HandleAction(c.action) {
 				t.Fatal("the action was not taken")
 			}
 			if diff := cmp.Diff(c.want, <-events, compare); diff != "" {
@@ -227,10 +227,10 @@
 					_, _ = io.WriteString(conn, c.answer)
 				}
 			})
-			edge, events := startEdge(t, platform.Options{Port: newPort(address)})
+			edge, events := startEdge(t, platform.Options{Service: newPort(address)})
 			for range 3 {
-				edge.Act(writeRows)
-				if diff := cmp.Diff(message.RowsWritten{Ask: 7, Err: c.want}, <-events); diff != "" {
+				edge.HandleAction(writeRows)
+				if diff := cmp.Diff(message.RowsWritten{CorrelationID: 7, Err: c.want}, <-events); diff != "" {
 					t.Error(diff)
 				}
 			}
@@ -252,9 +252,9 @@
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		<-silent
 	})
-	edge, events := startEdge(t, platform.Options{Port: newPort(address)})
+	edge, events := startEdge(t, platform.Options{Service: newPort(address)})
 	for range 3 {
-		edge.Act(writeRows)
+		edge.HandleAction(writeRows)
 		if diff := cmp.Diff(message.PlatformOK, (<-events).(message.RowsWritten).Err); diff != "" {
 			t.Error(diff)
 		}
@@ -288,15 +288,15 @@
 	if diff := cmp.Diff([]error{nil, nil}, []error{<-kept, <-kept}); diff != "" {
 		t.Fatal(diff)
 	}
-	edge, events := startEdge(t, platform.Options{Port: port})
+	edge, events := startEdge(t, platform.Options{Service: port})
 	lost := readObject
 	lost.Timeout = 30 * time.Millisecond
-	edge.Act(lost)
+	edge.HandleAction(lost)
 	if diff := cmp.Diff(message.PlatformOK, (<-events).(message.ObjectRead).Err); diff == "" {
 		t.Error("a silent connection answered")
 	}
-	edge.Act(readObject)
-	want := message.ObjectRead{Ask: 7, Name: "sum", Body: []byte("body")}
+	edge.HandleAction(readObject)
+	want := message.ObjectRead{CorrelationID: 7, Name: "sum", Body: []byte("body")}
 	if diff := cmp.Diff(want, <-events); diff != "" {
 		t.Error(diff)
 	}
@@ -308,9 +308,9 @@
 		t.Fatal(err)
 	}
 	_ = listener.Close()
-	edge, events := startEdge(t, platform.Options{Port: newPort(listener.Addr())})
-	edge.Act(writeRows)
-	if diff := cmp.Diff(message.RowsWritten{Ask: 7, Err: message.PlatformUnsent}, <-events); diff != "" {
+	edge, events := startEdge(t, platform.Options{Service: newPort(listener.Addr())})
+	edge.HandleAction(writeRows)
+	if diff := cmp.Diff(message.RowsWritten{CorrelationID: 7, Err: message.PlatformUnreachable}, <-events); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -329,16 +329,16 @@
 		mu.Unlock()
 		<-silent
 	})
-	edge, events := startEdge(t, platform.Options{Port: newPort(address)})
+	edge, events := startEdge(t, platform.Options{Service: newPort(address)})
 	for timeout := time.Microsecond; ; timeout *= 2 {
 		question := writeRows
 		question.Timeout = timeout
-		edge.Act(question)
+		edge.HandleAction(question)
 		outcome := (<-events).(message.RowsWritten).Err
 		mu.Lock()
 		seen := read
 		mu.Unlock()
-		if seen && outcome == message.PlatformUnsent {
+		if seen && outcome == message.PlatformUnreachable {
 			t.Fatalf("timeout %s: claimed unsent, but the platform read it", timeout)
 		}
 		if outcome == message.PlatformUnknown {
@@ -352,7 +352,7 @@
 
 // blockedPort counts reads at once and lets them go when released.
 type blockedPort struct {
-	platform.Port
+	platform.Service
 	entered  chan struct{}
 	released chan struct{}
 }
@@ -365,23 +365,23 @@
 
 func TestQueueIsBoundedInNumberAndTime(t *testing.T) {
 	port := &blockedPort{entered: make(chan struct{}, 2000), released: make(chan struct{})}
-	edge, events := startEdge(t, platform.Options{Port: port, Concurrency: 2})
+	edge, events := startEdge(t, platform.Options{Service: port, Concurrency: 2})
 	ask := func(ask uint64, timeout time.Duration) {
-		edge.Act(message.ReadObject{Ask: ask, Timeout: timeout})
+		edge.HandleAction(message.ReadObject{CorrelationID: ask, Timeout: timeout})
 	}
 	ask(1, long)
 	ask(2, long)
 	<-port.entered
 	<-port.entered
 	ask(3, time.Millisecond)
-	if diff := cmp.Diff(message.ObjectRead{Ask: 3, Err: message.PlatformUnsent}, <-events); diff != "" {
+	if diff := cmp.Diff(message.ObjectRead{CorrelationID: 3, Err: message.PlatformUnreachable}, <-events); diff != "" {
 		t.Errorf("expired in the queue: %s", diff)
 	}
 	for i := uint64(4); i < 4+1024; i++ {
 		ask(i, long)
 	}
 	ask(9999, long)
-	if diff := cmp.Diff(message.ObjectRead{Ask: 9999, Err: message.PlatformUnsent}, <-events); diff != "" {
+	if diff := cmp.Diff(message.ObjectRead{CorrelationID: 9999, Err: message.PlatformUnreachable}, <-events); diff != "" {
 		t.Errorf("one too many: %s", diff)
 	}
 	if diff := cmp.Diff(0, len(port.entered)); diff != "" {
@@ -391,7 +391,7 @@
 	answered := map[uint64]message.PlatformErr{}
 	for range 2 + 1024 {
 		event := (<-events).(message.ObjectRead)
-		answered[event.Ask] = event.Err
+		answered[event.CorrelationID] = event.Err
 	}
 	if diff := cmp.Diff(2+1024, len(answered)); diff != "" {
 		t.Errorf("answers: %s", diff)
@@ -407,26 +407,26 @@
 		<-silent
 	})
 	events := make(sink, 10)
-	edge := platform.NewEdge(platform.Options{Port: newPort(address), Concurrency: 1}, events, logr.Discard())
+	edge := platform.NewClient(platform.Options{Service: newPort(address), Concurrency: 1}, events, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
 	over, err := edge.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	edge.Act(writeRows)
+	edge.HandleAction(writeRows)
 	<-reached
 	queued := writeRows
-	queued.Ask = 8
-	edge.Act(queued)
+	queued.CorrelationID = 8
+	edge.HandleAction(queued)
 	cancel()
 	<-over
 	late := writeRows
-	late.Ask = 9
-	edge.Act(late)
+	late.CorrelationID = 9
+	edge.HandleAction(late)
 	want := []message.Event{
-		message.RowsWritten{Ask: 7, Err: message.PlatformUnknown},
-		message.RowsWritten{Ask: 8, Err: message.PlatformUnsent},
-		message.RowsWritten{Ask: 9, Err: message.PlatformUnsent},
+		message.RowsWritten{CorrelationID: 7, Err: message.PlatformUnknown},
+		message.RowsWritten{CorrelationID: 8, Err: message.PlatformUnreachable},
+		message.RowsWritten{CorrelationID: 9, Err: message.PlatformUnreachable},
 	}
 	if diff := cmp.Diff(want, []message.Event{<-events, <-events, <-events}); diff != "" {
 		t.Error(diff)
--- a/internal/edge/platform/http.go
+++ b/internal/edge/platform/http.go
@@ -44,8 +44,8 @@
 	Token string
 }
 
-// HTTPPort is the platform's service over HTTP.
-type HTTPPort struct {
+// HTTPService is the platform's service over HTTP.
+type HTTPService struct {
 	base  string
 	token string
 	reads *http.Client
@@ -56,8 +56,8 @@
 	idle   *http.Transport
 }
 
-// NewHTTPPort returns a port to the platform's service.
-func NewHTTPPort(options HTTPOptions) *HTTPPort {
+// NewHTTPService returns a port to the platform's service.
+func NewHTTPService(options HTTPOptions) *HTTPService {
 	scheme := "http"
 	if options.TLS != nil {
 		scheme = "https"
@@ -65,7 +65,7 @@
 	idle := newTransport(options)
 	once := newTransport(options)
 	once.DisableKeepAlives = true
-	return &HTTPPort{
+	return &HTTPService{
 		base:   scheme + "://" + options.Address.String(),
 		token:  options.Token,
 		reads:  newClient(idle),
@@ -119,7 +119,7 @@
 }
 
 // ReadRow implements Port.
-func (p *HTTPPort) ReadRow(ctx context.Context, table, key string) (message.Row, error) {
+func (p *HTTPService) ReadRow(ctx context.Context, table, key string) (message.Row, error) {
 	answer, err := p.read(ctx, "/tables/"+url.PathEscape(table)+"/"+url.PathEscape(key))
 	if err != nil {
 		return message.Row{}, err
@@ -128,7 +128,7 @@
 }
 
 // ScanRows implements Port.
-func (p *HTTPPort) ScanRows(ctx context.Context, table, prefix string) ([]message.Row, error) {
+func (p *HTTPService) ScanRows(ctx context.Context, table, prefix string) ([]message.Row, error) {
 	answer, err := p.read(ctx, "/tables/"+url.PathEscape(table)+"?prefix="+url.QueryEscape(prefix))
 	if err != nil {
 		return nil, err
@@ -145,14 +145,14 @@
 }
 
 // WriteRows implements Port.
-func (p *HTTPPort) WriteRows(ctx context.Context, rows []message.Row) ([]message.Row, error) {
+func (p *HTTPService) WriteRows(ctx context.Context, rows []message.Row) ([]message.Row, error) {
 	var question wireRows
 	for _, row := range rows {
 		question.Rows = append(question.Rows, wireRow(row))
 	}
 	body, err := json.Marshal(question)
 	if err != nil {
-		return nil, &OutcomeError{Outcome: message.PlatformUnsent, Cause: errors.WithStack(err)}
+		return nil, &OutcomeError{Outcome: message.PlatformUnreachable, Cause: errors.WithStack(err)}
 	}
 	answer, err := p.exchange(ctx, p.writes, http.MethodPost, "/transact", body)
 	if err != nil {
@@ -206,20 +206,20 @@
 }
 
 func mismatch(asked []message.Row, answer wireRows) error {
-	return unreadable(message.PlatformUnknown, &MismatchError{Asked: len(asked), Answered: len(answer.Rows)})
+	return unreadable(message.PlatformUnknown, &RowMismatchError{Requested: len(asked), Returned: len(answer.Rows)})
 }
 
 // -----------------------------------------------------------------------------
 // Objects and instances.
 
 // ReadObject implements Port.
-func (p *HTTPPort) ReadObject(ctx context.Context, name string) ([]byte, error) {
+func (p *HTTPService) ReadObject(ctx context.Context, name string) ([]byte, error) {
 	answer, err := p.read(ctx, "/objects/"+url.PathEscape(name))
 	return answer.body, err
 }
 
 // WriteObject implements Port.
-func (p *HTTPPort) WriteObject(ctx context.Context, name string, body []byte) error {
+func (p *HTTPService) WriteObject(ctx context.Context, name string, body []byte) error {
 	answer, err := p.exchange(ctx, p.writes, http.MethodPut, "/objects/"+url.PathEscape(name), body)
 	if err != nil {
 		return err
@@ -232,14 +232,14 @@
 
 // wireInstance is one listed instance in JSON.
 type wireInstance struct {
-	Instance model.InstanceID `json:"instance"`
-	Zone     model.ZoneID     `json:"zone"`
-	Peer     netip.AddrPort   `json:"peer"`
-	Leaving  bool             `json:"leaving"`
+	Instance    model.InstanceID `json:"instance"`
+	Zone        model.ZoneID     `json:"zone"`
+	PeerAddress netip.AddrPort   `json:"peer"`
+	Leaving     bool             `json:"leaving"`
 }
 
 // ListInstances implements Port.
-func (p *HTTPPort) ListInstances(ctx context.Context) ([]message.ListedInstance, error) {
+func (p *HTTPService) ListInstances(ctx context.Context) ([]message.ListedInstance, error) {
 	answer, err := p.read(ctx, "/instances")
 	if err != nil {
 		return nil, err
@@ -266,11 +266,11 @@
 }
 
 func (a answer) failure() error {
-	return &StatusError{Status: a.status, Text: string(a.body[:min(len(a.body), maxStatusText)])}
+	return &HTTPStatusError{Status: a.status, Body: string(a.body[:min(len(a.body), maxStatusText)])}
 }
 
 // read asks without a change.
-func (p *HTTPPort) read(ctx context.Context, path string) (answer, error) {
+func (p *HTTPService) read(ctx context.Context, path string) (answer, error) {
 	got, err := p.exchange(ctx, p.reads, http.MethodGet, path, nil)
 	if err != nil {
 		// Others among the connections kept may have gone silent like this
@@ -282,7 +282,7 @@
 	case http.StatusOK:
 		return got, nil
 	case http.StatusNotFound:
-		return answer{}, &OutcomeError{Outcome: message.PlatformMissing, Cause: got.failure()}
+		return answer{}, &OutcomeError{Outcome: message.PlatformNotFound, Cause: got.failure()}
 	default:
 		return answer{}, &OutcomeError{Outcome: message.PlatformRefused, Cause: got.failure()}
 	}
@@ -299,13 +299,13 @@
 }
 
 // exchange sends one request and reads the whole answer, whatever its status.
-func (p *HTTPPort) exchange(
+func (p *HTTPService) exchange(
 	ctx context.Context, client *http.Client, method, path string, body []byte,
 ) (answer, error) {
 	var sent sending
 	request, err := p.newRequest(httptrace.WithClientTrace(ctx, sent.trace()), method, path, body)
 	if err != nil {
-		return answer{}, &OutcomeError{Outcome: message.PlatformUnsent, Cause: errors.WithStack(err)}
+		return answer{}, &OutcomeError{Outcome: message.PlatformUnreachable, Cause: errors.WithStack(err)}
 	}
 	response, err := client.Do(request)
 	if err != nil {
@@ -317,12 +317,12 @@
 		return answer{}, &OutcomeError{Outcome: message.PlatformUnknown, Cause: errors.WithStack(err)}
 	}
 	if len(content) > maxAnswer {
-		return answer{}, &OutcomeError{Outcome: message.PlatformUnknown, Cause: &SizeError{Limit: maxAnswer}}
+		return answer{}, &OutcomeError{Outcome: message.PlatformUnknown, Cause: &ResponseTooLargeError{Limit: maxAnswer}}
 	}
 	return answer{status: response.StatusCode, version: versionOf(response), body: content}, nil
 }
 
-func (p *HTTPPort) newRequest(ctx context.Context, method, path string, body []byte) (*http.Request, error) {
+func (p *HTTPService) newRequest(ctx context.Context, method, path string, body []byte) (*http.Request, error) {
 	var content io.Reader
 	if method != http.MethodGet {
 		content = bytes.NewReader(body)
@@ -344,7 +344,7 @@
 
 func lost(sent *sending) message.PlatformErr {
 	if sent.isUnsent() {
-		return message.PlatformUnsent
+		return message.PlatformUnreachable
 	}
 	return message.PlatformUnknown
 }
--- a/internal/edge/platform/port.go
+++ b/internal/edge/platform/port.go
@@ -10,13 +10,13 @@
 // -----------------------------------------------------------------------------
 // The port.
 
-// Port is the platform's service as this package uses it. Another client of
+// Service is the platform's service as this package uses it. Another client of
 // the platform takes its place by implementing it.
 //
 // Its errors are *OutcomeError. An error of another type counts as
 // message.PlatformUnknown, which claims the least. The context carries the
 // question's timeout.
-type Port interface {
+type Service interface {
 	// ReadRow returns one row.
 	ReadRow(ctx context.Context, table, key string) (message.Row, error)
 	// ScanRows returns the rows whose keys begin with prefix, by key.
@@ -48,43 +48,45 @@
 // Unwrap returns the cause.
 func (e *OutcomeError) Unwrap() error { return e.Cause }
 
-// StatusError reports an HTTP status that is not a success.
-type StatusError struct {
+// HTTPStatusError reports an HTTP status that is not a success.
+type HTTPStatusError struct {
 	Status int
-	// Text is the head of the answer's body.
-	Text string
+	// Body is the head of the answer's body.
+	Body string
 }
 
 // Error implements error.
-func (e *StatusError) Error() string { return fmt.Sprintf("HTTP status %d: %s", e.Status, e.Text) }
+func (e *HTTPStatusError) Error() string { return fmt.Sprintf("HTTP status %d: %s", e.Status, e.Body) }
 
-// SizeError reports an answer that is larger than its bound.
-type SizeError struct {
+// ResponseTooLargeError reports an answer that is larger than its bound.
+type ResponseTooLargeError struct {
 	// Limit is the bound in bytes.
 	Limit int
 }
 
 // Error implements error.
-func (e *SizeError) Error() string { return fmt.Sprintf("answer larger than %d bytes", e.Limit) }
+func (e *ResponseTooLargeError) Error() string {
+	return fmt.Sprintf("answer larger than %d bytes", e.Limit)
+}
 
-// MismatchError reports an answer that names other rows than were written.
-type MismatchError struct {
-	Asked, Answered int
+// RowMismatchError reports an answer that names other rows than were written.
+type RowMismatchError struct {
+	Requested, Returned int
 }
 
 // Error implements error.
-func (e *MismatchError) Error() string {
-	return fmt.Sprintf("answer to %d rows names %d or others", e.Asked, e.Answered)
+func (e *RowMismatchError) Error() string {
+	return fmt.Sprintf("answer to %d rows names %d or others", e.Requested, e.Returned)
 }
 
-// QueueError reports a question that was never sent.
-type QueueError struct{ Why string }
+// UnsentError reports a question that was never sent.
+type UnsentError struct{ Reason string }
 
 // Error implements error.
-func (e *QueueError) Error() string { return "not sent: " + e.Why }
+func (e *UnsentError) Error() string { return "not sent: " + e.Reason }
 
-// SealedError reports a write on a connection that was given up.
-type SealedError struct{}
+// AbandonedConnError reports a write on a connection that was given up.
+type AbandonedConnError struct{}
 
 // Error implements error.
-func (e *SealedError) Error() string { return "the connection was given up" }
+func (e *AbandonedConnError) Error() string { return "the connection was given up" }
--- a/internal/edge/platform/standin_test.go
+++ b/internal/edge/platform/standin_test.go
@@ -23,9 +23,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cancel(); <-over })
-	port := platform.NewHTTPPort(platform.HTTPOptions{Address: service.Address()})
-	edge, events := startEdge(t, platform.Options{Port: port})
-	put := func(action message.Action) message.Event { edge.Act(action); return <-events }
+	port := platform.NewHTTPService(platform.HTTPOptions{Address: service.Address()})
+	edge, events := startEdge(t, platform.Options{Service: port})
+	put := func(action message.Action) message.Event { edge.HandleAction(action); return <-events }
 	read := func() message.Row {
 		rows := put(message.ReadRow{Table: "groups", Key: "a/b c", Timeout: long}).(message.RowsRead)
 		if rows.Err != message.PlatformOK {
@@ -46,7 +46,7 @@
 		{"changed", standin.FaultNone{}, false, "2", message.PlatformOK, "2"},
 		{"stale", standin.FaultNone{}, true, "3", message.PlatformConflict, "2"},
 		{"outage", standin.FaultOutage{}, false, "4", message.PlatformUnknown, "2"},
-		{"answer lost", standin.FaultLose{}, false, "5", message.PlatformUnknown, "5"},
+		{"answer lost", standin.FaultDropResponse{}, false, "5", message.PlatformUnknown, "5"},
 		{"read and changed again", standin.FaultNone{}, false, "6", message.PlatformOK, "6"},
 	}
 	for _, c := range cases {
@@ -91,23 +91,23 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cancel(); <-over })
-	edge, events := startEdge(t, platform.Options{Port: platform.NewHTTPPort(platform.HTTPOptions{Address: service.Address()})})
+	edge, events := startEdge(t, platform.Options{Service: platform.NewHTTPService(platform.HTTPOptions{Address: service.Address()})})
 	peer := netip.MustParseAddrPort("127.0.0.1:7")
-	service.SetInstances([]standin.Instance{{Instance: "i1", Zone: "lanier", Peer: peer, Leaving: true}})
+	service.SetInstances([]standin.Instance{{ID: "i1", Zone: "lanier", Peer: peer, Leaving: true}})
 	steps := []struct {
 		action message.Action
 		want   message.Event
 	}{
-		{readObject, message.ObjectRead{Ask: 7, Name: "sum", Err: message.PlatformMissing}},
-		{writeObject, message.ObjectWritten{Ask: 7, Name: "sum"}},
-		{readObject, message.ObjectRead{Ask: 7, Name: "sum", Body: []byte("body")}},
-		{list, message.InstancesListed{Ask: 7, Instances: []message.ListedInstance{
-			{Instance: "i1", Zone: "lanier", Peer: peer, Leaving: true},
+		{readObject, message.ObjectRead{CorrelationID: 7, Name: "sum", Err: message.PlatformNotFound}},
+		{writeObject, message.ObjectWritten{CorrelationID: 7, Name: "sum"}},
+		{readObject, message.ObjectRead{CorrelationID: 7, Name: "sum", Body: []byte("body")}},
+		{list, message.InstancesListed{CorrelationID: 7, Instances: []message.ListedInstance{
+			{Instance: "i1", Zone: "lanier", PeerAddress: peer, Leaving: true},
 		}}},
 	}
 	compare := cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })
 	for _, step := range steps {
-		edge.Act(step.action)
+		edge.HandleAction(step.action)
 		if diff := cmp.Diff(step.want, <-events, compare); diff != "" {
 			t.Error(diff)
 		}
--- a/internal/edge/postgres/frame.go
+++ b/internal/edge/postgres/frame.go
@@ -90,9 +90,9 @@
 	return &Reader{source: source, limit: limit, idle: make([]byte, idleSize)}
 }
 
-// NewBusyReader returns a Reader that keeps its whole buffer also while it is
+// NewRetainingReader returns a Reader that keeps its whole buffer also while it is
 // idle, for connections that are few and busy.
-func NewBusyReader(source io.Reader, limit int) *Reader {
+func NewRetainingReader(source io.Reader, limit int) *Reader {
 	return &Reader{source: source, limit: limit, keep: true}
 }
 
@@ -106,9 +106,9 @@
 // Buffered returns the number of bytes that were read but not taken yet.
 func (r *Reader) Buffered() int { return r.end - r.start }
 
-// Reads counts the reads that brought bytes. It tells whether anything has
+// ReadCount counts the reads that brought bytes. It tells whether anything has
 // arrived since it was asked before.
-func (r *Reader) Reads() uint64 { return r.reads }
+func (r *Reader) ReadCount() uint64 { return r.reads }
 
 // HasFrame reports whether Next would return without a read.
 func (r *Reader) HasFrame() bool {
@@ -137,8 +137,8 @@
 	}
 }
 
-// Startup returns the body of a startup packet, which has no type byte.
-func (r *Reader) Startup() ([]byte, error) {
+// NextStartupPacket returns the body of a startup packet, which has no type byte.
+func (r *Reader) NextStartupPacket() ([]byte, error) {
 	for {
 		if r.Buffered() >= lengthSize {
 			size := int(int32(binary.BigEndian.Uint32(r.buffer[r.start:])))
--- a/internal/edge/postgres/frame_test.go
+++ b/internal/edge/postgres/frame_test.go
@@ -42,7 +42,7 @@
 	}
 	for name, source := range sources {
 		t.Run(name, func(t *testing.T) {
-			for _, reader := range []*Reader{NewReader(source(), testLimit), NewBusyReader(source(), testLimit)} {
+			for _, reader := range []*Reader{NewReader(source(), testLimit), NewRetainingReader(source(), testLimit)} {
 				if diff := cmp.Diff(want, frames(t, reader)); diff != "" {
 					t.Error("the frames are not those of the stream")
 				}
--- a/internal/edge/session/server.go
+++ b/internal/edge/session/server.go
@@ -38,41 +38,41 @@
 type Router interface {
 	// Route returns the route of a name that is in force.
 	Route(name string) (route.Route, bool)
-	// Confirm waits until it is certain whether a name has a route, and reports
+	// ConfirmRoute waits until it is certain whether a name has a route, and reports
 	// whether that could be known soon.
-	Confirm(ctx context.Context, name string) (found, isCertain bool)
-	// IdleTransaction is how long a transaction may rest; zero sets no limit.
-	IdleTransaction() time.Duration
-	// Version is the version of the configuration in force.
-	Version() uint64
+	ConfirmRoute(ctx context.Context, name string) (found, isCertain bool)
+	// IdleTransactionTimeout is how long a transaction may rest; zero sets no limit.
+	IdleTransactionTimeout() time.Duration
+	// ConfigurationVersion is the version of the configuration in force.
+	ConfigurationVersion() uint64
 }
 
-// Prover tells whether a database was the primary when it answered.
-type Prover interface {
-	// Prove waits for the verdict until ctx ends.
-	Prove(ctx context.Context, grant lease.Grant, answered time.Time) lease.Verdict
-	// IsCutOff reports whether this instance can use a group's primary less than
+// PrimaryConfirmer tells whether a database was the primary when it answered.
+type PrimaryConfirmer interface {
+	// ConfirmPrimary waits for the verdict until ctx ends.
+	ConfirmPrimary(ctx context.Context, grant lease.Grant, answered time.Time) lease.Validity
+	// IsPartitioned reports whether this instance can use a group's primary less than
 	// others can: a caller does better to come again, to another instance.
-	IsCutOff(group model.GroupID) bool
-	// Doubt says that a group's primary did not do what a primary does.
-	Doubt(group model.GroupID)
+	IsPartitioned(group model.GroupID) bool
+	// ReportSuspectedPrimary says that a group's primary did not do what a primary does.
+	ReportSuspectedPrimary(group model.GroupID)
 }
 
-// Samples holds the samples of all groups.
-type Samples interface {
-	Of(group model.GroupID) *fresh.Samples
+// SampleSource holds the samples of all groups.
+type SampleSource interface {
+	SamplesOf(group model.GroupID) *fresh.PositionSamples
 }
 
 // Options are what a Server needs.
 type Options struct {
-	Listen    netip.AddrPort
-	Protocol  Protocol
-	Router    Router
-	Prover    Prover
-	Samples   Samples
-	Scheduler *placement.Scheduler
-	Pool      *backend.Pool
-	Log       *eventlog.Writer
+	ListenAddress    netip.AddrPort
+	Protocol         Protocol
+	Router           Router
+	PrimaryConfirmer PrimaryConfirmer
+	Samples          SampleSource
+	Scheduler        *placement.Scheduler
+	Pool             *backend.Pool
+	Log              *eventlog.Writer
 }
 
 // Server serves callers' sessions. NewServer makes one.
@@ -117,9 +117,9 @@
 // that of all sessions.
 func (s *Server) Start(ctx context.Context) (<-chan error, error) {
 	var config net.ListenConfig
-	listener, err := config.Listen(ctx, "tcp", s.options.Listen.String())
+	listener, err := config.Listen(ctx, "tcp", s.options.ListenAddress.String())
 	if err != nil {
-		return nil, &ListenError{Address: s.options.Listen, Cause: err}
+		return nil, &ListenError{Address: s.options.ListenAddress, Cause: err}
 	}
 	s.ctx = ctx
 	ended := make(chan error, 1)
@@ -169,25 +169,25 @@
 // serve serves one caller from its introduction to its end.
 func (s *Server) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	ses := &session{server: s, conn: conn, wire: s.options.Protocol.Accept(conn)}
+	ses := &session{server: s, conn: conn, wire: s.options.Protocol.NewCodec(conn)}
 	_ = conn.SetReadDeadline(time.Now().Add(greetTimeout))
-	greeting, err := ses.wire.Greet()
+	greeting, err := ses.wire.ReadStartup()
 	if err != nil {
 		return
 	}
-	ses.name = greeting.Name
+	ses.name = greeting.RouteName
 	_ = conn.SetWriteDeadline(time.Now().Add(replyTimeout))
-	if found, isCertain := s.options.Router.Confirm(s.ctx, greeting.Name); !found {
-		failure := &statement.FailureError{Code: statement.CodeNoGroup, Text: "no route has the name " + greeting.Name}
+	if found, isCertain := s.options.Router.ConfirmRoute(s.ctx, greeting.RouteName); !found {
+		failure := &statement.FailureError{Code: statement.CodeGroupNotFound, Message: "no route has the name " + greeting.RouteName}
 		if !isCertain {
-			failure = &statement.FailureError{Code: statement.CodeBusy, Text: "the configuration is not known yet; " + comeBack}
+			failure = &statement.FailureError{Code: statement.CodeBusy, Message: "the configuration is not known yet; " + comeBack}
 		}
-		s.note(event.NameRefused, event.F("name", greeting.Name), event.F("why", failure.Text),
-			event.F("version", s.options.Router.Version()))
-		_ = ses.wire.Refuse(failure)
+		s.note(event.NameRefused, event.F("name", greeting.RouteName), event.F("why", failure.Message),
+			event.F("version", s.options.Router.ConfigurationVersion()))
+		_ = ses.wire.WriteRejection(failure)
 		return
 	}
-	if ses.wire.Welcome() != nil {
+	if ses.wire.WriteReady() != nil {
 		return
 	}
 	defer ses.end()
@@ -202,25 +202,25 @@
 	}
 	arrived := clock.Now()
 	_ = ses.conn.SetReadDeadline(time.Now().Add(requestTimeout))
-	request, err := ses.wire.Next()
+	request, err := ses.wire.ReadRequest()
 	if err != nil {
 		return false
 	}
 	answer := ses.handle(request, arrived)
 	_ = ses.conn.SetWriteDeadline(time.Now().Add(replyTimeout))
-	return ses.wire.Reply(answer) == nil
+	return ses.wire.WriteAnswer(answer) == nil
 }
 
 // await waits for the next request and reports whether there is one. A
 // transaction that rests too long is rolled back.
 func (ses *session) await() bool {
 	for {
-		limit := ses.server.options.Router.IdleTransaction()
+		limit := ses.server.options.Router.IdleTransactionTimeout()
 		bounded := limit > 0 && ses.transaction != nil && !ses.transaction.failed
 		if !ses.server.rest(ses, limit, bounded) {
 			return false
 		}
-		err := ses.wire.Await()
+		err := ses.wire.AwaitRequest()
 		left := ses.server.wake(ses)
 		switch {
 		case err == nil:
@@ -273,17 +273,17 @@
 	return told
 }
 
-// Leave closes idle sessions, now and whenever one becomes idle.
-func (s *Server) Leave() {
+// StartDraining closes idle sessions, now and whenever one becomes idle.
+func (s *Server) StartDraining() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 	s.endResting(0)
 }
 
-// Shed closes the sessions that are idle for a moment: their callers connect
+// CloseIdleSessions closes the sessions that are idle for a moment: their callers connect
 // again, to an instance that is ready.
-func (s *Server) Shed() {
+func (s *Server) CloseIdleSessions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endResting(shedAfter)
@@ -301,15 +301,15 @@
 	}
 }
 
-// Drain waits until no session is left, for limit at most.
-func (s *Server) Drain(limit time.Duration) {
-	for end := time.Now().Add(limit); time.Now().Before(end) && s.Count() > 0; {
+// AwaitDrained waits until no session is left, for limit at most.
+func (s *Server) AwaitDrained(limit time.Duration) {
+	for end := time.Now().Add(limit); time.Now().Before(end) && s.SessionCount() > 0; {
 		time.Sleep(drainPause)
 	}
 }
 
-// Count returns the number of sessions.
-func (s *Server) Count() int {
+// SessionCount returns the number of sessions.
+func (s *Server) SessionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.sessions)
--- a/internal/edge/session/session.go
+++ b/internal/edge/session/session.go
@@ -54,8 +54,8 @@
 	requestTimeout = 10 * time.Second
 )
 
-// Greeting is how a caller introduces itself.
-type Greeting struct{ Name, User string }
+// StartupMessage is how a caller introduces itself.
+type StartupMessage struct{ RouteName, User string }
 
 // Request is one statement of a caller.
 type Request struct {
@@ -65,31 +65,31 @@
 
 // Protocol speaks to callers.
 type Protocol interface {
-	Accept(conn net.Conn) Wire
+	NewCodec(conn net.Conn) Codec
 }
 
-// Wire reads requests and writes answers on one caller's connection.
-type Wire interface {
-	// Await waits for the first byte of a request and takes nothing in.
-	Await() error
-	// Greet reads the caller's introduction, Next its next request.
-	Greet() (Greeting, error)
-	Next() (Request, error)
-	// Welcome accepts the caller, Refuse tells why not.
-	Welcome() error
-	Refuse(failure *statement.FailureError) error
-	// Reply answers the request read last.
-	Reply(answer statement.Answer) error
+// Codec reads requests and writes answers on one caller's connection.
+type Codec interface {
+	// AwaitRequest waits for the first byte of a request and takes nothing in.
+	AwaitRequest() error
+	// ReadStartup reads the caller's introduction, Next its next request.
+	ReadStartup() (StartupMessage, error)
+	ReadRequest() (Request, error)
+	// WriteReady accepts the caller, Refuse tells why not.
+	WriteReady() error
+	WriteRejection(failure *statement.FailureError) error
+	// WriteAnswer answers the request read last.
+	WriteAnswer(answer statement.Answer) error
 }
 
 // session is one caller's connection.
 type session struct {
 	server *Server
 	conn   net.Conn
-	wire   Wire
+	wire   Codec
 	name   string
 	// values and prepared are what the caller was told that the session has.
-	values   backend.Values
+	values   backend.Variables
 	prepared map[string]statement.Prepare
 	// floor is the last position that the session wrote, at floorAt.
 	floor   model.Position
@@ -121,13 +121,13 @@
 	}
 	chosen, found := s.server.options.Router.Route(s.name)
 	if !found {
-		return failed(statement.CodeNoGroup, "no route has the name "+s.name, statement.StateIdle)
+		return failed(statement.CodeGroupNotFound, "no route has the name "+s.name, statement.TransactionStateIdle)
 	}
 	a := &asked{Request: request, arrived: arrived, route: chosen}
 	switch wanted := request.Statement.(type) {
 	case statement.Begin:
 		s.transaction = &transaction{readOnly: wanted.ReadOnly, began: arrived, route: chosen}
-		return statement.Answer{State: statement.StateOpen}
+		return statement.Answer{TransactionState: statement.TransactionStateOpen}
 	case statement.Read:
 		return s.single(a, false)
 	case statement.Write:
@@ -135,11 +135,11 @@
 	case statement.Execute:
 		known, found := s.prepared[wanted.Name]
 		if !found {
-			return failed(statement.CodeNoStatement, wanted.Name, statement.StateIdle)
+			return failed(statement.CodePreparedStatementNotFound, wanted.Name, statement.TransactionStateIdle)
 		}
 		return s.single(a, known.Access == model.AccessWrite)
 	default:
-		return failed(statement.CodeMalformed, "not outside a transaction", statement.StateIdle)
+		return failed(statement.CodeMalformed, "not outside a transaction", statement.TransactionStateIdle)
 	}
 }
 
@@ -149,7 +149,7 @@
 	switch wanted := wanted.(type) {
 	case statement.Set:
 		if s.values == nil {
-			s.values = backend.Values{}
+			s.values = backend.Variables{}
 		}
 		s.values[wanted.Name] = wanted.Value
 	case statement.Prepare:
@@ -162,18 +162,18 @@
 	default:
 		return statement.Answer{}, false
 	}
-	return statement.Answer{State: s.state()}, true
+	return statement.Answer{TransactionState: s.state()}, true
 }
 
 // state returns where the session stands between two requests.
-func (s *session) state() statement.State {
+func (s *session) state() statement.TransactionState {
 	switch {
 	case s.transaction == nil:
-		return statement.StateIdle
+		return statement.TransactionStateIdle
 	case s.transaction.failed:
-		return statement.StateFailed
+		return statement.TransactionStateFailed
 	default:
-		return statement.StateOpen
+		return statement.TransactionStateOpen
 	}
 }
 
@@ -184,6 +184,6 @@
 	}
 }
 
-func failed(code statement.Code, text string, state statement.State) statement.Answer {
-	return statement.Answer{Failure: &statement.FailureError{Code: code, Text: text}, State: state}
+func failed(code statement.Code, text string, state statement.TransactionState) statement.Answer {
+	return statement.Answer{Failure: &statement.FailureError{Code: code, Message: text}, TransactionState: state}
 }
--- a/internal/edge/session/single.go
+++ b/internal/edge/session/single.go
@@ -37,7 +37,7 @@
 	for {
 		a.attempts++
 		v, failure := s.enter(a, need)
-		seat := placement.Seat{}
+		seat := placement.Reservation{}
 		if failure == nil {
 			seat = v.seat
 			ended := s.attempt(a, v, writes)
@@ -46,13 +46,13 @@
 			}
 			failure = ended.why
 			s.retried(a, seat, failure.Error())
-			need.Avoid = append(need.Avoid, seat.Database.ID)
+			need.ExcludedDatabases = append(need.ExcludedDatabases, seat.Database.ID)
 		}
 		if !s.mayRetry(a) {
-			return s.refused(a, seat, asNotRun(failure), statement.StateIdle)
+			return s.refused(a, seat, asNotRun(failure), statement.TransactionStateIdle)
 		}
-		if need.Primary {
-			s.server.options.Prover.Doubt(a.route.Group)
+		if need.RequiresPrimary {
+			s.server.options.PrimaryConfirmer.ReportSuspectedPrimary(a.route.Group)
 			time.Sleep(retryPause)
 		}
 	}
@@ -60,7 +60,7 @@
 
 // mayRetry reports whether a statement that did not run may be sent again.
 func (s *session) mayRetry(a *asked) bool {
-	return a.attempts < maxAttempts && !s.server.options.Prover.IsCutOff(a.route.Group) && clock.Since(a.arrived) < time.Duration(waitShare*float64(a.route.Timeout))
+	return a.attempts < maxAttempts && !s.server.options.PrimaryConfirmer.IsPartitioned(a.route.Group) && clock.Since(a.arrived) < time.Duration(waitShare*float64(a.route.Timeout))
 }
 
 // asNotRun returns the failure for a statement that did not run: whatever the
@@ -69,7 +69,7 @@
 	if failure.Code == statement.CodeBusy {
 		return failure
 	}
-	return &statement.FailureError{Code: statement.CodeBusy, Text: "not run (" + failure.Error() + "); " + comeBack}
+	return &statement.FailureError{Code: statement.CodeBusy, Message: "not run (" + failure.Error() + "); " + comeBack}
 }
 
 // attempt runs a statement at the database of a visit.
@@ -84,7 +84,7 @@
 		s.leave(v, false)
 		return s.lost(a, v, writes, err)
 	}
-	keep := reply.State == statement.StateIdle && (reply.Failure == nil || reply.Failure.Code != statement.CodeNoStatement)
+	keep := reply.TransactionState == statement.TransactionStateIdle && (reply.Failure == nil || reply.Failure.Code != statement.CodePreparedStatementNotFound)
 	s.leave(v, keep)
 	if reply.Failure != nil {
 		return s.failure(a, v, reply, writes)
@@ -97,33 +97,33 @@
 	if !writes {
 		if a.remaining() <= 0 {
 			return conclusion{answer: s.refused(a, v.seat,
-				&statement.FailureError{Code: statement.CodeTimeout, Text: "no answer inside the route's time-out"}, statement.StateIdle)}
+				&statement.FailureError{Code: statement.CodeTimeout, Message: "no answer inside the route's time-out"}, statement.TransactionStateIdle)}
 		}
-		return conclusion{again: true, why: &statement.FailureError{Code: statement.CodeBusy, Text: err.Error()}}
+		return conclusion{again: true, why: &statement.FailureError{Code: statement.CodeBusy, Message: err.Error()}}
 	}
-	s.server.options.Prover.Doubt(a.route.Group)
+	s.server.options.PrimaryConfirmer.ReportSuspectedPrimary(a.route.Group)
 	return conclusion{answer: s.refused(a, v.seat,
-		&statement.FailureError{Code: statement.CodeUnknown, Text: "the answer of the database was lost"}, statement.StateIdle)}
+		&statement.FailureError{Code: statement.CodeOutcomeUnknown, Message: "the answer of the database was lost"}, statement.TransactionStateIdle)}
 }
 
 // failure concludes an attempt that the database refused or failed.
 func (s *session) failure(a *asked, v *visit, reply *backend.Reply, writes bool) conclusion {
-	if reply.Failure.Code.IsNotRun() || !writes && reply.Failure.Code == statement.CodeFailed {
+	if reply.Failure.Code.GuaranteesNotExecuted() || !writes && reply.Failure.Code == statement.CodeExecutionFailed {
 		return conclusion{again: true, why: reply.Failure}
 	}
-	return conclusion{answer: s.refused(a, v.seat, reply.Failure, statement.StateIdle)}
+	return conclusion{answer: s.refused(a, v.seat, reply.Failure, statement.TransactionStateIdle)}
 }
 
 // success concludes an attempt that the database answered: the answer holds if
 // its position was asked for, or if the database was the primary.
 func (s *session) success(a *asked, v *visit, reply *backend.Reply, writes bool) conclusion {
-	answer := statement.Answer{Rows: reply.Rows, Signature: reply.Signature, State: statement.StateIdle}
-	if !writes && !v.seat.After.IsZero() {
+	answer := statement.Answer{Rows: reply.Rows, Signature: reply.Signature, TransactionState: statement.TransactionStateIdle}
+	if !writes && !v.seat.MinPosition.IsZero() {
 		s.succeeded(a, v, reply, "position")
 		return conclusion{answer: answer}
 	}
 	switch verdict := s.prove(a, v, reply); {
-	case verdict == lease.VerdictPrimary:
+	case verdict == lease.ValidityConfirmed:
 		if writes {
 			s.wrote(reply.Position)
 		}
@@ -131,11 +131,11 @@
 		return conclusion{answer: answer}
 	case writes:
 		return conclusion{answer: s.refused(a, v.seat, &statement.FailureError{
-			Code: statement.CodeUnknown, Text: "the commit's primary is " + verdict.String(),
-		}, statement.StateIdle)}
-	case verdict == lease.VerdictReplaced:
-		return conclusion{again: true, why: &statement.FailureError{Code: statement.CodeBusy, Text: "the primary was replaced"}}
+			Code: statement.CodeOutcomeUnknown, Message: "the commit's primary is " + verdict.String(),
+		}, statement.TransactionStateIdle)}
+	case verdict == lease.ValidityReplaced:
+		return conclusion{again: true, why: &statement.FailureError{Code: statement.CodeBusy, Message: "the primary was replaced"}}
 	default:
-		return conclusion{answer: s.refused(a, v.seat, &statement.FailureError{Code: statement.CodeBusy, Text: notProven}, statement.StateIdle)}
+		return conclusion{answer: s.refused(a, v.seat, &statement.FailureError{Code: statement.CodeBusy, Message: notProven}, statement.TransactionStateIdle)}
 	}
 }
--- a/internal/edge/session/transaction.go
+++ b/internal/edge/session/transaction.go
@@ -35,7 +35,7 @@
 	a := &asked{Request: request, arrived: arrived, route: t.route}
 	if _, is := request.Statement.(statement.Rollback); is {
 		s.endTransaction()
-		return statement.Answer{State: statement.StateIdle}
+		return statement.Answer{TransactionState: statement.TransactionStateIdle}
 	}
 	if t.failed {
 		return s.handleFailed(a)
@@ -51,16 +51,16 @@
 	case statement.Execute:
 		known, found := s.prepared[wanted.Name]
 		if !found {
-			return s.failTransaction(a, &statement.FailureError{Code: statement.CodeNoStatement, Text: wanted.Name})
+			return s.failTransaction(a, &statement.FailureError{Code: statement.CodePreparedStatementNotFound, Message: wanted.Name})
 		}
 		writes = known.Access == model.AccessWrite
 	default:
-		return s.failTransaction(a, &statement.FailureError{Code: statement.CodeMalformed, Text: "not inside a transaction"})
+		return s.failTransaction(a, &statement.FailureError{Code: statement.CodeMalformed, Message: "not inside a transaction"})
 	}
 	if t.visit == nil {
 		return s.first(a, writes)
 	}
-	s.server.options.Scheduler.Start(t.visit.seat)
+	s.server.options.Scheduler.StartStatement(t.visit.seat)
 	t.wrote = t.wrote || writes
 	reply, err := s.run(a, t.visit, nil, a.remaining())
 	s.finish(t.visit, writes, reply, err)
@@ -71,9 +71,9 @@
 func (s *session) handleFailed(a *asked) statement.Answer {
 	if _, is := a.Statement.(statement.Commit); is {
 		s.endTransaction()
-		return failed(statement.CodeAborted, "the transaction was rolled back", statement.StateIdle)
+		return failed(statement.CodeAborted, "the transaction was rolled back", statement.TransactionStateIdle)
 	}
-	return failed(statement.CodeMalformed, "the transaction has failed and waits for its end", statement.StateFailed)
+	return failed(statement.CodeMalformed, "the transaction has failed and waits for its end", statement.TransactionStateFailed)
 }
 
 // first runs the transaction's first statement, behind its BEGIN. Nothing has
@@ -85,28 +85,28 @@
 		a.attempts++
 		v, failure := s.enter(a, need)
 		if failure == nil {
-			begin := statement.Call{Statement: statement.Begin{ReadOnly: t.readOnly}}
+			begin := statement.Request{Statement: statement.Begin{ReadOnly: t.readOnly}}
 			if t.readOnly {
-				begin.After = v.seat.After
+				begin.MinPosition = v.seat.MinPosition
 			}
 			t.visit = v
 			t.wrote = writes
 			reply, err := s.run(a, v, &begin, a.remaining())
 			s.finish(v, writes, reply, err)
-			if reply == nil || reply.Failure == nil || !reply.Failure.Code.IsNotRun() {
+			if reply == nil || reply.Failure == nil || !reply.Failure.Code.GuaranteesNotExecuted() {
 				return s.concludeInside(a, reply, err, true)
 			}
 			failure = reply.Failure
 			s.recycle(v, reply)
 			t.visit = nil
 			s.retried(a, v.seat, failure.Error())
-			need.Avoid = append(need.Avoid, v.seat.Database.ID)
+			need.ExcludedDatabases = append(need.ExcludedDatabases, v.seat.Database.ID)
 		}
 		if !s.mayRetry(a) {
 			return s.failTransaction(a, asNotRun(failure))
 		}
-		if need.Primary {
-			s.server.options.Prover.Doubt(a.route.Group)
+		if need.RequiresPrimary {
+			s.server.options.PrimaryConfirmer.ReportSuspectedPrimary(a.route.Group)
 			time.Sleep(retryPause)
 		}
 	}
@@ -125,18 +125,18 @@
 		}
 		return s.failTransaction(a, reply.Failure)
 	}
-	answer := statement.Answer{Rows: reply.Rows, Signature: reply.Signature, State: statement.StateOpen}
+	answer := statement.Answer{Rows: reply.Rows, Signature: reply.Signature, TransactionState: statement.TransactionStateOpen}
 	if commits {
 		return s.committed(a, reply, answer)
 	}
 	proof := "transaction"
 	if first {
 		proof = "position"
-		if t.visit.seat.After.IsZero() {
+		if t.visit.seat.MinPosition.IsZero() {
 			proof = "lease"
-			if verdict := s.prove(a, t.visit, reply); verdict != lease.VerdictPrimary {
+			if verdict := s.prove(a, t.visit, reply); verdict != lease.ValidityConfirmed {
 				s.abandonVisit()
-				return s.failTransaction(a, &statement.FailureError{Code: statement.CodeAborted, Text: "the primary is " + verdict.String() + "; " + notProven})
+				return s.failTransaction(a, &statement.FailureError{Code: statement.CodeAborted, Message: "the primary is " + verdict.String() + "; " + notProven})
 			}
 		}
 	}
@@ -151,15 +151,15 @@
 	wrote := t.wrote
 	seat := t.visit.seat
 	s.abandonVisit()
-	s.server.options.Prover.Doubt(a.route.Group)
+	s.server.options.PrimaryConfirmer.ReportSuspectedPrimary(a.route.Group)
 	if commits && wrote {
 		s.transaction = nil
-		return s.refused(a, seat, &statement.FailureError{Code: statement.CodeUnknown, Text: "the answer to COMMIT was lost"}, statement.StateIdle)
+		return s.refused(a, seat, &statement.FailureError{Code: statement.CodeOutcomeUnknown, Message: "the answer to COMMIT was lost"}, statement.TransactionStateIdle)
 	}
-	failure := &statement.FailureError{Code: statement.CodeAborted, Text: "the transaction's database was lost: " + err.Error()}
+	failure := &statement.FailureError{Code: statement.CodeAborted, Message: "the transaction's database was lost: " + err.Error()}
 	if commits {
 		s.transaction = nil
-		return s.refused(a, seat, failure, statement.StateIdle)
+		return s.refused(a, seat, failure, statement.TransactionStateIdle)
 	}
 	return s.failTransaction(a, failure)
 }
@@ -169,24 +169,24 @@
 	seat := s.transaction.visit.seat
 	s.abandonVisit()
 	s.transaction = nil
-	return s.refused(a, seat, reply.Failure, statement.StateIdle)
+	return s.refused(a, seat, reply.Failure, statement.TransactionStateIdle)
 }
 
 // committed answers a COMMIT that the database carried out.
 func (s *session) committed(a *asked, reply *backend.Reply, answer statement.Answer) statement.Answer {
 	t := s.transaction
 	s.transaction = nil
-	answer.State = statement.StateIdle
+	answer.TransactionState = statement.TransactionStateIdle
 	v := t.visit
-	s.leave(v, reply.State == statement.StateIdle)
+	s.leave(v, reply.TransactionState == statement.TransactionStateIdle)
 	if !t.wrote {
 		s.succeeded(a, v, reply, "reads only")
 		return answer
 	}
-	if verdict := s.prove(a, v, reply); verdict != lease.VerdictPrimary {
+	if verdict := s.prove(a, v, reply); verdict != lease.ValidityConfirmed {
 		return s.refused(a, v.seat, &statement.FailureError{
-			Code: statement.CodeUnknown, Text: "the commit's primary is " + verdict.String(),
-		}, statement.StateIdle)
+			Code: statement.CodeOutcomeUnknown, Message: "the commit's primary is " + verdict.String(),
+		}, statement.TransactionStateIdle)
 	}
 	s.wrote(reply.Position)
 	s.succeeded(a, v, reply, "lease")
@@ -198,13 +198,13 @@
 func (s *session) failTransaction(a *asked, failure *statement.FailureError) statement.Answer {
 	t := s.transaction
 	t.failed = true
-	seat := placement.Seat{}
+	seat := placement.Reservation{}
 	if t.visit != nil {
 		seat = t.visit.seat
 		s.release(t.visit)
 		t.visit = nil
 	}
-	return s.refused(a, seat, failure, statement.StateFailed)
+	return s.refused(a, seat, failure, statement.TransactionStateFailed)
 }
 
 // endTransaction rolls back what is open.
@@ -238,8 +238,8 @@
 
 // recycle keeps the connection of a visit whose first statement did not run.
 func (s *session) recycle(v *visit, reply *backend.Reply) {
-	if reply.Failure.Code == statement.CodeNoStatement || reply.State == statement.StateIdle {
-		s.leave(v, reply.Failure.Code != statement.CodeNoStatement)
+	if reply.Failure.Code == statement.CodePreparedStatementNotFound || reply.TransactionState == statement.TransactionStateIdle {
+		s.leave(v, reply.Failure.Code != statement.CodePreparedStatementNotFound)
 		return
 	}
 	s.release(v)
@@ -249,7 +249,7 @@
 // background: the caller need not wait for it.
 func (s *session) release(v *visit) {
 	s.server.spawn(func() {
-		replies, err := v.conn.Exchange(rollbackTimeout, []statement.Call{{Statement: statement.Rollback{}}})
-		s.leave(v, err == nil && len(replies) == 1 && replies[0].Failure == nil && replies[0].State == statement.StateIdle)
+		replies, err := v.conn.Exchange(rollbackTimeout, []statement.Request{{Statement: statement.Rollback{}}})
+		s.leave(v, err == nil && len(replies) == 1 && replies[0].Failure == nil && replies[0].TransactionState == statement.TransactionStateIdle)
 	})
 }
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -27,8 +27,8 @@
 	// Version is that of the row's last change; zero stands for a row that does
 	// not exist.
 	Version uint64
-	// Removed says, in a watch, that the row does not exist any more.
-	Removed bool
+	// Deleted says, in a watch, that the row does not exist any more.
+	Deleted bool
 }
 
 // Rows is the answer to a read or a watch.
@@ -38,12 +38,12 @@
 	Version uint64
 }
 
-// Change is one transaction: it is carried out whole where every row of Expected
+// Transaction is one transaction: it is carried out whole where every row of Expected
 // has the version that it names, and not at all otherwise.
-type Change struct {
-	Expected []Row
-	Set      []Row
-	Delete   []Row
+type Transaction struct {
+	Preconditions []Row
+	Upserts       []Row
+	Deletes       []Row
 }
 
 // Store is the table store.
@@ -54,7 +54,7 @@
 	// soon as there are any, or none after the wait.
 	Watch(ctx context.Context, table string, after uint64, wait time.Duration) (Rows, error)
 	// Write carries out a change and returns the store's version after it.
-	Write(ctx context.Context, change Change) (uint64, error)
+	Write(ctx context.Context, change Transaction) (uint64, error)
 }
 
 // Promotion asks the platform to make a database the primary of its group.
@@ -63,8 +63,8 @@
 	Database model.DatabaseID
 	// Holder is the instance that has the duty, Token the number that rises
 	// with each change of the holder.
-	Holder model.InstanceID
-	Token  uint64
+	Holder       model.InstanceID
+	FencingToken uint64
 }
 
 // Promoter carries out promotions.
@@ -86,9 +86,9 @@
 	OutcomeRefused
 	// OutcomeConflict: a row was not at the expected version; nothing was done.
 	OutcomeConflict
-	// OutcomeHistoryGone: the changes after that version can't be told any
+	// OutcomeCompacted: the changes after that version can't be told any
 	// more; the table has to be read anew.
-	OutcomeHistoryGone
+	OutcomeCompacted
 )
 
 // String names o for log lines.
--- a/internal/node/fleet/ask.go
+++ b/internal/node/fleet/ask.go
@@ -12,7 +12,7 @@
 // standingOf is what a database has said of itself.
 type standingOf struct {
 	database placement.Database
-	standing statement.Standing
+	standing statement.ServerStatus
 }
 
 // inquireAll asks all databases of a group but one for their standing, and
@@ -27,7 +27,7 @@
 		}
 		asked++
 		go func() {
-			standing, err := f.ask(ctx, d, statement.Inquire{})
+			standing, err := f.ask(ctx, d, statement.QueryStatus{})
 			if err != nil {
 				answers <- standingOf{}
 				return
@@ -45,33 +45,33 @@
 }
 
 // ask sends a control statement to a database.
-func (f *Fleet) ask(ctx context.Context, d placement.Database, s statement.Statement) (statement.Standing, error) {
+func (f *Fleet) ask(ctx context.Context, d placement.Database, s statement.Statement) (statement.ServerStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, inquireTimeout)
 	defer cancel()
 	conn, err := f.Pool.Get(ctx, d, nil)
 	if err != nil {
-		f.noteAsked(d, s, statement.Standing{}, err)
-		return statement.Standing{}, err
+		f.noteAsked(d, s, statement.ServerStatus{}, err)
+		return statement.ServerStatus{}, err
 	}
-	replies, err := conn.Exchange(inquireTimeout, []statement.Call{{Statement: s}})
+	replies, err := conn.Exchange(inquireTimeout, []statement.Request{{Statement: s}})
 	if err != nil {
 		conn.Close()
-		f.noteAsked(d, s, statement.Standing{}, err)
-		return statement.Standing{}, err
+		f.noteAsked(d, s, statement.ServerStatus{}, err)
+		return statement.ServerStatus{}, err
 	}
 	f.Pool.Put(conn)
 	if failure := replies[0].Failure; failure != nil {
-		f.noteAsked(d, s, statement.Standing{}, failure)
-		return statement.Standing{}, failure
+		f.noteAsked(d, s, statement.ServerStatus{}, failure)
+		return statement.ServerStatus{}, failure
 	}
-	f.noteAsked(d, s, replies[0].Standing, nil)
-	return replies[0].Standing, nil
+	f.noteAsked(d, s, replies[0].ServerStatus, nil)
+	return replies[0].ServerStatus, nil
 }
 
-func (f *Fleet) noteAsked(d placement.Database, s statement.Statement, standing statement.Standing, err error) {
+func (f *Fleet) noteAsked(d placement.Database, s statement.Statement, standing statement.ServerStatus, err error) {
 	f.note(event.DatabaseAsked, event.F("group", d.Group), event.F("database", d.ID),
 		event.F("statement", controlName(s)), event.F("role", standing.Role.String()), event.F("term", standing.Term),
-		event.F("received", standing.Received.String()), event.F("outcome", outcome(err)))
+		event.F("received", standing.ReceivedPosition.String()), event.F("outcome", outcome(err)))
 }
 
 func controlName(s statement.Statement) string {
--- a/internal/node/fleet/directory_configuration.go
+++ b/internal/node/fleet/directory_configuration.go
@@ -13,7 +13,7 @@
 // takeConfiguration takes in the rows of the operator's table.
 func (f *Fleet) takeConfiguration(rows store.Rows, key string) {
 	for _, row := range rows.Rows {
-		if row.Key == key && !row.Removed {
+		if row.Key == key && !row.Deleted {
 			f.adopt(row.Value, "store")
 		}
 	}
@@ -22,7 +22,7 @@
 
 // adopt puts a configuration in force unless one as new already is.
 func (f *Fleet) adopt(body []byte, from string) {
-	decoded, err := f.options.Source.Configuration(body)
+	decoded, err := f.options.Schema.DecodeConfiguration(body)
 	if err != nil {
 		f.note(event.ContentRejected, event.F("table", "configuration"), event.F("key", from), event.F("error", err.Error()))
 		return
@@ -81,9 +81,9 @@
 	return found, is
 }
 
-// Confirm implements session.Router: a name without a route is refused only on a
+// ConfirmRoute implements session.Router: a name without a route is refused only on a
 // configuration that was the newest a moment ago.
-func (f *Fleet) Confirm(ctx context.Context, name string) (found, isCertain bool) {
+func (f *Fleet) ConfirmRoute(ctx context.Context, name string) (found, isCertain bool) {
 	ctx, cancel := context.WithTimeout(ctx, confirmWait)
 	defer cancel()
 	for {
@@ -107,7 +107,7 @@
 func (f *Fleet) isConfirmed() bool {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
-	return f.directory.known && clock.Since(f.directory.confirmed) < f.options.ConfirmAge
+	return f.directory.known && clock.Since(f.directory.confirmed) < f.options.MaxConfigurationAge
 }
 
 // configurationChanged returns a channel that is closed when a configuration is
@@ -143,7 +143,7 @@
 
 // readConfiguration reads the operator's table once.
 func (f *Fleet) readConfiguration(ctx context.Context) {
-	table, key := f.options.Source.ConfigurationTable()
+	table, key := f.options.Schema.ConfigurationTable()
 	rows, err := f.read(ctx, table)
 	if err != nil {
 		f.note(event.DependencyLost, event.F("dependency", "store/"+table), event.F("error", err.Error()))
@@ -159,15 +159,15 @@
 	return f.directory.configuration.Version, f.directory.raw
 }
 
-// IdleTransaction implements session.Router.
-func (f *Fleet) IdleTransaction() time.Duration {
+// IdleTransactionTimeout implements session.Router.
+func (f *Fleet) IdleTransactionTimeout() time.Duration {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
-	return f.directory.configuration.IdleTransaction
+	return f.directory.configuration.IdleTransactionTimeout
 }
 
 // Version implements session.Router.
-func (f *Fleet) Version() uint64 {
+func (f *Fleet) ConfigurationVersion() uint64 {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
 	return f.directory.configuration.Version
--- a/internal/node/fleet/directory_database.go
+++ b/internal/node/fleet/directory_database.go
@@ -21,7 +21,7 @@
 		id := model.DatabaseID(row.Key)
 		listed[id] = true
 		d.listed = max(d.listed, row.Version)
-		if row.Removed {
+		if row.Deleted {
 			d.listed = max(d.listed, rows.Version)
 			f.lapse(id)
 			continue
@@ -73,14 +73,14 @@
 
 // takeEntry takes in one entry. One that can't be read changes nothing.
 func (f *Fleet) takeEntry(row store.Row) {
-	decoded, err := f.options.Source.Database(row.Key, row.Value)
+	decoded, err := f.options.Schema.DecodeDatabase(row.Key, row.Value)
 	if err != nil {
 		f.note(event.ContentRejected, event.F("table", row.Table), event.F("key", row.Key), event.F("error", err.Error()))
 		return
 	}
 	d := &f.directory
 	known, found := d.entries[decoded.ID]
-	if !found || known.Born != decoded.Born {
+	if !found || known.Incarnation != decoded.Incarnation {
 		known = &entry{}
 		d.entries[decoded.ID] = known
 	}
@@ -90,7 +90,7 @@
 	if known.Database != decoded {
 		f.note(event.DatabaseKnown,
 			event.F("group", decoded.Group), event.F("database", decoded.ID), event.F("zone", decoded.Zone),
-			event.F("leaving", decoded.Leaving), event.F("primary", decoded.ClaimsPrimary), event.F("born", decoded.Born),
+			event.F("leaving", decoded.Leaving), event.F("primary", decoded.ClaimsPrimary), event.F("born", decoded.Incarnation),
 			event.F("source", row.Table))
 	}
 	if decoded.Leaving && known.leavingAt.IsZero() {
@@ -119,7 +119,7 @@
 		case !known.lapsed.IsZero() && now.Sub(known.lapsed) > lapseKept:
 			why = "its entry is missing"
 			delete(d.entries, id)
-		case !known.retired && !known.leavingAt.IsZero() && now.Sub(known.leavingAt) > f.options.DrainLimit:
+		case !known.retired && !known.leavingAt.IsZero() && now.Sub(known.leavingAt) > f.options.DrainTimeout:
 			why = "it has been leaving for long"
 			known.retired = true
 		default:
@@ -150,7 +150,7 @@
 			continue
 		}
 		published := known.Database
-		published.Connections = d.configuration.Groups[known.Group].Connections
+		published.MaxConnections = d.configuration.Groups[known.Group].MaxConnections
 		databases = append(databases, published)
 	}
 	d.sharing = f.instances()
--- a/internal/node/fleet/directory_peer.go
+++ b/internal/node/fleet/directory_peer.go
@@ -11,14 +11,14 @@
 
 // hearConfirmation takes in that a peer knew the configuration and the list of
 // databases to be the newest at some age of them before echoed.
-func (f *Fleet) hearConfirmation(echoed time.Time, b message.Bulletin) {
-	if b.Configuration == f.Version() {
+func (f *Fleet) hearConfirmation(echoed time.Time, b message.GossipState) {
+	if b.ConfigurationVersion == f.ConfigurationVersion() {
 		f.confirm(echoed.Add(-b.ConfigurationAge))
 	}
 	d := &f.directory
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at := echoed.Add(-b.DatabasesAge); b.Databases == d.listed && at.After(d.listedAt) {
+	if at := echoed.Add(-b.DatabasesAge); b.DatabasesVersion == d.listed && at.After(d.listedAt) {
 		d.listedAt = at
 	}
 }
@@ -54,19 +54,19 @@
 }
 
 // askFor asks a peer for what it knows newer.
-func (f *Fleet) askFor(peer model.InstanceID, b message.Bulletin) {
+func (f *Fleet) askFor(peer model.InstanceID, b message.GossipState) {
 	now := clock.Now()
 	d := &f.directory
 	d.mu.Lock()
 	above, listed := d.configuration.Version, d.listed
-	wantsConfiguration := b.Configuration > above && d.askedConfiguration.isDue(b.Configuration, now)
+	wantsConfiguration := b.ConfigurationVersion > above && d.askedConfiguration.isDue(b.ConfigurationVersion, now)
 	// All versions of the list count as one: at a start each database changes it.
-	wantsDatabases := b.Databases > listed && d.askedDatabases.isDue(0, now)
+	wantsDatabases := b.DatabasesVersion > listed && d.askedDatabases.isDue(0, now)
 	d.mu.Unlock()
 	if wantsConfiguration {
-		f.peers.links.Act(message.SendPeer{To: peer, Body: message.ManifestWanted{Above: above}})
+		f.peers.links.HandleAction(message.SendPeer{To: peer, Body: message.ManifestRequest{NewerThan: above}})
 	}
 	if wantsDatabases {
-		f.peers.links.Act(message.SendPeer{To: peer, Body: message.DatabasesWanted{Above: listed}})
+		f.peers.links.HandleAction(message.SendPeer{To: peer, Body: message.DatabasesRequest{NewerThan: listed}})
 	}
 }
--- a/internal/node/fleet/directory_test.go
+++ b/internal/node/fleet/directory_test.go
@@ -33,7 +33,7 @@
 	w.hub.mu.Unlock()
 	w.store.put("configurations", "current", "2")
 	for _, f := range w.fleets {
-		eventually(t, "version 2", func() bool { return f.Version() == 2 })
+		eventually(t, "version 2", func() bool { return f.ConfigurationVersion() == 2 })
 	}
 	time.Sleep(bulletinInterval)
 	if offers := w.hub.count(message.ManifestOffer{}); offers > instances {
@@ -47,7 +47,7 @@
 	f := newMember(5, 9)
 	f.republish()
 	before := f.directory.sharing
-	f.tell("z1-1", message.Bulletin{ZoneSize: 9, FleetSize: 27})
+	f.tell("z1-1", message.GossipState{ZoneSize: 9, FleetSize: 27})
 	f.republish()
 	if diff := cmp.Diff([]int{7, 27}, []int{before, f.directory.sharing}); diff != "" {
 		t.Error(diff)
@@ -60,18 +60,18 @@
 	f := newMember(5, 9)
 	asked := 0
 	f.Attach(peerThat(func(send message.SendPeer) {
-		if _, is := send.Body.(message.DatabasesWanted); is {
+		if _, is := send.Body.(message.DatabasesRequest); is {
 			asked++
 		}
 	}), idleSessions{})
 	for version := uint64(1); version <= 50; version++ {
-		f.askFor("z1-1", message.Bulletin{Databases: version})
+		f.askFor("z1-1", message.GossipState{DatabasesVersion: version})
 	}
 	if diff := cmp.Diff(1, asked); diff != "" {
 		t.Error(diff)
 	}
 	time.Sleep(askAgain)
-	f.askFor("z1-1", message.Bulletin{Databases: 51})
+	f.askFor("z1-1", message.GossipState{DatabasesVersion: 51})
 	if diff := cmp.Diff(2, asked); diff != "" {
 		t.Errorf("later: %s", diff)
 	}
@@ -88,7 +88,7 @@
 	outcomes := make(chan outcome, names)
 	for range names {
 		go func() {
-			found, isCertain := f.Confirm(t.Context(), "lookups")
+			found, isCertain := f.ConfirmRoute(t.Context(), "lookups")
 			outcomes <- outcome{found, isCertain}
 		}()
 	}
@@ -100,10 +100,10 @@
 	if calls, most := rows.count(), int(confirmWait/lookUpPause)+1; calls > most {
 		t.Errorf("%d reads for %d names, want %d at most", calls, names, most)
 	}
-	f.options.ConfirmAge = time.Minute
+	f.options.MaxConfigurationAge = time.Minute
 	rows.down(false)
 	rows.put("configurations", "current", "3")
-	if found, isCertain := f.Confirm(t.Context(), "lookups"); found || !isCertain {
+	if found, isCertain := f.ConfirmRoute(t.Context(), "lookups"); found || !isCertain {
 		t.Errorf("with the newest configuration: %v, %v", found, isCertain)
 	}
 }
--- a/internal/node/fleet/fleet.go
+++ b/internal/node/fleet/fleet.go
@@ -64,37 +64,37 @@
 	watchInterval = 100 * time.Millisecond
 )
 
-// Source tells where the operator and the databases write, and decodes it.
-type Source interface {
+// StoreSchema tells where the operator and the databases write, and decodes it.
+type StoreSchema interface {
 	ConfigurationTable() (table, key string)
-	Configuration(body []byte) (route.Configuration, error)
+	DecodeConfiguration(body []byte) (route.Configuration, error)
 	DatabaseTable() string
-	// Database decodes an entry; its error says that it names no database.
-	Database(id string, body []byte) (placement.Database, error)
+	// DecodeDatabase decodes an entry; its error says that it names no database.
+	DecodeDatabase(id string, body []byte) (placement.Database, error)
 }
 
 // Options are what a Fleet needs.
 type Options struct {
-	// Instance names this start of the instance, Name the instance itself.
-	Instance, Name model.InstanceID
-	Zone           model.ZoneID
-	// Peer is where other instances connect, Seeds where some of them do.
-	Peer  netip.AddrPort
-	Seeds []netip.AddrPort
-	// Expected is the number of instances that share the databases until more
+	// StartID names this start of the instance, InstanceName the instance itself.
+	StartID, InstanceName model.InstanceID
+	Zone                  model.ZoneID
+	// PeerAddress is where other instances connect, Seeds where some of them do.
+	PeerAddress   netip.AddrPort
+	SeedAddresses []netip.AddrPort
+	// ExpectedInstances is the number of instances that share the databases until more
 	// is known.
-	Expected int
-	Store    store.Store
-	Promoter store.Promoter
-	Source   Source
-	Protocol backend.Protocol
-	// DrainLimit is how long after it has said so a leaving database may still
+	ExpectedInstances int
+	Store             store.Store
+	Promoter          store.Promoter
+	Schema            StoreSchema
+	Protocol          backend.Protocol
+	// DrainTimeout is how long after it has said so a leaving database may still
 	// get work.
-	DrainLimit time.Duration
-	// ConfirmAge is the age of the configuration below which a name without a
+	DrainTimeout time.Duration
+	// MaxConfigurationAge is the age of the configuration below which a name without a
 	// route is refused without a look at the store.
-	ConfirmAge time.Duration
-	Log        *eventlog.Writer
+	MaxConfigurationAge time.Duration
+	Log                 *eventlog.Writer
 }
 
 // Fleet is the state of one instance. New makes one.
@@ -126,7 +126,7 @@
 	sessions Sessions
 
 	samplesMu sync.Mutex
-	samples   map[model.GroupID]*fresh.Samples
+	samples   map[model.GroupID]*fresh.PositionSamples
 }
 
 // New returns a fleet that knows nothing yet.
@@ -144,16 +144,16 @@
 		directory:   newDirectory(),
 		renewal:     renewal{wanted: make(chan struct{}, 1)},
 		peers:       newPeers(),
-		surveys:     surveys{rounds: map[model.GroupID]*round{}, proved: map[model.GroupID]time.Time{}, asked: map[time.Duration]chan message.SurveyTold{}},
+		surveys:     surveys{rounds: map[model.GroupID]*round{}, proved: map[model.GroupID]time.Time{}, asked: map[time.Duration]chan message.PrimarySurveyResponse{}},
 		stewardship: stewardship{busy: map[model.GroupID]chan struct{}{}},
-		samples:     map[model.GroupID]*fresh.Samples{},
+		samples:     map[model.GroupID]*fresh.PositionSamples{},
 	}
 }
 
 // Sessions are those of callers.
 type Sessions interface {
-	// Shed closes the sessions that are idle.
-	Shed()
+	// CloseIdleSessions closes the sessions that are idle.
+	CloseIdleSessions()
 }
 
 // Attach gives the fleet its links and sessions. It goes before the start of
@@ -168,13 +168,13 @@
 	f.started = clock.Now()
 	context.AfterFunc(ctx, f.end)
 	f.setLinks()
-	configurations, key := f.options.Source.ConfigurationTable()
+	configurations, key := f.options.Schema.ConfigurationTable()
 	for _, run := range []func(context.Context){
 		func(ctx context.Context) {
 			f.watch(ctx, configurations, f.configurationConfirmed, func(rows store.Rows, _ bool) { f.takeConfiguration(rows, key) })
 		},
 		func(ctx context.Context) {
-			f.watch(ctx, f.options.Source.DatabaseTable(), f.databasesConfirmed, f.takeList)
+			f.watch(ctx, f.options.Schema.DatabaseTable(), f.databasesConfirmed, f.takeList)
 		},
 		f.renew,
 		f.register,
@@ -211,7 +211,7 @@
 			f.expireDatabases()
 			f.createRows(ctx)
 			f.forgetMembers(ctx)
-			f.Pool.Sweep(f.isKnown)
+			f.Pool.EvictStale(f.isKnown)
 			f.judgeReadiness()
 			f.options.Log.Flush(time.Now())
 		}
@@ -243,27 +243,27 @@
 func (f *Fleet) hasFailed(before map[model.GroupID]bool) bool {
 	more := false
 	for name := range f.Leases.View().Rows {
-		fails := f.Scheduler.Failing(name) >= succession.SilentFor
+		fails := f.Scheduler.FailureDuration(name) >= succession.SilenceThreshold
 		more = more || fails && !before[name]
 		before[name] = fails
 	}
 	return more
 }
 
-// Of implements session.Samples.
-func (f *Fleet) Of(group model.GroupID) *fresh.Samples {
+// SamplesOf implements session.SampleSource.
+func (f *Fleet) SamplesOf(group model.GroupID) *fresh.PositionSamples {
 	f.samplesMu.Lock()
 	defer f.samplesMu.Unlock()
 	samples, found := f.samples[group]
 	if !found {
-		samples = &fresh.Samples{}
+		samples = &fresh.PositionSamples{}
 		f.samples[group] = samples
 	}
 	return samples
 }
 
-// Leave takes the instance out of the platform's rotation.
-func (f *Fleet) Leave() {
+// StartDraining takes the instance out of the platform's rotation.
+func (f *Fleet) StartDraining() {
 	f.leaving.Store(true)
 	f.judgeReadiness()
 }
--- a/internal/node/fleet/leases.go
+++ b/internal/node/fleet/leases.go
@@ -102,7 +102,7 @@
 // untilRenewal returns the time until the table has to be read, or looked at
 // again. It asks the upstream for its view where that is due.
 func (f *Fleet) untilRenewal() time.Duration {
-	age := clock.Since(f.Leases.View().Began)
+	age := clock.Since(f.Leases.View().ReadStartedAt)
 	if f.isFirst() {
 		return renewAge - age
 	}
@@ -128,7 +128,7 @@
 	}
 	f.peers.mu.Unlock()
 	if isDue {
-		f.peers.links.Act(message.SendPeer{To: peer, Body: message.BulletinWanted{Sent: sinceBoot(now)}})
+		f.peers.links.HandleAction(message.SendPeer{To: peer, Body: message.GossipStateRequest{SenderClock: sinceBoot(now)}})
 	}
 }
 
@@ -159,12 +159,12 @@
 	if err != nil {
 		return err
 	}
-	view := lease.View{Version: rows.Version, Began: began, Rows: map[model.GroupID]lease.Row{}}
+	view := lease.View{Version: rows.Version, ReadStartedAt: began, Rows: map[model.GroupID]lease.GroupRow{}}
 	members := map[model.InstanceID]member{}
 	for _, row := range rows.Rows {
 		f.takeRow(row, &view, members)
 	}
-	_, view.Member = members[f.options.Name]
+	_, view.IsMember = members[f.options.InstanceName]
 	f.takeMembers(members, view.Version)
 	f.learnView(view, "store")
 	return nil
@@ -180,15 +180,15 @@
 		return
 	}
 	if name, is := strings.CutPrefix(row.Key, groupPrefix); is {
-		var decoded lease.Row
+		var decoded lease.GroupRow
 		if f.decode(row, &decoded) {
 			decoded.Version = row.Version
 			view.Rows[model.GroupID(name)] = decoded
 		}
 		return
 	}
-	if row.Key == dutyKey && f.decode(row, &view.Duty) {
-		view.Duty.Version = row.Version
+	if row.Key == dutyKey && f.decode(row, &view.CoordinatorLease) {
+		view.CoordinatorLease.Version = row.Version
 	}
 }
 
@@ -207,13 +207,13 @@
 // noteStored notes whether the store has answered a call.
 func (f *Fleet) noteStored(err error) {
 	outcome := store.OutcomeOf(err)
-	f.stored.Store(err == nil || outcome == store.OutcomeConflict || outcome == store.OutcomeHistoryGone)
+	f.stored.Store(err == nil || outcome == store.OutcomeConflict || outcome == store.OutcomeCompacted)
 }
 
 // learnView takes in a view of the table of groups.
 func (f *Fleet) learnView(view lease.View, from string) {
 	before := f.Leases.View()
-	if !f.Leases.Learn(view) {
+	if !f.Leases.Update(view) {
 		return
 	}
 	changed := false
@@ -222,13 +222,13 @@
 			continue
 		}
 		changed = true
-		f.note(event.RowSeen,
+		f.note(event.GroupRowSeen,
 			event.F("group", name), event.F("epoch", row.Epoch), event.F("phase", row.Phase.String()),
-			event.F("primary", row.Primary), event.F("term", row.Term), event.F("steward", row.Steward),
+			event.F("primary", row.Primary), event.F("term", row.Term), event.F("steward", row.Coordinator),
 			event.F("reason", row.Reason), event.F("source", from))
 	}
 	if changed {
-		f.Scheduler.Wake()
+		f.Scheduler.Reschedule()
 		f.broadcast()
 	}
 }
@@ -241,21 +241,21 @@
 		return
 	}
 	for _, group := range f.groupsWithout(view) {
-		row := lease.Row{
-			Epoch: 1, Phase: lease.PhaseStable, Primary: group.primary, Steward: f.options.Instance, Reason: "first row",
+		row := lease.GroupRow{
+			Epoch: 1, Phase: lease.PhaseStable, Primary: group.primary, Coordinator: f.options.StartID, Reason: "first row",
 		}
-		change := store.Change{
-			Expected: []store.Row{{Table: groupTable, Key: groupKey(group.name)}},
-			Set: []store.Row{
+		change := store.Transaction{
+			Preconditions: []store.Row{{Table: groupTable, Key: groupKey(group.name)}},
+			Upserts: []store.Row{
 				{Table: groupTable, Key: groupKey(group.name), Value: f.encode(&row)},
 				f.recordRow(f.firstRecord(group.name, row), row.Epoch),
 			},
 		}
-		if duty := view.Duty; duty.Holder == "" {
-			mine := lease.Duty{Holder: f.options.Instance, Name: f.options.Name, Token: 1}
-			change.Expected = append(change.Expected, store.Row{Table: groupTable, Key: dutyKey})
-			change.Set = append(change.Set, store.Row{Table: groupTable, Key: dutyKey, Value: f.encode(&mine)})
-			view.Duty = mine
+		if duty := view.CoordinatorLease; duty.Holder == "" {
+			mine := lease.CoordinatorLease{Holder: f.options.StartID, HolderName: f.options.InstanceName, FencingToken: 1}
+			change.Preconditions = append(change.Preconditions, store.Row{Table: groupTable, Key: dutyKey})
+			change.Upserts = append(change.Upserts, store.Row{Table: groupTable, Key: dutyKey, Value: f.encode(&mine)})
+			view.CoordinatorLease = mine
 		}
 		_, err := f.write(ctx, change)
 		f.noteRow(group.name, row, err)
--- a/internal/node/fleet/logbook.go
+++ b/internal/node/fleet/logbook.go
@@ -27,7 +27,7 @@
 }
 
 // recordRow is the row of a record.
-func (f *Fleet) recordRow(record engine.Record, epoch uint64) store.Row {
+func (f *Fleet) recordRow(record engine.PromotionRecord, epoch uint64) store.Row {
 	body, err := json.Marshal(record)
 	if err != nil {
 		// The record is of plain types.
@@ -37,23 +37,23 @@
 }
 
 // newRecord begins the record of a change that this instance claims now.
-func (f *Fleet) newRecord(name model.GroupID, row lease.Row, reason string, evidence succession.Evidence) engine.Record {
+func (f *Fleet) newRecord(name model.GroupID, row lease.GroupRow, reason string, evidence succession.Evidence) engine.PromotionRecord {
 	now := time.Now()
-	record := engine.Record{
-		Group: name, Before: row.Primary, Steward: f.options.Instance, Reason: reason,
-		Suspected: now.Add(-max(f.Scheduler.Failing(name), 0)), Claimed: now,
+	record := engine.PromotionRecord{
+		Group: name, PreviousPrimary: row.Primary, Coordinator: f.options.StartID, Reason: reason,
+		SuspectedAt: now.Add(-max(f.Scheduler.FailureDuration(name), 0)), ClaimedAt: now,
 	}
-	if evidence.Silent > 0 {
+	if evidence.UnansweredObservers > 0 {
 		record.Evidence = append(record.Evidence, fmt.Sprintf("no answer to %d of the %d instances that asked it, for %v or longer",
-			evidence.Silent, evidence.Witnesses, succession.SilentFor))
+			evidence.UnansweredObservers, evidence.Observers, succession.SilenceThreshold))
 	}
 	return record
 }
 
 // firstRecord is the record of a group's first row.
-func (f *Fleet) firstRecord(name model.GroupID, row lease.Row) engine.Record {
-	return engine.Record{
-		Group: name, Primary: row.Primary, Steward: row.Steward, Reason: row.Reason, Promoted: time.Now(),
+func (f *Fleet) firstRecord(name model.GroupID, row lease.GroupRow) engine.PromotionRecord {
+	return engine.PromotionRecord{
+		Group: name, Primary: row.Primary, Coordinator: row.Coordinator, Reason: row.Reason, PromotedAt: time.Now(),
 	}
 }
 
@@ -64,9 +64,9 @@
 	if err != nil {
 		return status.Logbook{}, err
 	}
-	var records []engine.Record
+	var records []engine.PromotionRecord
 	for _, row := range rows.Rows {
-		var record engine.Record
+		var record engine.PromotionRecord
 		if err := json.Unmarshal(row.Value, &record); err != nil {
 			f.note(event.ContentRejected, event.F("table", row.Table), event.F("key", row.Key), event.F("error", err.Error()))
 			continue
@@ -75,13 +75,13 @@
 			records = append(records, record)
 		}
 	}
-	slices.SortStableFunc(records, func(a, b engine.Record) int {
-		if c := a.Promoted.Compare(b.Promoted); c != 0 {
+	slices.SortStableFunc(records, func(a, b engine.PromotionRecord) int {
+		if c := a.PromotedAt.Compare(b.PromotedAt); c != 0 {
 			return c
 		}
 		return strings.Compare(string(a.Group), string(b.Group))
 	})
-	report := status.Logbook{Asked: time.Now(), Records: []any{}}
+	report := status.Logbook{QueriedAt: time.Now(), Records: []any{}}
 	for _, record := range records {
 		report.Records = append(report.Records, record)
 	}
