--- a/internal/node/fleet/peers.go
+++ b/internal/node/fleet/peers.go
@@ -36,7 +36,7 @@
 
 // Links carries messages to peers.
 type Links interface {
-	Act(action message.Action) bool
+	HandleAction(action message.Action) bool
 }
 
 // peers holds the other instances.
@@ -69,24 +69,24 @@
 type peer struct {
 	linked   bool
 	heard    time.Time
-	bulletin message.Bulletin
+	bulletin message.GossipState
 	// notes are those of the bulletin, by group.
-	notes map[model.GroupID]message.GroupNote
+	notes map[model.GroupID]message.GroupGossip
 	// told is when the bulletin came.
 	told time.Time
 }
 
 // learn takes in a bulletin that came at a time.
-func (p *peer) learn(b message.Bulletin, now time.Time) {
+func (p *peer) learn(b message.GossipState, now time.Time) {
 	p.heard, p.told, p.bulletin = now, now, b
-	p.notes = make(map[model.GroupID]message.GroupNote, len(b.Groups))
+	p.notes = make(map[model.GroupID]message.GroupGossip, len(b.Groups))
 	for _, note := range b.Groups {
 		p.notes[note.Group] = note
 	}
 }
 
 // note returns what the peer said last of a group's primary of an epoch.
-func (p *peer) note(name model.GroupID, epoch uint64) (message.GroupNote, bool) {
+func (p *peer) note(name model.GroupID, epoch uint64) (message.GroupGossip, bool) {
 	note, found := p.notes[name]
 	return note, found && note.Row.Epoch == epoch
 }
@@ -124,16 +124,16 @@
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
 	now := clock.Now()
-	least, isStored := f.options.Instance, f.stored.Load()
+	least, isStored := f.options.StartID, f.stored.Load()
 	for id, p := range f.peers.known {
 		if !p.isAlive(now) || p.bulletin.Leaving || !counts(p) {
 			continue
 		}
-		if p.bulletin.Stored && !isStored || p.bulletin.Stored == isStored && id < least {
-			least, isStored = id, p.bulletin.Stored
+		if p.bulletin.StoreReachable && !isStored || p.bulletin.StoreReachable == isStored && id < least {
+			least, isStored = id, p.bulletin.StoreReachable
 		}
 	}
-	return least, least == f.options.Instance
+	return least, least == f.options.StartID
 }
 
 // isFirst reports whether this instance is the first.
@@ -152,7 +152,7 @@
 			fleet = max(fleet, p.bulletin.FleetSize)
 		}
 	}
-	return max(fleet, min(len(f.peers.members)+1, f.options.Expected))
+	return max(fleet, min(len(f.peers.members)+1, f.options.ExpectedInstances))
 }
 
 // isMajority reports whether the instances that are alive, as far as they are
@@ -172,7 +172,7 @@
 // are locked.
 func (p *peers) sizes(self Options, counts func(*peer, time.Time) bool) (zone, fleet int) {
 	now := clock.Now()
-	names := map[model.ZoneID]map[model.InstanceID]bool{self.Zone: {self.Name: true}}
+	names := map[model.ZoneID]map[model.InstanceID]bool{self.Zone: {self.InstanceName: true}}
 	told := map[model.ZoneID]int{}
 	for _, known := range p.known {
 		if !counts(known, now) {
@@ -182,7 +182,7 @@
 		if names[of] == nil {
 			names[of] = map[model.InstanceID]bool{}
 		}
-		names[of][known.bulletin.Name] = true
+		names[of][known.bulletin.Instance] = true
 		told[of] = max(told[of], known.bulletin.ZoneSize)
 	}
 	zone = len(names[self.Zone])
@@ -199,31 +199,31 @@
 // hears reports whether an instance is this one or was heard lately, and the store
 // answers it.
 func (f *Fleet) hears(id model.InstanceID) bool {
-	if id == f.options.Instance {
+	if id == f.options.StartID {
 		return f.stored.Load() && !f.leaving.Load()
 	}
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
 	p, found := f.peers.known[id]
-	return found && p.isAlive(clock.Now()) && p.bulletin.Stored && !p.bulletin.Leaving
+	return found && p.isAlive(clock.Now()) && p.bulletin.StoreReachable && !p.bulletin.Leaving
 }
 
 // Post implements message.Sink for the peer edge.
 func (f *Fleet) Post(incoming message.Event) {
 	switch incoming := incoming.(type) {
-	case message.PeerLinked:
+	case message.PeerConnected:
 		f.peers.mu.Lock()
 		f.peers.get(incoming.Peer).linked = true
 		f.peers.mu.Unlock()
 		f.greet(incoming.Peer)
-	case message.PeerLost:
+	case message.PeerDisconnected:
 		f.peers.mu.Lock()
 		if p, found := f.peers.known[incoming.Peer]; found {
 			p.linked = false
 		}
 		f.peers.lost[incoming.Address] = clock.Now()
 		f.peers.mu.Unlock()
-	case message.PeerHeard:
+	case message.PeerMessageReceived:
 		f.hear(incoming.From, incoming.Body)
 	}
 }
--- a/internal/node/fleet/peers_bulletin.go
+++ b/internal/node/fleet/peers_bulletin.go
@@ -21,7 +21,7 @@
 // notes keeps the notes of all groups for answers that follow each other closely.
 type notes struct {
 	mu    sync.Mutex
-	notes []message.GroupNote
+	notes []message.GroupGossip
 	view  uint64
 	at    time.Time
 }
@@ -48,11 +48,11 @@
 }
 
 // answer sends the bulletin that a peer has asked for.
-func (f *Fleet) answer(to model.InstanceID, wanted message.BulletinWanted) {
+func (f *Fleet) answer(to model.InstanceID, wanted message.GossipStateRequest) {
 	f.peers.mu.Lock()
 	p := f.peers.get(to)
 	p.heard = clock.Now()
-	p.bulletin.Sent = wanted.Sent
+	p.bulletin.SenderClock = wanted.SenderClock
 	last := p.bulletin
 	members, isRecent := f.peers.members, clock.Since(f.peers.membersRead) < listedFor
 	f.peers.mu.Unlock()
@@ -61,11 +61,11 @@
 
 // send addresses a bulletin to one peer.
 func (f *Fleet) send(
-	to model.InstanceID, b, last message.Bulletin, members map[model.InstanceID]member, isRecent bool,
+	to model.InstanceID, b, last message.GossipState, members map[model.InstanceID]member, isRecent bool,
 ) {
-	_, listed := members[last.Name]
-	b.Echo, b.Listed = last.Sent, listed && isRecent
-	f.peers.links.Act(message.SendPeer{To: to, Body: b})
+	_, listed := members[last.Instance]
+	b.EchoedClock, b.ReceiverIsMember = last.SenderClock, listed && isRecent
+	f.peers.links.HandleAction(message.SendPeer{To: to, Body: b})
 }
 
 // broadcast sends a bulletin to every linked peer. What was heard of each is
@@ -73,7 +73,7 @@
 func (f *Fleet) broadcast() {
 	f.notes.forget()
 	f.peers.mu.Lock()
-	heard := map[model.InstanceID]message.Bulletin{}
+	heard := map[model.InstanceID]message.GossipState{}
 	for id, p := range f.peers.known {
 		if p.linked {
 			heard[id] = p.bulletin
@@ -88,17 +88,17 @@
 }
 
 // bulletin tells what this instance knows now.
-func (f *Fleet) bulletin() message.Bulletin {
+func (f *Fleet) bulletin() message.GossipState {
 	now := clock.Now()
 	view := f.Leases.View()
-	b := message.Bulletin{
-		Name: f.options.Name, Zone: f.options.Zone, Peer: f.options.Peer,
-		Sent: sinceBoot(now), Leaving: f.leaving.Load(), Stored: f.stored.Load(),
-		Configuration: f.Version(), Databases: f.databasesVersion(),
+	b := message.GossipState{
+		Instance: f.options.InstanceName, Zone: f.options.Zone, PeerAddress: f.options.PeerAddress,
+		SenderClock: sinceBoot(now), Leaving: f.leaving.Load(), StoreReachable: f.stored.Load(),
+		ConfigurationVersion: f.ConfigurationVersion(), DatabasesVersion: f.databasesVersion(),
 		ConfigurationAge: now.Sub(f.configurationConfirmed()), DatabasesAge: now.Sub(f.databasesConfirmed()),
-		View: view.Version, ViewAge: now.Sub(view.Began), Duty: view.Duty, Holder: f.hears(view.Duty.Holder),
+		ViewVersion: view.Version, ViewAge: now.Sub(view.ReadStartedAt), CoordinatorLease: view.CoordinatorLease, HolderAlive: f.hears(view.CoordinatorLease.Holder),
 	}
-	b.Floor, b.FloorOf = f.floor(view.Version)
+	b.MinViewVersion, b.MinViewMembersHash = f.floor(view.Version)
 	f.peers.mu.Lock()
 	b.ZoneSize, b.FleetSize = f.peers.sizes(f.options, func(p *peer, now time.Time) bool { return now.Sub(p.heard) < rememberedFor })
 	f.peers.mu.Unlock()
@@ -108,7 +108,7 @@
 
 // groupNotes tells what this instance knows of the groups of a view. Peers that ask
 // one after the other get the same notes for notesAge; broadcast makes them anew.
-func (f *Fleet) groupNotes(view lease.View, now time.Time) []message.GroupNote {
+func (f *Fleet) groupNotes(view lease.View, now time.Time) []message.GroupGossip {
 	f.notes.mu.Lock()
 	defer f.notes.mu.Unlock()
 	n := &f.notes
@@ -124,15 +124,15 @@
 }
 
 // newNotes makes the notes of all groups of a view.
-func (f *Fleet) newNotes(view lease.View, now time.Time) []message.GroupNote {
-	notes := make([]message.GroupNote, 0, len(view.Rows))
+func (f *Fleet) newNotes(view lease.View, now time.Time) []message.GroupGossip {
+	notes := make([]message.GroupGossip, 0, len(view.Rows))
 	for name, row := range view.Rows {
 		// Who wrote the row and why is for the logs of those that read it.
-		row.Steward, row.Reason = "", ""
-		note := message.GroupNote{Group: name, Row: row, Failing: f.Scheduler.Failing(name)}
-		note.Witnesses, note.Silent = f.witnessed(name, row.Epoch, note.Failing)
-		if sample, found := f.Of(name).Newest(); found {
-			note.Sampled, note.SampleAge = sample.Position, now.Sub(sample.At)
+		row.Coordinator, row.Reason = "", ""
+		note := message.GroupGossip{Group: name, Row: row, UnansweredFor: f.Scheduler.FailureDuration(name)}
+		note.Observers, note.UnansweredObservers = f.witnessed(name, row.Epoch, note.UnansweredFor)
+		if sample, found := f.SamplesOf(name).Newest(); found {
+			note.SampledPosition, note.SampleAge = sample.Position, now.Sub(sample.At)
 		}
 		notes = append(notes, note)
 	}
@@ -147,7 +147,7 @@
 		if failing >= 0 {
 			witnesses++
 		}
-		if failing >= succession.SilentFor {
+		if failing >= succession.SilenceThreshold {
 			silent++
 		}
 	}
@@ -156,11 +156,11 @@
 	defer f.peers.mu.Unlock()
 	now := clock.Now()
 	for _, p := range f.peers.known {
-		if p.bulletin.Zone != f.options.Zone || !p.isAlive(now) || p.bulletin.ViewAge >= lease.Length {
+		if p.bulletin.Zone != f.options.Zone || !p.isAlive(now) || p.bulletin.ViewAge >= lease.Duration {
 			continue
 		}
 		if note, found := p.note(name, epoch); found {
-			count(note.Failing)
+			count(note.UnansweredFor)
 		}
 	}
 	return witnesses, silent
@@ -187,11 +187,11 @@
 func (p *peers) membersOf(self Options, zone model.ZoneID) uint64 {
 	sum := uint64(0)
 	if self.Zone == zone {
-		sum = model.Weight(self.Name, zone)
+		sum = model.RendezvousWeight(self.InstanceName, zone)
 	}
 	for name, m := range p.members {
 		if m.Zone == zone {
-			sum += model.Weight(name, zone)
+			sum += model.RendezvousWeight(name, zone)
 		}
 	}
 	return sum
@@ -202,8 +202,8 @@
 func (p *peers) seen() map[model.InstanceID]uint64 {
 	seen, heard := map[model.InstanceID]uint64{}, map[model.InstanceID]time.Time{}
 	for _, known := range p.known {
-		if name := known.bulletin.Name; known.told.After(heard[name]) {
-			seen[name], heard[name] = known.bulletin.View, known.told
+		if name := known.bulletin.Instance; known.told.After(heard[name]) {
+			seen[name], heard[name] = known.bulletin.ViewVersion, known.told
 		}
 	}
 	return seen
@@ -221,29 +221,29 @@
 
 // greet sends a peer the first bulletin.
 func (f *Fleet) greet(id model.InstanceID) {
-	f.peers.links.Act(message.SendPeer{To: id, Body: f.bulletin()})
+	f.peers.links.HandleAction(message.SendPeer{To: id, Body: f.bulletin()})
 }
 
 // hear takes in a message of a peer.
 func (f *Fleet) hear(from model.InstanceID, body message.PeerMessage) {
 	switch body := body.(type) {
-	case message.Bulletin:
+	case message.GossipState:
 		f.hearBulletin(from, body)
-	case message.BulletinWanted:
+	case message.GossipStateRequest:
 		f.answer(from, body)
-	case message.SurveyWanted:
+	case message.PrimarySurveyRequest:
 		f.answerSurvey(from, body)
-	case message.SurveyTold:
+	case message.PrimarySurveyResponse:
 		f.hearSurvey(body)
-	case message.ManifestWanted:
-		if version, raw := f.rawConfiguration(); version > body.Above {
-			f.peers.links.Act(message.SendPeer{To: from, Body: message.ManifestOffer{Number: version, Body: raw}})
+	case message.ManifestRequest:
+		if version, raw := f.rawConfiguration(); version > body.NewerThan {
+			f.peers.links.HandleAction(message.SendPeer{To: from, Body: message.ManifestOffer{Number: version, Body: raw}})
 		}
 	case message.ManifestOffer:
 		f.adopt(body.Body, string(from))
-	case message.DatabasesWanted:
-		if offer := f.offerDatabases(); offer.Version > body.Above {
-			f.peers.links.Act(message.SendPeer{To: from, Body: offer})
+	case message.DatabasesRequest:
+		if offer := f.offerDatabases(); offer.Version > body.NewerThan {
+			f.peers.links.HandleAction(message.SendPeer{To: from, Body: offer})
 		}
 	case message.DatabasesOffer:
 		f.takeOffer(body, string(from))
@@ -251,7 +251,7 @@
 }
 
 // hearBulletin takes in what a peer knows.
-func (f *Fleet) hearBulletin(from model.InstanceID, b message.Bulletin) {
+func (f *Fleet) hearBulletin(from model.InstanceID, b message.GossipState) {
 	f.peers.mu.Lock()
 	p := f.peers.get(from)
 	isNew := p.heard.IsZero()
@@ -259,8 +259,8 @@
 	close(f.peers.news)
 	f.peers.news = make(chan struct{})
 	f.peers.mu.Unlock()
-	if b.Echo > 0 {
-		echoed := time.Unix(0, 0).Add(b.Echo)
+	if b.EchoedClock > 0 {
+		echoed := time.Unix(0, 0).Add(b.EchoedClock)
 		f.hearView(from, echoed, b)
 		f.hearConfirmation(echoed, b)
 	}
@@ -273,11 +273,11 @@
 
 // hearView takes in a peer's view of the table of groups. All that the peer knew
 // when it sent the bulletin it knew after this instance had sent what Echo names.
-func (f *Fleet) hearView(from model.InstanceID, echoed time.Time, b message.Bulletin) {
-	if b.View > 0 {
+func (f *Fleet) hearView(from model.InstanceID, echoed time.Time, b message.GossipState) {
+	if b.ViewVersion > 0 {
 		view := lease.View{
-			Version: b.View, Began: echoed.Add(-b.ViewAge), Duty: b.Duty, Member: b.Listed || f.isListedLately(),
-			Rows: make(map[model.GroupID]lease.Row, len(b.Groups)),
+			Version: b.ViewVersion, ReadStartedAt: echoed.Add(-b.ViewAge), CoordinatorLease: b.CoordinatorLease, IsMember: b.ReceiverIsMember || f.isListedLately(),
+			Rows: make(map[model.GroupID]lease.GroupRow, len(b.Groups)),
 		}
 		for _, note := range b.Groups {
 			view.Rows[note.Group] = note.Row
@@ -285,8 +285,8 @@
 		f.learnView(view, string(from))
 	}
 	for _, note := range b.Groups {
-		if !note.Sampled.IsZero() {
-			f.Of(note.Group).Offer(fresh.Sample{At: echoed.Add(-note.SampleAge), Position: note.Sampled})
+		if !note.SampledPosition.IsZero() {
+			f.SamplesOf(note.Group).AddSpaced(fresh.PositionSample{At: echoed.Add(-note.SampleAge), Position: note.SampledPosition})
 		}
 	}
 }
--- a/internal/node/fleet/peers_bulletin_test.go
+++ b/internal/node/fleet/peers_bulletin_test.go
@@ -17,22 +17,22 @@
 	f := newMember(1, 3)
 	now := clock.Now()
 	sampled := model.Position{Term: 1, Offset: 7}
-	f.Of("ratings").Add(now, sampled)
-	view := lease.View{Version: 4, Rows: map[model.GroupID]lease.Row{"ratings": {Epoch: 1, Primary: "a"}}}
+	f.SamplesOf("ratings").Add(now, sampled)
+	view := lease.View{Version: 4, Rows: map[model.GroupID]lease.GroupRow{"ratings": {Epoch: 1, Primary: "a"}}}
 	first := f.groupNotes(view, now)
-	f.Of("ratings").Add(now.Add(time.Second), model.Position{Term: 1, Offset: 9})
+	f.SamplesOf("ratings").Add(now.Add(time.Second), model.Position{Term: 1, Offset: 9})
 	ages := []time.Duration{first[0].SampleAge}
-	positions := []uint64{first[0].Sampled.Offset}
+	positions := []uint64{first[0].SampledPosition.Offset}
 	tell := func(view lease.View, at time.Time) {
 		note := f.groupNotes(view, at)[0]
-		ages, positions = append(ages, note.SampleAge), append(positions, note.Sampled.Offset)
+		ages, positions = append(ages, note.SampleAge), append(positions, note.SampledPosition.Offset)
 	}
 	tell(view, now.Add(notesAge/2))
 	tell(view, now.Add(notesAge))
 	view.Version++
-	f.Of("ratings").Add(now.Add(2*time.Second), model.Position{Term: 1, Offset: 11})
+	f.SamplesOf("ratings").Add(now.Add(2*time.Second), model.Position{Term: 1, Offset: 11})
 	tell(view, now.Add(notesAge))
-	f.Of("ratings").Add(now.Add(3*time.Second), model.Position{Term: 1, Offset: 13})
+	f.SamplesOf("ratings").Add(now.Add(3*time.Second), model.Position{Term: 1, Offset: 13})
 	f.notes.forget()
 	tell(view, now.Add(notesAge))
 	if diff := cmp.Diff([]uint64{7, 7, 9, 11, 13}, positions); diff != "" {
--- a/internal/node/fleet/peers_link.go
+++ b/internal/node/fleet/peers_link.go
@@ -31,7 +31,7 @@
 	var targets []message.PeerTarget
 	add := func(address netip.AddrPort) {
 		target := message.PeerTarget{Address: address}
-		if address != f.options.Peer && !slices.Contains(targets, target) {
+		if address != f.options.PeerAddress && !slices.Contains(targets, target) {
 			targets = append(targets, target)
 		}
 	}
@@ -39,16 +39,16 @@
 		add(address)
 	}
 	if len(f.peers.members) == 0 {
-		for _, seed := range f.options.Seeds {
+		for _, seed := range f.options.SeedAddresses {
 			add(seed)
 		}
 	}
-	f.peers.links.Act(message.SetPeers{Peers: targets})
+	f.peers.links.HandleAction(message.SetPeers{Peers: targets})
 }
 
 // linked returns the addresses of the heads to link to. The peers are locked.
 func (f *Fleet) linked() []netip.AddrPort {
-	zones := map[model.ZoneID][]model.InstanceID{f.options.Zone: {f.options.Name}}
+	zones := map[model.ZoneID][]model.InstanceID{f.options.Zone: {f.options.InstanceName}}
 	for name, m := range f.peers.members {
 		zones[m.Zone] = append(zones[m.Zone], name)
 	}
@@ -75,7 +75,7 @@
 		if present == headsPerZone {
 			break
 		}
-		if name == f.options.Name {
+		if name == f.options.InstanceName {
 			isHead = true
 			present++
 			continue
--- a/internal/node/fleet/peers_link_test.go
+++ b/internal/node/fleet/peers_link_test.go
@@ -28,8 +28,8 @@
 func newMember(n, perZone int) *Fleet {
 	name := model.InstanceID(fmt.Sprintf("z1-%d", n))
 	f := New(Options{
-		Instance: name, Name: name, Zone: "z1", Peer: addressOf(1, n), Expected: 7,
-		Store: newMemoryStore(), Source: testSource{}, Log: eventlog.NewWriter(logr.Discard(), eventlog.DefaultLimit),
+		StartID: name, InstanceName: name, Zone: "z1", PeerAddress: addressOf(1, n), ExpectedInstances: 7,
+		Store: newMemoryStore(), Schema: testSource{}, Log: eventlog.NewWriter(logr.Discard(), eventlog.DefaultLinesPerSecond),
 	})
 	members := map[model.InstanceID]member{}
 	for zone := 1; zone <= 3; zone++ {
@@ -67,7 +67,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newMember(c.n, c.perZone)
 			for _, address := range c.lost {
-				f.Post(message.PeerLost{Address: address})
+				f.Post(message.PeerDisconnected{Address: address})
 			}
 			got := f.linked()
 			slices.SortFunc(got, func(a, b netip.AddrPort) int { return a.Compare(b) })
@@ -79,8 +79,8 @@
 }
 
 // tell lets a fleet hear a bulletin of another instance.
-func (f *Fleet) tell(name model.InstanceID, b message.Bulletin) {
-	b.Name, b.Zone = name, model.ZoneID(name[:2])
+func (f *Fleet) tell(name model.InstanceID, b message.GossipState) {
+	b.Instance, b.Zone = name, model.ZoneID(name[:2])
 	p := f.peers.get(name)
 	p.linked = true
 	p.learn(b, clock.Now())
@@ -102,17 +102,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newMember(1, 5)
-			f.Leases.Learn(lease.View{Version: version, Began: clock.Now(), Member: true})
+			f.Leases.Update(lease.View{Version: version, ReadStartedAt: clock.Now(), IsMember: true})
 			members := f.peers.members
 			members["z1-1"] = member{Address: addressOf(1, 1), Zone: "z1"}
 			f.takeMembers(members, version)
 			for i := 2; i <= 5; i++ {
-				f.tell(model.InstanceID(fmt.Sprintf("z1-%d", i)), message.Bulletin{View: version})
+				f.tell(model.InstanceID(fmt.Sprintf("z1-%d", i)), message.GossipState{ViewVersion: version})
 			}
 			for _, zone := range []model.ZoneID{"z2", "z3"} {
-				b := message.Bulletin{View: version, Floor: c.floor, FloorOf: f.peers.membersOf(f.options, zone)}
+				b := message.GossipState{ViewVersion: version, MinViewVersion: c.floor, MinViewMembersHash: f.peers.membersOf(f.options, zone)}
 				if c.unknown {
-					b.FloorOf++
+					b.MinViewMembersHash++
 				}
 				f.tell(model.InstanceID(zone+"-1"), b)
 			}
@@ -125,7 +125,7 @@
 
 // The word of each zone counts once, with as many instances as stand behind it.
 func TestEvidenceOfAllZones(t *testing.T) {
-	row := lease.Row{Epoch: 4, Primary: "a"}
+	row := lease.GroupRow{Epoch: 4, Primary: "a"}
 	for name, c := range map[string]struct {
 		near, far   time.Duration
 		farCount    [2]int
@@ -133,10 +133,10 @@
 		needed      bool
 		otherEpochs bool
 	}{
-		"silent for the own zone only":        {succession.SilentFor, 0, [2]int{9, 0}, 0, false, false},
-		"silent for all":                      {succession.SilentFor, succession.SilentFor, [2]int{9, 9}, 0, true, false},
-		"the other zone can't use it":         {succession.SilentFor, 0, [2]int{9, 0}, lease.Length, true, false},
-		"the other zone speaks of an earlier": {succession.SilentFor, 0, [2]int{9, 0}, 0, true, true},
+		"silent for the own zone only":        {succession.SilenceThreshold, 0, [2]int{9, 0}, 0, false, false},
+		"silent for all":                      {succession.SilenceThreshold, succession.SilenceThreshold, [2]int{9, 9}, 0, true, false},
+		"the other zone can't use it":         {succession.SilenceThreshold, 0, [2]int{9, 0}, lease.Duration, true, false},
+		"the other zone speaks of an earlier": {succession.SilenceThreshold, 0, [2]int{9, 0}, 0, true, true},
 		"well":                                {0, 0, [2]int{9, 0}, 0, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -145,17 +145,17 @@
 			f.directory.entries["a"].Group, f.directory.entries["a"].ID = "ratings", "a"
 			f.directory.entries["b"] = &entry{}
 			f.directory.entries["b"].Group, f.directory.entries["b"].ID = "ratings", "b"
-			note := message.GroupNote{Group: "ratings", Row: row, Failing: c.near}
-			f.tell("z1-2", message.Bulletin{Groups: []message.GroupNote{note}})
-			f.tell("z1-3", message.Bulletin{Groups: []message.GroupNote{note}})
-			note.Failing, note.Witnesses, note.Silent = c.far, c.farCount[0], c.farCount[1]
+			note := message.GroupGossip{Group: "ratings", Row: row, UnansweredFor: c.near}
+			f.tell("z1-2", message.GossipState{Groups: []message.GroupGossip{note}})
+			f.tell("z1-3", message.GossipState{Groups: []message.GroupGossip{note}})
+			note.UnansweredFor, note.Observers, note.UnansweredObservers = c.far, c.farCount[0], c.farCount[1]
 			if c.otherEpochs {
 				note.Row.Epoch--
 			}
-			f.tell("z2-1", message.Bulletin{Groups: []message.GroupNote{note}, ViewAge: c.farViewAge})
-			note.Witnesses, note.Silent = 1, 1
-			f.tell("z2-2", message.Bulletin{Groups: []message.GroupNote{note}, ViewAge: c.farViewAge})
-			if _, needed := succession.Judge(f.evidence("ratings", row)); needed != c.needed {
+			f.tell("z2-1", message.GossipState{Groups: []message.GroupGossip{note}, ViewAge: c.farViewAge})
+			note.Observers, note.UnansweredObservers = 1, 1
+			f.tell("z2-2", message.GossipState{Groups: []message.GroupGossip{note}, ViewAge: c.farViewAge})
+			if _, needed := succession.FailoverReason(f.evidence("ratings", row)); needed != c.needed {
 				t.Errorf("a change is needed: %v, want %v (%+v)", needed, c.needed, f.evidence("ratings", row))
 			}
 		})
@@ -166,11 +166,11 @@
 func TestSizeOfTheFleet(t *testing.T) {
 	leaf, head := newMember(5, 9), newMember(1, 9)
 	for i := 2; i <= 9; i++ {
-		head.tell(model.InstanceID(fmt.Sprintf("z1-%d", i)), message.Bulletin{ZoneSize: 4})
+		head.tell(model.InstanceID(fmt.Sprintf("z1-%d", i)), message.GossipState{ZoneSize: 4})
 	}
-	head.tell("z2-1", message.Bulletin{ZoneSize: 8})
-	head.tell("z2-2", message.Bulletin{ZoneSize: 9})
-	head.tell("z3-1", message.Bulletin{ZoneSize: 7})
+	head.tell("z2-1", message.GossipState{ZoneSize: 8})
+	head.tell("z2-2", message.GossipState{ZoneSize: 9})
+	head.tell("z3-1", message.GossipState{ZoneSize: 7})
 	if diff := cmp.Diff(9+9+7, head.instances()); diff != "" {
 		t.Errorf("head: %s", diff)
 	}
@@ -186,17 +186,17 @@
 func TestPeerThatDoesNotKnowTheMember(t *testing.T) {
 	f := newMember(1, 3)
 	f.peers.isListed = false
-	view := message.Bulletin{View: 12, Groups: nil}
+	view := message.GossipState{ViewVersion: 12, Groups: nil}
 	f.hearView("z1-2", clock.Now(), view)
-	if f.Leases.View().Member {
+	if f.Leases.View().IsMember {
 		t.Error("a member by its own word")
 	}
 	members := f.peers.members
 	members["z1-1"] = member{Address: addressOf(1, 1), Zone: "z1"}
 	f.takeMembers(members, 13)
-	view.View = 14
+	view.ViewVersion = 14
 	f.hearView("z1-2", clock.Now(), view)
-	if !f.Leases.View().Member {
+	if !f.Leases.View().IsMember {
 		t.Error("no member, though the table listed it a moment ago")
 	}
 }
@@ -204,9 +204,9 @@
 // What is kept of instances and links does not grow with their restarts.
 func TestOldStartsAreDropped(t *testing.T) {
 	f := newMember(1, 3)
-	f.tell("z1-2", message.Bulletin{})
-	f.tell("z1-3", message.Bulletin{})
-	f.Post(message.PeerLost{Peer: "z1-3", Address: addressOf(1, 3)})
+	f.tell("z1-2", message.GossipState{})
+	f.tell("z1-3", message.GossipState{})
+	f.Post(message.PeerDisconnected{Peer: "z1-3", Address: addressOf(1, 3)})
 	now := clock.Now()
 	f.peers.prune(now)
 	kept := []int{len(f.peers.known), len(f.peers.lost)}
@@ -222,7 +222,7 @@
 func TestViewOfAFormerStart(t *testing.T) {
 	f := newMember(1, 3)
 	start := func(id model.InstanceID, view uint64) {
-		f.peers.get(id).learn(message.Bulletin{Name: "z1-2", Zone: "z1", View: view}, clock.Now())
+		f.peers.get(id).learn(message.GossipState{Instance: "z1-2", Zone: "z1", ViewVersion: view}, clock.Now())
 	}
 	start("z1-2-former", 20)
 	seen := []uint64{f.peers.seen()["z1-2"]}
--- a/internal/node/fleet/peers_member.go
+++ b/internal/node/fleet/peers_member.go
@@ -21,8 +21,8 @@
 			sleep(ctx, tickInterval)
 			continue
 		}
-		_, err := f.write(ctx, store.Change{Set: []store.Row{{
-			Table: groupTable, Key: memberPrefix + string(f.options.Name), Value: f.encode(&member{Address: f.options.Peer, Zone: f.options.Zone}),
+		_, err := f.write(ctx, store.Transaction{Upserts: []store.Row{{
+			Table: groupTable, Key: memberPrefix + string(f.options.InstanceName), Value: f.encode(&member{Address: f.options.PeerAddress, Zone: f.options.Zone}),
 		}}})
 		if err == nil {
 			pause.Reset()
@@ -43,8 +43,8 @@
 	now := clock.Now()
 	heard := map[model.InstanceID]time.Time{}
 	for _, p := range f.peers.known {
-		if p.heard.After(heard[p.bulletin.Name]) {
-			heard[p.bulletin.Name] = p.heard
+		if p.heard.After(heard[p.bulletin.Instance]) {
+			heard[p.bulletin.Instance] = p.heard
 		}
 	}
 	var gone []store.Row
@@ -58,7 +58,7 @@
 	if len(gone) == 0 || !isFirst {
 		return
 	}
-	if _, err := f.write(ctx, store.Change{Delete: gone}); err != nil {
+	if _, err := f.write(ctx, store.Transaction{Deletes: gone}); err != nil {
 		f.note(event.DependencyLost, event.F("dependency", "store/member"), event.F("error", err.Error()))
 	}
 	f.wantRenewal()
@@ -72,7 +72,7 @@
 }
 
 // isMember reports whether the newest view lists this instance.
-func (f *Fleet) isMember() bool { return f.Leases.View().Member }
+func (f *Fleet) isMember() bool { return f.Leases.View().IsMember }
 
 // isListedLately reports whether the members were read lately and this instance
 // was among them. A peer whose list is older than that may not know it yet.
@@ -84,8 +84,8 @@
 
 // takeMembers takes in the members as of a version of the table of groups.
 func (f *Fleet) takeMembers(members map[model.InstanceID]member, version uint64) {
-	_, isListed := members[f.options.Name]
-	delete(members, f.options.Name)
+	_, isListed := members[f.options.InstanceName]
+	delete(members, f.options.InstanceName)
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
 	if version > f.peers.membersVersion {
--- a/internal/node/fleet/prove.go
+++ b/internal/node/fleet/prove.go
@@ -30,31 +30,31 @@
 	storeWait = 60 * time.Millisecond
 )
 
-// Prove implements session.Prover. The proof is a view of the table of groups;
+// ConfirmPrimary implements session.PrimaryConfirmer. The proof is a view of the table of groups;
 // where none comes, all databases of the group are asked.
-func (f *Fleet) Prove(ctx context.Context, grant lease.Grant, answered time.Time) lease.Verdict {
-	if verdict := f.Leases.Judge(grant, answered); verdict != lease.VerdictPending {
+func (f *Fleet) ConfirmPrimary(ctx context.Context, grant lease.Grant, answered time.Time) lease.Validity {
+	if verdict := f.Leases.Validate(grant, answered); verdict != lease.ValidityPending {
 		return verdict
 	}
 	f.wantView()
 	soon, cancel := context.WithTimeout(ctx, storeWait)
 	defer cancel()
-	if verdict := f.Leases.Await(grant, answered, soon.Done()); verdict != lease.VerdictPending {
+	if verdict := f.Leases.AwaitValidity(grant, answered, soon.Done()); verdict != lease.ValidityPending {
 		return verdict
 	}
 	return f.proveBySurvey(ctx, grant, answered)
 }
 
 // proveBySurvey surveys the group until that or a view tells, or ctx ends.
-func (f *Fleet) proveBySurvey(ctx context.Context, grant lease.Grant, answered time.Time) lease.Verdict {
+func (f *Fleet) proveBySurvey(ctx context.Context, grant lease.Grant, answered time.Time) lease.Validity {
 	for {
 		if f.surveys.confirm(ctx, f, grant, answered) {
-			return lease.VerdictPrimary
+			return lease.ValidityConfirmed
 		}
 		pause, cancel := context.WithTimeout(ctx, surveyPause)
-		verdict := f.Leases.Await(grant, answered, pause.Done())
+		verdict := f.Leases.AwaitValidity(grant, answered, pause.Done())
 		cancel()
-		if verdict != lease.VerdictPending || ctx.Err() != nil {
+		if verdict != lease.ValidityPending || ctx.Err() != nil {
 			return verdict
 		}
 	}
@@ -62,7 +62,7 @@
 
 // isProven reports whether a primary can be proven now, by a view or by surveys.
 func (f *Fleet) isProven(now time.Time) bool {
-	if f.Leases.IsProven(now) {
+	if f.Leases.IsConfirmed(now) {
 		return true
 	}
 	for name := range f.Leases.View().Rows {
@@ -73,14 +73,14 @@
 	return false
 }
 
-// IsCutOff implements session.Prover: this instance can't prove the primary, or
+// IsPartitioned implements session.PrimaryConfirmer: this instance can't prove the primary, or
 // does not reach it while a peer does.
-func (f *Fleet) IsCutOff(name model.GroupID) bool {
+func (f *Fleet) IsPartitioned(name model.GroupID) bool {
 	now := clock.Now()
-	if !f.Leases.IsProven(now) && !f.surveys.isRecent(now, name) {
-		return clock.Since(f.Leases.View().Began) > lease.Length+cutOffAfter
+	if !f.Leases.IsConfirmed(now) && !f.surveys.isRecent(now, name) {
+		return clock.Since(f.Leases.View().ReadStartedAt) > lease.Duration+cutOffAfter
 	}
-	failing := f.Scheduler.Failing(name)
+	failing := f.Scheduler.FailureDuration(name)
 	if failing < cutOffAfter {
 		return false
 	}
@@ -93,7 +93,7 @@
 		if !p.isAlive(now) || p.bulletin.Leaving || p.told.Before(known) {
 			continue
 		}
-		if note, found := p.note(name, epoch); found && note.Failing == 0 {
+		if note, found := p.note(name, epoch); found && note.UnansweredFor == 0 {
 			return true
 		}
 	}
@@ -103,7 +103,7 @@
 // surveyUnproven surveys all groups while no view proves their primaries.
 func (f *Fleet) surveyUnproven(ctx context.Context) {
 	now := clock.Now()
-	if f.Leases.IsProven(now) {
+	if f.Leases.IsConfirmed(now) {
 		return
 	}
 	for name := range f.Leases.View().Rows {
@@ -121,7 +121,7 @@
 // probePrimaries asks the primaries that have given this instance no answer for
 // a while, so that a failure is found without the help of callers.
 func (f *Fleet) probePrimaries(ctx context.Context) {
-	for _, d := range f.Scheduler.Unheard(probeAfter, f.isWitness) {
+	for _, d := range f.Scheduler.PrimariesToProbe(probeAfter, f.isWitness) {
 		if _, running := f.probing.LoadOrStore(d.ID, true); running {
 			continue
 		}
@@ -137,23 +137,23 @@
 // isWitness reports whether this instance asks a group's primary although it has
 // no work for it.
 func (f *Fleet) isWitness(name model.GroupID) bool {
-	return model.Place(f.options.Name, f.memberNames(), name) < witnesses
+	return model.RendezvousRank(f.options.InstanceName, f.memberNames(), name) < witnesses
 }
 
 // probe asks a primary. Where it is in doubt, or does not answer on a connection
 // that was kept, it is asked on a new one: the old ones may have gone silent by
 // themselves, as those do that a partition held up.
 func (f *Fleet) probe(ctx context.Context, d placement.Database) {
-	inDoubt := f.Scheduler.IsDoubted(d.ID)
+	inDoubt := f.Scheduler.IsSuspected(d.ID)
 	var err error
 	if !inDoubt {
-		_, err = f.ask(ctx, d, statement.Inquire{})
+		_, err = f.ask(ctx, d, statement.QueryStatus{})
 	}
 	if inDoubt || err != nil && !isAnswer(err) {
-		f.Pool.Forget(d.ID)
-		_, err = f.ask(ctx, d, statement.Inquire{})
+		f.Pool.CloseIdle(d.ID)
+		_, err = f.ask(ctx, d, statement.QueryStatus{})
 	}
-	f.Scheduler.Observe(d.ID, err == nil || isAnswer(err))
+	f.Scheduler.RecordProbe(d.ID, err == nil || isAnswer(err))
 }
 
 // isAnswer reports whether an error shows that the database answers.
@@ -162,10 +162,10 @@
 	return errors.As(err, &failure) && failure.Code != statement.CodeWrongDatabase
 }
 
-// Doubt implements session.Prover: a newer view is asked for where the present
+// ReportSuspectedPrimary implements session.PrimaryConfirmer: a newer view is asked for where the present
 // one is not quite new.
-func (f *Fleet) Doubt(model.GroupID) {
-	if clock.Since(f.Leases.View().Began) > renewPause {
+func (f *Fleet) ReportSuspectedPrimary(model.GroupID) {
+	if clock.Since(f.Leases.View().ReadStartedAt) > renewPause {
 		f.wantView()
 	}
 }
--- a/internal/node/fleet/readiness.go
+++ b/internal/node/fleet/readiness.go
@@ -23,11 +23,11 @@
 	shed := !proven && now.Sub(d.unprovenSince) > shedLimit
 	d.mu.Unlock()
 	if shed {
-		f.sessions.Shed()
+		f.sessions.CloseIdleSessions()
 	}
 	ready := known && databases > 0 && !unproven && !f.leaving.Load()
 	if f.ready.Swap(ready) != ready {
-		f.note(event.ReadinessChanged, event.F("ready", ready), event.F("configuration", f.Version()),
+		f.note(event.ReadinessChanged, event.F("ready", ready), event.F("configuration", f.ConfigurationVersion()),
 			event.F("databases", databases), event.F("proven", proven))
 	}
 }
--- a/internal/node/fleet/steward.go
+++ b/internal/node/fleet/steward.go
@@ -54,10 +54,10 @@
 // to make.
 func (f *Fleet) steward(ctx context.Context) {
 	view := f.Leases.View()
-	if f.leaving.Load() || !f.Leases.IsProven(clock.Now()) {
+	if f.leaving.Load() || !f.Leases.IsConfirmed(clock.Now()) {
 		return
 	}
-	f.answerChallenge(ctx, view.Duty)
+	f.answerChallenge(ctx, view.CoordinatorLease)
 	for name, row := range view.Rows {
 		if ended, found := f.stewardship.busy[name]; found {
 			select {
@@ -69,9 +69,9 @@
 		}
 		reason, needed := "the change was left unfinished", row.Phase == lease.PhaseChanging
 		if !needed {
-			reason, needed = succession.Judge(f.evidence(name, row))
+			reason, needed = succession.FailoverReason(f.evidence(name, row))
 		}
-		if !needed || !f.isSteward(ctx, view.Duty) {
+		if !needed || !f.isSteward(ctx, view.CoordinatorLease) {
 			continue
 		}
 		ended := make(chan struct{})
@@ -80,26 +80,26 @@
 		go func() {
 			defer f.running.Done()
 			defer close(ended)
-			f.change(ctx, name, row, view.Duty, reason)
+			f.change(ctx, name, row, view.CoordinatorLease, reason)
 		}()
 	}
 }
 
 // evidence gathers what is known of a group's primary.
-func (f *Fleet) evidence(name model.GroupID, row lease.Row) succession.Evidence {
+func (f *Fleet) evidence(name model.GroupID, row lease.GroupRow) succession.Evidence {
 	e := succession.Evidence{}
-	e.Witnesses, e.Silent = f.witnessed(name, row.Epoch, f.Scheduler.Failing(name))
+	e.Observers, e.UnansweredObservers = f.witnessed(name, row.Epoch, f.Scheduler.FailureDuration(name))
 	for _, note := range f.otherZones(name, row.Epoch) {
-		e.Witnesses += note.Witnesses
-		e.Silent += note.Silent
+		e.Observers += note.Observers
+		e.UnansweredObservers += note.UnansweredObservers
 	}
 	for _, d := range f.databasesOf(name) {
 		switch {
 		case d.ID == row.Primary:
-			e.Known = true
-			e.Leaving = d.Leaving
+			e.PrimaryListed = true
+			e.PrimaryLeaving = d.Leaving
 		case !d.Leaving:
-			e.Others++
+			e.Replacements++
 		}
 	}
 	return e
@@ -107,17 +107,17 @@
 
 // otherZones returns what is known of a group's primary in each other availability
 // zone: the word of the instance there that has heard the most of them.
-func (f *Fleet) otherZones(name model.GroupID, epoch uint64) map[model.ZoneID]message.GroupNote {
+func (f *Fleet) otherZones(name model.GroupID, epoch uint64) map[model.ZoneID]message.GroupGossip {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
 	now := clock.Now()
-	notes := map[model.ZoneID]message.GroupNote{}
+	notes := map[model.ZoneID]message.GroupGossip{}
 	for _, p := range f.peers.known {
 		zone := p.bulletin.Zone
-		if zone == f.options.Zone || !p.isAlive(now) || p.bulletin.ViewAge >= lease.Length {
+		if zone == f.options.Zone || !p.isAlive(now) || p.bulletin.ViewAge >= lease.Duration {
 			continue
 		}
-		if note, found := p.note(name, epoch); found && note.Witnesses > notes[zone].Witnesses {
+		if note, found := p.note(name, epoch); found && note.Observers > notes[zone].Observers {
 			notes[zone] = note
 		}
 	}
@@ -135,7 +135,7 @@
 }
 
 // write carries out a change of the store.
-func (f *Fleet) write(ctx context.Context, change store.Change) (uint64, error) {
+func (f *Fleet) write(ctx context.Context, change store.Transaction) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
 	version, err := f.options.Store.Write(ctx, change)
--- a/internal/node/fleet/steward_change.go
+++ b/internal/node/fleet/steward_change.go
@@ -16,20 +16,20 @@
 )
 
 // change replaces the primary of a group.
-func (f *Fleet) change(ctx context.Context, name model.GroupID, row lease.Row, duty lease.Duty, reason string) {
+func (f *Fleet) change(ctx context.Context, name model.GroupID, row lease.GroupRow, duty lease.CoordinatorLease, reason string) {
 	began, evidence := clock.Now(), f.evidence(name, row)
 	f.note(event.ChangeBegun, event.F("group", name), event.F("epoch", row.Epoch), event.F("primary", row.Primary),
-		event.F("reason", reason), event.F("witnesses", evidence.Witnesses), event.F("silent", evidence.Silent))
+		event.F("reason", reason), event.F("witnesses", evidence.Observers), event.F("silent", evidence.UnansweredObservers))
 	record := f.newRecord(name, row, reason, evidence)
 	claimed, ok := f.claim(ctx, name, row, duty, reason)
 	if !ok {
 		return
 	}
 	answers := f.inquirePrimary(ctx, name, row.Primary)
-	f.awaitRevoked(ctx, name, claimed.Version, duty.Holder == f.options.Instance)
+	f.awaitRevoked(ctx, name, claimed.Version, duty.Holder == f.options.StartID)
 	old := f.stepDown(ctx, name, answers)
 	if !old.IsZero() {
-		record.Fenced = []engine.FencedDatabase{{Database: row.Primary, Position: old.String()}}
+		record.FencedDatabases = []engine.FencedDatabase{{Database: row.Primary, Position: old.String()}}
 	}
 	chosen, ok := f.choose(ctx, name, claimed, old)
 	if !ok {
@@ -45,17 +45,17 @@
 		sleep(ctx, resumeAfter)
 		return
 	}
-	next := lease.Row{
+	next := lease.GroupRow{
 		Epoch: claimed.Epoch + 1, Phase: lease.PhaseStable, Primary: chosen.database.ID, Term: term,
-		Steward: f.options.Instance, Reason: reason,
+		Coordinator: f.options.StartID, Reason: reason,
 	}
-	record.Primary, record.Term, record.Position = chosen.database.ID, term, chosen.standing.Received.String()
-	record.Promoted = time.Now()
+	record.Primary, record.Term, record.Position = chosen.database.ID, term, chosen.standing.ReceivedPosition.String()
+	record.PromotedAt = time.Now()
 	for ctx.Err() == nil && !f.finish(ctx, name, claimed, next, record) {
 		sleep(ctx, stewardPause)
 	}
 	f.note(event.ChangeEnded, event.F("group", name), event.F("epoch", next.Epoch), event.F("primary", chosen.database.ID),
-		event.F("before", row.Primary), event.F("term", term), event.F("received", chosen.standing.Received.String()),
+		event.F("before", row.Primary), event.F("term", term), event.F("received", chosen.standing.ReceivedPosition.String()),
 		event.F("took", clock.Since(began).String()))
 	f.awaitEpoch(ctx, name, next.Epoch)
 }
@@ -77,12 +77,12 @@
 // instance held the duty already, all members say that they have seen the claim.
 func (f *Fleet) awaitRevoked(ctx context.Context, name model.GroupID, version uint64, held bool) {
 	began := clock.Now()
-	for clock.Since(began) < lease.Length && ctx.Err() == nil {
+	for clock.Since(began) < lease.Duration && ctx.Err() == nil {
 		changed := f.peers.awaitNews()
 		if held && f.areRevoked(version) {
 			break
 		}
-		left := time.NewTimer(lease.Length - clock.Since(began))
+		left := time.NewTimer(lease.Duration - clock.Since(began))
 		select {
 		case <-changed:
 		case <-left.C:
@@ -107,8 +107,8 @@
 	seen, floors := f.peers.seen(), map[model.ZoneID]uint64{}
 	for _, p := range f.peers.known {
 		zone := p.bulletin.Zone
-		if p.bulletin.FloorOf == f.peers.membersOf(f.options, zone) {
-			floors[zone] = max(floors[zone], p.bulletin.Floor)
+		if p.bulletin.MinViewMembersHash == f.peers.membersOf(f.options, zone) {
+			floors[zone] = max(floors[zone], p.bulletin.MinViewVersion)
 		}
 	}
 	for name, m := range f.peers.members {
@@ -121,21 +121,21 @@
 
 // claim marks the group's row as changing and makes this instance the holder of
 // the duty, in one transaction. It returns the row as written.
-func (f *Fleet) claim(ctx context.Context, name model.GroupID, row lease.Row, duty lease.Duty, reason string) (lease.Row, bool) {
-	claimed := lease.Row{
+func (f *Fleet) claim(ctx context.Context, name model.GroupID, row lease.GroupRow, duty lease.CoordinatorLease, reason string) (lease.GroupRow, bool) {
+	claimed := lease.GroupRow{
 		Epoch: row.Epoch + 1, Phase: lease.PhaseChanging, Primary: row.Primary, Term: row.Term,
-		Steward: f.options.Instance, Reason: reason,
+		Coordinator: f.options.StartID, Reason: reason,
 	}
-	change := store.Change{
-		Expected: []store.Row{
+	change := store.Transaction{
+		Preconditions: []store.Row{
 			{Table: groupTable, Key: groupKey(name), Version: row.Version},
 			{Table: groupTable, Key: dutyKey, Version: duty.Version},
 		},
-		Set: []store.Row{{Table: groupTable, Key: groupKey(name), Value: f.encode(&claimed)}},
+		Upserts: []store.Row{{Table: groupTable, Key: groupKey(name), Value: f.encode(&claimed)}},
 	}
-	if duty.Holder != f.options.Instance {
-		mine := lease.Duty{Holder: f.options.Instance, Name: f.options.Name, Token: duty.Token + 1}
-		change.Set = append(change.Set, store.Row{Table: groupTable, Key: dutyKey, Value: f.encode(&mine)})
+	if duty.Holder != f.options.StartID {
+		mine := lease.CoordinatorLease{Holder: f.options.StartID, HolderName: f.options.InstanceName, FencingToken: duty.FencingToken + 1}
+		change.Upserts = append(change.Upserts, store.Row{Table: groupTable, Key: dutyKey, Value: f.encode(&mine)})
 	}
 	version, err := f.write(ctx, change)
 	f.noteRow(name, claimed, err)
@@ -152,10 +152,10 @@
 
 // finish writes the row of the new primary and the record of the change. It
 // reports true also where another instance has gone on with the change.
-func (f *Fleet) finish(ctx context.Context, name model.GroupID, claimed, next lease.Row, record engine.Record) bool {
-	_, err := f.write(ctx, store.Change{
-		Expected: []store.Row{{Table: groupTable, Key: groupKey(name), Version: claimed.Version}},
-		Set: []store.Row{
+func (f *Fleet) finish(ctx context.Context, name model.GroupID, claimed, next lease.GroupRow, record engine.PromotionRecord) bool {
+	_, err := f.write(ctx, store.Transaction{
+		Preconditions: []store.Row{{Table: groupTable, Key: groupKey(name), Version: claimed.Version}},
+		Upserts: []store.Row{
 			{Table: groupTable, Key: groupKey(name), Value: f.encode(&next)},
 			f.recordRow(record, next.Epoch),
 		},
@@ -174,7 +174,7 @@
 			continue
 		}
 		go func() {
-			if standing, err := f.ask(ctx, d, statement.Inquire{}); err == nil {
+			if standing, err := f.ask(ctx, d, statement.QueryStatus{}); err == nil {
 				answers <- standingOf{database: d, standing: standing}
 			}
 		}()
@@ -190,12 +190,12 @@
 	select {
 	case old := <-answers:
 		if old.standing.Role != model.RolePrimary {
-			return old.standing.Received
+			return old.standing.ReceivedPosition
 		}
 		standing, err := f.ask(ctx, old.database, statement.StepDown{Term: old.standing.Term + 1})
 		f.note(event.PrimarySteppedDown, event.F("group", name), event.F("database", old.database.ID),
-			event.F("received", standing.Received.String()), event.F("outcome", outcome(err)))
-		return standing.Received
+			event.F("received", standing.ReceivedPosition.String()), event.F("outcome", outcome(err)))
+		return standing.ReceivedPosition
 	case <-wait.C:
 		return model.Position{}
 	}
@@ -210,7 +210,7 @@
 
 // choose asks the other databases how far their logs reach and returns the one
 // to promote. It waits a little for one that has all that the old primary has.
-func (f *Fleet) choose(ctx context.Context, name model.GroupID, row lease.Row, old model.Position) (successor, bool) {
+func (f *Fleet) choose(ctx context.Context, name model.GroupID, row lease.GroupRow, old model.Position) (successor, bool) {
 	deadline := clock.Now().Add(catchUpLimit)
 	for {
 		standings := f.inquireAll(ctx, name, row.Primary)
@@ -218,14 +218,14 @@
 		var candidates []succession.Candidate
 		for _, s := range standings {
 			candidates = append(candidates, succession.Candidate{
-				ID: s.database.ID, Received: s.standing.Received, Leaving: s.database.Leaving,
-				Leads: s.standing.Role == model.RolePrimary,
+				ID: s.database.ID, ReceivedPosition: s.standing.ReceivedPosition, Leaving: s.database.Leaving,
+				IsPrimary: s.standing.Role == model.RolePrimary,
 			})
 		}
-		id, found := succession.Choose(candidates, f.acknowledged(name))
+		id, found := succession.ChooseCandidate(candidates, f.acknowledged(name))
 		i := slices.IndexFunc(standings, func(s standingOf) bool { return s.database.ID == id })
 		late := clock.Now().After(deadline) || ctx.Err() != nil
-		if found && (late || !standings[i].standing.Received.Less(old)) {
+		if found && (late || !standings[i].standing.ReceivedPosition.Less(old)) {
 			// A term above the old primary's comes from a promotion after it.
 			leads := hasLeader && leader == id && standings[i].standing.Term > row.Term
 			return successor{standingOf: standings[i], leads: leads}, true
@@ -252,12 +252,12 @@
 // where the databases promise that a replica has every acknowledged commit.
 func (f *Fleet) acknowledged(name model.GroupID) model.Position {
 	f.directory.mu.Lock()
-	synchronous := f.directory.configuration.Groups[name].Synchronous
+	synchronous := f.directory.configuration.Groups[name].SynchronousReplication
 	f.directory.mu.Unlock()
 	if !synchronous {
 		return model.Position{}
 	}
-	newest, _ := f.Of(name).Newest()
+	newest, _ := f.SamplesOf(name).Newest()
 	return newest.Position
 }
 
@@ -267,7 +267,7 @@
 func (f *Fleet) promote(ctx context.Context, name model.GroupID, chosen standingOf) (model.Term, bool) {
 	deadline := clock.Now().Add(leadTimeout)
 	accepted := false
-	var last statement.Standing
+	var last statement.ServerStatus
 	for clock.Now().Before(deadline) && ctx.Err() == nil {
 		if !accepted {
 			err := f.callPromote(ctx, name, chosen.database.ID)
@@ -279,7 +279,7 @@
 				deadline = clock.Now().Add(leadTimeout)
 			}
 		}
-		standing, err := f.ask(ctx, chosen.database, statement.Inquire{})
+		standing, err := f.ask(ctx, chosen.database, statement.QueryStatus{})
 		if err == nil && standing.Role == model.RolePrimary && standing.Term > chosen.standing.Term {
 			return standing.Term, true
 		}
@@ -300,19 +300,19 @@
 		return err
 	}
 	view := f.Leases.View()
-	if view.Duty.Holder != f.options.Instance {
-		return &store.Error{Outcome: store.OutcomeRefused, Cause: &DutyError{Holder: view.Duty.Holder}}
+	if view.CoordinatorLease.Holder != f.options.StartID {
+		return &store.Error{Outcome: store.OutcomeRefused, Cause: &CoordinatorReplacedError{Holder: view.CoordinatorLease.Holder}}
 	}
-	left := view.Began.Add(lease.Length).Sub(clock.Now())
+	left := view.ReadStartedAt.Add(lease.Duration).Sub(clock.Now())
 	ctx, cancel := context.WithTimeout(ctx, min(left, promoteTimeout))
 	defer cancel()
 	return f.options.Promoter.Promote(ctx, store.Promotion{
-		Group: name, Database: id, Holder: view.Duty.Name, Token: view.Duty.Token,
+		Group: name, Database: id, Holder: view.CoordinatorLease.HolderName, FencingToken: view.CoordinatorLease.FencingToken,
 	})
 }
 
-func (f *Fleet) noteRow(name model.GroupID, row lease.Row, err error) {
-	f.note(event.RowWritten,
+func (f *Fleet) noteRow(name model.GroupID, row lease.GroupRow, err error) {
+	f.note(event.GroupRowWritten,
 		event.F("group", name), event.F("epoch", row.Epoch), event.F("phase", row.Phase.String()),
 		event.F("primary", row.Primary), event.F("term", row.Term), event.F("reason", row.Reason),
 		event.F("outcome", outcome(err)))
--- a/internal/node/fleet/steward_duty.go
+++ b/internal/node/fleet/steward_duty.go
@@ -13,9 +13,9 @@
 // isSteward reports whether changes of primary are this instance's to make: it
 // holds the duty, or the holder is not there and it is the first of those that
 // are. Without a majority that does not hear the holder, it is challenged first.
-func (f *Fleet) isSteward(ctx context.Context, duty lease.Duty) bool {
+func (f *Fleet) isSteward(ctx context.Context, duty lease.CoordinatorLease) bool {
 	switch {
-	case duty.Holder == f.options.Instance:
+	case duty.Holder == f.options.StartID:
 		return true
 	case !f.isFirst():
 		return false
@@ -32,12 +32,12 @@
 
 // hasChallenged reports whether this instance's challenge of the holder has stood
 // for long; it makes one where there is none.
-func (f *Fleet) hasChallenged(ctx context.Context, duty lease.Duty) bool {
+func (f *Fleet) hasChallenged(ctx context.Context, duty lease.CoordinatorLease) bool {
 	s := &f.stewardship
 	if s.challenge == duty.Version {
 		return clock.Since(s.challenged) > challengeWait
 	}
-	duty.Challenger = f.options.Instance
+	duty.Challenger = f.options.StartID
 	if version, err := f.writeDuty(ctx, duty); err == nil {
 		s.challenge, s.challenged = version, clock.Now()
 	}
@@ -45,8 +45,8 @@
 }
 
 // answerChallenge takes a challenge of this instance as the duty's holder away.
-func (f *Fleet) answerChallenge(ctx context.Context, duty lease.Duty) {
-	if duty.Holder != f.options.Instance || duty.Challenger == "" {
+func (f *Fleet) answerChallenge(ctx context.Context, duty lease.CoordinatorLease) {
+	if duty.Holder != f.options.StartID || duty.Challenger == "" {
 		return
 	}
 	duty.Challenger = ""
@@ -55,12 +55,12 @@
 }
 
 // writeDuty replaces the duty's row as it was seen.
-func (f *Fleet) writeDuty(ctx context.Context, duty lease.Duty) (uint64, error) {
-	version, err := f.write(ctx, store.Change{
-		Expected: []store.Row{{Table: groupTable, Key: dutyKey, Version: duty.Version}},
-		Set:      []store.Row{{Table: groupTable, Key: dutyKey, Value: f.encode(&duty)}},
+func (f *Fleet) writeDuty(ctx context.Context, duty lease.CoordinatorLease) (uint64, error) {
+	version, err := f.write(ctx, store.Transaction{
+		Preconditions: []store.Row{{Table: groupTable, Key: dutyKey, Version: duty.Version}},
+		Upserts:       []store.Row{{Table: groupTable, Key: dutyKey, Value: f.encode(&duty)}},
 	})
-	f.note(event.DutyWritten, event.F("holder", duty.Holder), event.F("token", duty.Token),
+	f.note(event.CoordinatorLeaseWritten, event.F("holder", duty.Holder), event.F("token", duty.FencingToken),
 		event.F("challenger", duty.Challenger), event.F("outcome", outcome(err)))
 	f.wantRenewal()
 	return version, err
@@ -73,15 +73,15 @@
 	defer f.peers.mu.Unlock()
 	now := clock.Now()
 	for id, p := range f.peers.known {
-		if id != holder && p.isAlive(now) && p.bulletin.Duty.Holder == holder && p.bulletin.Holder {
+		if id != holder && p.isAlive(now) && p.bulletin.CoordinatorLease.Holder == holder && p.bulletin.HolderAlive {
 			return true
 		}
 	}
 	return false
 }
 
-// DutyError reports that another instance has taken the duty over.
-type DutyError struct{ Holder model.InstanceID }
+// CoordinatorReplacedError reports that another instance has taken the duty over.
+type CoordinatorReplacedError struct{ Holder model.InstanceID }
 
 // Error implements error.
-func (e *DutyError) Error() string { return "the duty is held by " + string(e.Holder) }
+func (e *CoordinatorReplacedError) Error() string { return "the duty is held by " + string(e.Holder) }
--- a/internal/node/fleet/steward_test.go
+++ b/internal/node/fleet/steward_test.go
@@ -15,21 +15,21 @@
 func TestHolderWithoutTheStore(t *testing.T) {
 	const holder, witness = model.InstanceID("z1-2"), model.InstanceID("z1-3")
 	for name, c := range map[string]struct {
-		holder, witness message.Bulletin
+		holder, witness message.GossipState
 		want            bool
 	}{
-		"it has the store":              {message.Bulletin{Stored: true, Holder: true}, message.Bulletin{}, true},
-		"it has lost the store":         {message.Bulletin{Stored: false, Holder: true}, message.Bulletin{}, false},
-		"it leaves":                     {message.Bulletin{Stored: true, Leaving: true, Holder: true}, message.Bulletin{}, false},
-		"another instance hears it":     {message.Bulletin{Stored: false}, message.Bulletin{Holder: true}, true},
-		"nobody hears it":               {message.Bulletin{Stored: false}, message.Bulletin{}, false},
-		"another one tells of a former": {message.Bulletin{Stored: false}, message.Bulletin{Holder: true, Duty: lease.Duty{Holder: "z1-9"}}, false},
+		"it has the store":              {message.GossipState{StoreReachable: true, HolderAlive: true}, message.GossipState{}, true},
+		"it has lost the store":         {message.GossipState{StoreReachable: false, HolderAlive: true}, message.GossipState{}, false},
+		"it leaves":                     {message.GossipState{StoreReachable: true, Leaving: true, HolderAlive: true}, message.GossipState{}, false},
+		"another instance hears it":     {message.GossipState{StoreReachable: false}, message.GossipState{HolderAlive: true}, true},
+		"nobody hears it":               {message.GossipState{StoreReachable: false}, message.GossipState{}, false},
+		"another one tells of a former": {message.GossipState{StoreReachable: false}, message.GossipState{HolderAlive: true, CoordinatorLease: lease.CoordinatorLease{Holder: "z1-9"}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newMember(1, 3)
-			c.holder.Duty.Holder = holder
-			if c.witness.Duty.Holder == "" {
-				c.witness.Duty.Holder = holder
+			c.holder.CoordinatorLease.Holder = holder
+			if c.witness.CoordinatorLease.Holder == "" {
+				c.witness.CoordinatorLease.Holder = holder
 			}
 			f.tell(holder, c.holder)
 			f.tell(witness, c.witness)
@@ -39,9 +39,9 @@
 		})
 	}
 	f := newMember(1, 3)
-	told := []bool{f.hears(f.options.Instance)}
+	told := []bool{f.hears(f.options.StartID)}
 	f.stored.Store(true)
-	told = append(told, f.hears(f.options.Instance))
+	told = append(told, f.hears(f.options.StartID))
 	if diff := cmp.Diff([]bool{false, true}, told); diff != "" {
 		t.Errorf("of itself: %s", diff)
 	}
--- a/internal/node/fleet/survey.go
+++ b/internal/node/fleet/survey.go
@@ -38,7 +38,7 @@
 	// proved is when a round last proved each group's primary.
 	proved map[model.GroupID]time.Time
 	// asked holds the questions to peers that wait for their answers.
-	asked map[time.Duration]chan message.SurveyTold
+	asked map[time.Duration]chan message.PrimarySurveyResponse
 }
 
 // round is one question to all databases of a group, for all that wait.
@@ -121,11 +121,11 @@
 func (f *Fleet) survey(ctx context.Context, name model.GroupID, r *round) {
 	ctx = context.WithoutCancel(ctx)
 	view := f.Leases.View()
-	if !view.Member || clock.Since(view.Began) > surveyFor {
+	if !view.IsMember || clock.Since(view.ReadStartedAt) > surveyFor {
 		return
 	}
 	if told, found := f.askSurvey(ctx, name); found {
-		r.primary, r.proved = told.Primary, told.Proved
+		r.primary, r.proved = told.Primary, told.Confirmed
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, inquireTimeout)
@@ -135,20 +135,20 @@
 	r.primary, r.proved = soleLeader(standings, len(databases))
 	f.note(event.GroupSurveyed, event.F("group", name), event.F("databases", len(databases)),
 		event.F("answered", len(standings)), event.F("primary", r.primary), event.F("proved", r.proved),
-		event.F("age", clock.Since(view.Began).String()))
+		event.F("age", clock.Since(view.ReadStartedAt).String()))
 }
 
 // askSurvey has the first instance of the own availability zone survey a group,
 // where that is another one. What it then finds holds for all that was answered
 // before it was asked.
-func (f *Fleet) askSurvey(ctx context.Context, name model.GroupID) (message.SurveyTold, bool) {
+func (f *Fleet) askSurvey(ctx context.Context, name model.GroupID) (message.PrimarySurveyResponse, bool) {
 	near, isNear := f.firstOf(func(p *peer) bool { return p.bulletin.Zone == f.options.Zone })
 	if isNear {
-		return message.SurveyTold{}, false
+		return message.PrimarySurveyResponse{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, toldWait)
 	defer cancel()
-	sent, answer := sinceBoot(clock.Now()), make(chan message.SurveyTold, 1)
+	sent, answer := sinceBoot(clock.Now()), make(chan message.PrimarySurveyResponse, 1)
 	f.surveys.mu.Lock()
 	f.surveys.asked[sent] = answer
 	f.surveys.mu.Unlock()
@@ -157,20 +157,20 @@
 		defer f.surveys.mu.Unlock()
 		delete(f.surveys.asked, sent)
 	}()
-	f.peers.links.Act(message.SendPeer{To: near, Body: message.SurveyWanted{Group: name, Sent: sent}})
+	f.peers.links.HandleAction(message.SendPeer{To: near, Body: message.PrimarySurveyRequest{Group: name, SenderClock: sent}})
 	select {
 	case told := <-answer:
 		return told, told.Group == name
 	case <-ctx.Done():
-		return message.SurveyTold{}, false
+		return message.PrimarySurveyResponse{}, false
 	}
 }
 
 // hearSurvey passes a peer's answer on to whoever waits for it.
-func (f *Fleet) hearSurvey(told message.SurveyTold) {
+func (f *Fleet) hearSurvey(told message.PrimarySurveyResponse) {
 	f.surveys.mu.Lock()
 	defer f.surveys.mu.Unlock()
-	if answer, waits := f.surveys.asked[told.Sent]; waits {
+	if answer, waits := f.surveys.asked[told.SenderClock]; waits {
 		// It has room for one; a second answer to the same question is dropped.
 		select {
 		case answer <- told:
@@ -180,18 +180,18 @@
 }
 
 // answerSurvey surveys a group for a peer.
-func (f *Fleet) answerSurvey(from model.InstanceID, wanted message.SurveyWanted) {
+func (f *Fleet) answerSurvey(from model.InstanceID, wanted message.PrimarySurveyRequest) {
 	heard := clock.Now()
 	f.running.Add(1)
 	go func() {
 		defer f.running.Done()
 		ctx, cancel := context.WithTimeout(f.life, toldWait)
 		defer cancel()
-		told := message.SurveyTold{Group: wanted.Group, Sent: wanted.Sent}
+		told := message.PrimarySurveyResponse{Group: wanted.Group, SenderClock: wanted.SenderClock}
 		if r, found := f.surveys.after(ctx, f, wanted.Group, heard); found {
-			told.Primary, told.Proved = r.primary, r.proved
+			told.Primary, told.Confirmed = r.primary, r.proved
 		}
-		f.peers.links.Act(message.SendPeer{To: from, Body: told})
+		f.peers.links.HandleAction(message.SendPeer{To: from, Body: told})
 	}()
 }
 
--- a/internal/node/fleet/survey_test.go
+++ b/internal/node/fleet/survey_test.go
@@ -16,8 +16,8 @@
 // peerThat answers messages to a peer in place of the links.
 type peerThat func(send message.SendPeer)
 
-// Act implements Links.
-func (p peerThat) Act(action message.Action) bool {
+// HandleAction implements Links.
+func (p peerThat) HandleAction(action message.Action) bool {
 	if send, is := action.(message.SendPeer); is {
 		p(send)
 	}
@@ -29,35 +29,35 @@
 func TestSurveyThroughThePeer(t *testing.T) {
 	grant := lease.Grant{Group: "ratings", Primary: "a", Epoch: 1}
 	for name, c := range map[string]struct {
-		told  *message.SurveyTold
+		told  *message.PrimarySurveyResponse
 		stale bool
 		want  bool
 	}{
-		"proved":                 {&message.SurveyTold{Group: "ratings", Primary: "a", Proved: true}, false, true},
-		"another one leads":      {&message.SurveyTold{Group: "ratings", Primary: "b", Proved: true}, false, false},
-		"not proved":             {&message.SurveyTold{Group: "ratings", Primary: "a"}, false, false},
-		"of another group":       {&message.SurveyTold{Group: "results", Primary: "a", Proved: true}, false, false},
-		"of an earlier question": {&message.SurveyTold{Group: "ratings", Primary: "a", Proved: true}, true, false},
+		"proved":                 {&message.PrimarySurveyResponse{Group: "ratings", Primary: "a", Confirmed: true}, false, true},
+		"another one leads":      {&message.PrimarySurveyResponse{Group: "ratings", Primary: "b", Confirmed: true}, false, false},
+		"not proved":             {&message.PrimarySurveyResponse{Group: "ratings", Primary: "a"}, false, false},
+		"of another group":       {&message.PrimarySurveyResponse{Group: "results", Primary: "a", Confirmed: true}, false, false},
+		"of an earlier question": {&message.PrimarySurveyResponse{Group: "ratings", Primary: "a", Confirmed: true}, true, false},
 		"no answer":              {nil, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newMember(5, 9)
 			f.Attach(peerThat(func(send message.SendPeer) {
-				wanted, is := send.Body.(message.SurveyWanted)
+				wanted, is := send.Body.(message.PrimarySurveyRequest)
 				if !is || c.told == nil {
 					return
 				}
 				told := *c.told
-				told.Sent = wanted.Sent
+				told.SenderClock = wanted.SenderClock
 				if c.stale {
-					told.Sent--
+					told.SenderClock--
 				}
-				go f.Post(message.PeerHeard{From: send.To, Body: told})
+				go f.Post(message.PeerMessageReceived{From: send.To, Body: told})
 			}), idleSessions{})
-			f.tell("z1-1", message.Bulletin{})
-			f.Leases.Learn(lease.View{
-				Version: 1, Began: clock.Now(), Member: true,
-				Rows: map[model.GroupID]lease.Row{"ratings": {Epoch: 1, Primary: "a"}},
+			f.tell("z1-1", message.GossipState{})
+			f.Leases.Update(lease.View{
+				Version: 1, ReadStartedAt: clock.Now(), IsMember: true,
+				Rows: map[model.GroupID]lease.GroupRow{"ratings": {Epoch: 1, Primary: "a"}},
 			})
 			if diff := cmp.Diff(c.want, f.surveys.confirm(t.Context(), f, grant, clock.Now().Add(-time.Millisecond))); diff != "" {
 				t.Error(diff)
@@ -69,9 +69,9 @@
 // A survey for a peer begins after the question was heard.
 func TestSurveyForAPeer(t *testing.T) {
 	f := newMember(1, 3)
-	answers := make(chan message.SurveyTold, 1)
+	answers := make(chan message.PrimarySurveyResponse, 1)
 	f.Attach(peerThat(func(send message.SendPeer) {
-		if told, is := send.Body.(message.SurveyTold); is {
+		if told, is := send.Body.(message.PrimarySurveyResponse); is {
 			answers <- told
 		}
 	}), idleSessions{})
@@ -79,17 +79,17 @@
 	if !mine {
 		t.Fatal("a round runs already")
 	}
-	f.Post(message.PeerHeard{From: "z1-2", Body: message.SurveyWanted{Group: "ratings", Sent: 7}})
+	f.Post(message.PeerMessageReceived{From: "z1-2", Body: message.PrimarySurveyRequest{Group: "ratings", SenderClock: 7}})
 	running.primary, running.proved = "a", true
 	f.surveys.end("ratings", running)
-	if diff := cmp.Diff(message.SurveyTold{Group: "ratings", Sent: 7}, <-answers); diff != "" {
+	if diff := cmp.Diff(message.PrimarySurveyResponse{Group: "ratings", SenderClock: 7}, <-answers); diff != "" {
 		t.Errorf("the round that ran already was taken: %s", diff)
 	}
 }
 
 func TestSoleLeader(t *testing.T) {
 	standing := func(id model.DatabaseID, role model.Role, term model.Term) standingOf {
-		s := standingOf{standing: statement.Standing{Role: role, Term: term}}
+		s := standingOf{standing: statement.ServerStatus{Role: role, Term: term}}
 		s.database.ID = id
 		return s
 	}
--- a/internal/node/fleet/watch.go
+++ b/internal/node/fleet/watch.go
@@ -77,7 +77,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if store.OutcomeOf(err) == store.OutcomeHistoryGone {
+		if store.OutcomeOf(err) == store.OutcomeCompacted {
 			whole = true
 			continue
 		}
--- a/internal/node/fleet/watch_test.go
+++ b/internal/node/fleet/watch_test.go
@@ -32,7 +32,7 @@
 	}
 	for _, f := range w.fleets {
 		if age := clock.Since(f.configurationConfirmed()); age > spareAge+readTimeout {
-			t.Errorf("%s has not heard for %v that its configuration is the newest", f.options.Name, age)
+			t.Errorf("%s has not heard for %v that its configuration is the newest", f.options.InstanceName, age)
 		}
 	}
 }
@@ -50,7 +50,7 @@
 			disturb(w)
 			w.store.put("configurations", "current", "2")
 			for _, f := range w.fleets {
-				eventually(t, "version 2", func() bool { return f.Version() == 2 })
+				eventually(t, "version 2", func() bool { return f.ConfigurationVersion() == 2 })
 			}
 		})
 	}
--- a/internal/node/fleet/world_test.go
+++ b/internal/node/fleet/world_test.go
@@ -67,7 +67,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	s.set(store.Row{Table: table, Key: key, Removed: true})
+	s.set(store.Row{Table: table, Key: key, Deleted: true})
 }
 
 // count returns the number of calls so far.
@@ -99,7 +99,7 @@
 	if err := s.begin(); err != nil {
 		return store.Rows{}, err
 	}
-	rows := slices.DeleteFunc(s.since(table, 0), func(row store.Row) bool { return row.Removed })
+	rows := slices.DeleteFunc(s.since(table, 0), func(row store.Row) bool { return row.Deleted })
 	return store.Rows{Version: s.version, Rows: rows}, nil
 }
 
@@ -146,23 +146,23 @@
 }
 
 // Write implements store.Store.
-func (s *memoryStore) Write(_ context.Context, change store.Change) (uint64, error) {
+func (s *memoryStore) Write(_ context.Context, change store.Transaction) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.begin(); err != nil {
 		return 0, err
 	}
-	for _, row := range change.Expected {
+	for _, row := range change.Preconditions {
 		if s.rows[row.Table+"/"+row.Key].Version != row.Version {
 			return 0, &store.Error{Outcome: store.OutcomeConflict, Cause: context.Canceled}
 		}
 	}
 	s.version++
-	for _, row := range change.Set {
+	for _, row := range change.Upserts {
 		s.set(row)
 	}
-	for _, row := range change.Delete {
-		row.Removed = true
+	for _, row := range change.Deletes {
+		row.Deleted = true
 		s.set(row)
 	}
 	return s.version, nil
@@ -175,15 +175,15 @@
 func (testSource) ConfigurationTable() (table, key string) { return "configurations", "current" }
 func (testSource) DatabaseTable() string                   { return "databases" }
 
-func (testSource) Configuration(body []byte) (route.Configuration, error) {
+func (testSource) DecodeConfiguration(body []byte) (route.Configuration, error) {
 	var version uint64
 	if _, err := fmt.Sscan(string(body), &version); err != nil {
 		return route.Configuration{}, err
 	}
-	return route.Configuration{Version: version, Groups: map[model.GroupID]route.Group{"ratings": {Connections: 20}}}, nil
+	return route.Configuration{Version: version, Groups: map[model.GroupID]route.Group{"ratings": {MaxConnections: 20}}}, nil
 }
 
-func (testSource) Database(id string, body []byte) (placement.Database, error) {
+func (testSource) DecodeDatabase(id string, body []byte) (placement.Database, error) {
 	return placement.Database{
 		ID: model.DatabaseID(id), Group: model.GroupID(body), Slots: 3, Address: netip.MustParseAddrPort("127.0.0.1:1"),
 	}, nil
@@ -223,8 +223,8 @@
 	self model.InstanceID
 }
 
-// Act implements Links.
-func (e hubEnd) Act(action message.Action) bool {
+// HandleAction implements Links.
+func (e hubEnd) HandleAction(action message.Action) bool {
 	send, is := action.(message.SendPeer)
 	if !is {
 		return true
@@ -240,7 +240,7 @@
 			if _, is := send.Body.(message.ManifestOffer); is {
 				time.Sleep(takes)
 			}
-			to.Post(message.PeerHeard{From: e.self, Body: send.Body})
+			to.Post(message.PeerMessageReceived{From: e.self, Body: send.Body})
 		}()
 	}
 	return true
@@ -255,7 +255,7 @@
 // idleSessions are sessions of which none is open.
 type idleSessions struct{}
 
-func (idleSessions) Shed() {}
+func (idleSessions) CloseIdleSessions() {}
 
 // world is several fleets with one store.
 type world struct {
@@ -279,10 +279,10 @@
 	for i := range instances {
 		name := model.InstanceID(fmt.Sprintf("i%d", i+1))
 		f := New(Options{
-			Instance: name, Name: name, Zone: "lanier", Expected: instances, Store: w.store,
-			Peer:   netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(i+1)),
-			Source: testSource{}, ConfirmAge: time.Second,
-			Log: eventlog.NewWriter(logr.Discard(), eventlog.DefaultLimit),
+			StartID: name, InstanceName: name, Zone: "lanier", ExpectedInstances: instances, Store: w.store,
+			PeerAddress: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(i+1)),
+			Schema:      testSource{}, MaxConfigurationAge: time.Second,
+			Log: eventlog.NewWriter(logr.Discard(), eventlog.DefaultLinesPerSecond),
 		})
 		f.Attach(hubEnd{hub: w.hub, self: name}, idleSessions{})
 		w.hub.mu.Lock()
@@ -295,7 +295,7 @@
 		ends = append(ends, f.Start(ctx))
 		for _, other := range w.fleets {
 			if other != f {
-				f.Post(message.PeerLinked{Peer: other.options.Instance})
+				f.Post(message.PeerConnected{Peer: other.options.StartID})
 			}
 		}
 	}
@@ -306,7 +306,7 @@
 		}
 	})
 	for _, f := range w.fleets {
-		eventually(t, "the first configuration", func() bool { return f.Version() == 1 })
+		eventually(t, "the first configuration", func() bool { return f.ConfigurationVersion() == 1 })
 	}
 	return w
 }
--- a/internal/node/runner/request_test.go
+++ b/internal/node/runner/request_test.go
@@ -30,16 +30,16 @@
 		var actions []message.Action
 		for _, incoming := range events {
 			seen[incoming]++
-			if ended, ok := incoming.(message.AnswerEnded); ok {
-				actions = append(actions, message.Refuse{Request: ended.Request})
+			if ended, ok := incoming.(message.AttemptEnded); ok {
+				actions = append(actions, message.RefuseRequest{Request: ended.Request})
 			}
 		}
 		if len(events) > 0 && len(seen) == 3*posters*each {
 			close(whole)
 		}
 		return actions
-	}), runner.Options{Tick: long}, logr.Discard(), func(action message.Action) bool {
-		r.Post(message.RequestCanceled{Request: action.(message.Refuse).Request})
+	}), runner.Options{MaxStepInterval: long}, logr.Discard(), func(action message.Action) bool {
+		r.Post(message.RequestCanceled{Request: action.(message.RefuseRequest).Request})
 		return true
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -50,7 +50,7 @@
 			for i := range each {
 				id := model.RequestID(p*each + i + 1)
 				r.Post(message.RequestArrived{Request: id})
-				r.Post(message.AnswerEnded{Request: id})
+				r.Post(message.AttemptEnded{Request: id})
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 			t.Error("stepped after the end")
 		}
 		return nil
-	}), runner.Options{Tick: long}, logr.Discard())
+	}), runner.Options{MaxStepInterval: long}, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
 	over := r.Start(ctx)
 	cancel()
--- a/internal/node/runner/runner.go
+++ b/internal/node/runner/runner.go
@@ -16,7 +16,7 @@
 //
 //	r := runner.NewRunner(engine, runner.Options{}, log)
 //	databases := group.NewEdge(options, r, log)
-//	r.Attach(databases.Act)
+//	r.Attach(databases.HandleAction)
 //	ended := r.Start(ctx)
 //	<-ended
 package runner
@@ -59,16 +59,16 @@
 	Step(now time.Time, events []message.Event) []message.Action
 }
 
-// Act takes an action and reports whether it is one that it handles. It must
+// ActionHandler takes an action and reports whether it is one that it handles. It must
 // not block.
-type Act func(action message.Action) bool
+type ActionHandler func(action message.Action) bool
 
 // Options are the settings of a Runner. A zero value has the defaults.
 type Options struct {
-	// Tick is the longest time between two steps.
-	Tick time.Duration
-	// Lines is the number of log lines that one event may write in a second.
-	Lines int
+	// MaxStepInterval is the longest time between two steps.
+	MaxStepInterval time.Duration
+	// EventLinesPerSecond is the number of log lines that one event may write in a second.
+	EventLinesPerSecond int
 	// Now is the clock.
 	Now func() time.Time
 }
@@ -78,7 +78,7 @@
 	engine  Engine
 	options Options
 	log     *eventlog.Writer
-	acts    []Act
+	acts    []ActionHandler
 	left    chan struct{}
 	// wake has room for one value: events wait.
 	wake chan struct{}
@@ -95,12 +95,12 @@
 }
 
 // NewRunner returns a runner of engine, with acts to hand its actions to.
-func NewRunner(engine Engine, options Options, log logr.Logger, acts ...Act) *Runner {
-	if options.Tick == 0 {
-		options.Tick = defaultTick
+func NewRunner(engine Engine, options Options, log logr.Logger, acts ...ActionHandler) *Runner {
+	if options.MaxStepInterval == 0 {
+		options.MaxStepInterval = defaultTick
 	}
-	if options.Lines == 0 {
-		options.Lines = eventlog.DefaultLimit
+	if options.EventLinesPerSecond == 0 {
+		options.EventLinesPerSecond = eventlog.DefaultLinesPerSecond
 	}
 	if options.Now == nil {
 		options.Now = time.Now
@@ -108,16 +108,16 @@
 	return &Runner{
 		engine:  engine,
 		options: options,
-		log:     eventlog.NewWriter(log, options.Lines),
+		log:     eventlog.NewWriter(log, options.EventLinesPerSecond),
 		acts:    acts,
 		left:    make(chan struct{}),
 		wake:    make(chan struct{}, 1),
 	}
 }
 
-// Attach adds edges, which need the runner as their sink to be made. It must
+// AddHandlers adds edges, which need the runner as their sink to be made. It must
 // be called before Start.
-func (r *Runner) Attach(acts ...Act) { r.acts = append(r.acts, acts...) }
+func (r *Runner) AddHandlers(acts ...ActionHandler) { r.acts = append(r.acts, acts...) }
 
 // Post implements message.Sink. The event of a request steps the engine at once
 // on the goroutine of its session, unless another one is stepping it: that spares
@@ -143,14 +143,14 @@
 // isOfRequest reports whether the event is one that a caller waits for.
 func isOfRequest(event message.Event) bool {
 	switch event.(type) {
-	case message.RequestArrived, message.AnswerEnded:
+	case message.RequestArrived, message.AttemptEnded:
 		return true
 	}
 	return false
 }
 
-// Left is closed when the core has said that the instance may end.
-func (r *Runner) Left() <-chan struct{} { return r.left }
+// Done is closed when the core has said that the instance may end.
+func (r *Runner) Done() <-chan struct{} { return r.left }
 
 // Start runs the loop until ctx ends or the core leaves. The channel is closed
 // at its end.
@@ -164,7 +164,7 @@
 }
 
 func (r *Runner) run(ctx context.Context) {
-	ticker := time.NewTicker(r.options.Tick)
+	ticker := time.NewTicker(r.options.MaxStepInterval)
 	defer ticker.Stop()
 	defer r.end()
 	r.begin()
@@ -240,11 +240,11 @@
 	leaving := false
 	for _, action := range actions {
 		switch action := action.(type) {
-		case message.Note:
+		case message.LogEvent:
 			r.log.Write(now, action.Event, action.Fields...)
-		case message.Count:
+		case message.IncrementCounter:
 			count(action)
-		case message.Leave:
+		case message.Terminate:
 			r.log.Write(now, event.RunnerStopped)
 			leaving = true
 		default:
@@ -262,7 +262,7 @@
 }{maps: map[string]*expvar.Map{}}
 
 // count adds one to a counter of the core.
-func count(action message.Count) {
+func count(action message.IncrementCounter) {
 	counters.Lock()
 	counted, found := counters.maps[action.Name]
 	if !found {
--- a/internal/node/runner/runner_test.go
+++ b/internal/node/runner/runner_test.go
@@ -34,7 +34,7 @@
 		batches <- append([]message.Event(nil), events...)
 		<-proceed
 		return nil
-	}), runner.Options{Tick: long}, logr.Discard())
+	}), runner.Options{MaxStepInterval: long}, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
 	over := r.Start(ctx)
 	r.Post(closed(1))
@@ -60,7 +60,7 @@
 		default:
 		}
 		return nil
-	}), runner.Options{Tick: time.Millisecond}, logr.Discard())
+	}), runner.Options{MaxStepInterval: time.Millisecond}, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
 	over := r.Start(ctx)
 	for range 3 {
@@ -78,22 +78,22 @@
 	before := eventlog.Count(note.Number)
 	actions := []message.Action{
 		message.Drain{},
-		message.Note{Event: note},
+		message.LogEvent{Event: note},
 		message.SetDatabases{},
-		message.Leave{},
+		message.Terminate{},
 		message.SetPeers{},
 	}
 	r := runner.NewRunner(engine(func([]message.Event) []message.Action { return actions }),
-		runner.Options{Tick: long}, logr.Discard(),
+		runner.Options{MaxStepInterval: long}, logr.Discard(),
 		func(a message.Action) bool { first = append(first, a); return true })
-	r.Attach(func(a message.Action) bool {
+	r.AddHandlers(func(a message.Action) bool {
 		second = append(second, a)
 		_, found := a.(message.SetDatabases)
 		return found
 	})
 	over := r.Start(context.Background())
 	r.Post(closed(1))
-	<-r.Left()
+	<-r.Done()
 	<-over
 	want := []message.Action{message.Drain{}, message.SetDatabases{}, message.SetPeers{}}
 	if diff := cmp.Diff(want, first); diff != "" {
@@ -110,8 +110,8 @@
 func TestUnhandledActionIsCounted(t *testing.T) {
 	before := eventlog.Count(event.ActionUnhandled.Number)
 	r := runner.NewRunner(engine(func([]message.Event) []message.Action {
-		return []message.Action{message.Drain{}, message.Leave{}}
-	}), runner.Options{Tick: long}, logr.Discard(), func(message.Action) bool { return false })
+		return []message.Action{message.Drain{}, message.Terminate{}}
+	}), runner.Options{MaxStepInterval: long}, logr.Discard(), func(message.Action) bool { return false })
 	over := r.Start(context.Background())
 	r.Post(closed(1))
 	<-over
@@ -128,7 +128,7 @@
 			seen[e]++
 		}
 		if len(seen) == posters*each {
-			return []message.Action{message.Leave{}}
+			return []message.Action{message.Terminate{}}
 		}
 		return nil
 	}), runner.Options{}, logr.Discard())
--- a/internal/node/serve/errors.go
+++ b/internal/node/serve/errors.go
@@ -25,17 +25,17 @@
 // Unwrap returns the cause.
 func (e *StopError) Unwrap() error { return e.Cause }
 
-// PartError reports that a part of the process ended with an error.
-type PartError struct {
-	Part  string
-	Cause error
+// ComponentError reports that a part of the process ended with an error.
+type ComponentError struct {
+	Component string
+	Cause     error
 }
 
 // Error implements error.
-func (e *PartError) Error() string { return e.Part + " failed: " + e.Cause.Error() }
+func (e *ComponentError) Error() string { return e.Component + " failed: " + e.Cause.Error() }
 
 // Unwrap returns the cause.
-func (e *PartError) Unwrap() error { return e.Cause }
+func (e *ComponentError) Unwrap() error { return e.Cause }
 
 // InterruptedError reports that a second signal ended the process before it was
 // drained.
@@ -49,12 +49,12 @@
 // CertificateError reports certificates that can't be loaded.
 type CertificateError struct {
 	// Path is the file.
-	Path string
-	Why  string
+	Path   string
+	Reason string
 }
 
 // Error implements error.
-func (e *CertificateError) Error() string { return e.Path + ": " + e.Why }
+func (e *CertificateError) Error() string { return e.Path + ": " + e.Reason }
 
 // rootCause takes off what fx wraps around the error of a constructor.
 func rootCause(err error) error { return dig.RootCause(err) }
--- a/internal/node/serve/module.go
+++ b/internal/node/serve/module.go
@@ -53,20 +53,20 @@
 type parts struct {
 	fx.In
 	Pool      *database.Pool
-	Group     *group.Edge
-	Platform  *platform.Edge
-	Peer      *peer.Edge
-	Operator  *operator.Edge
+	Group     *group.Client
+	Platform  *platform.Client
+	Peer      *peer.Transport
+	Operator  *operator.Server
 	Readiness *readiness
 	Runner    *runner.Runner
-	Caller    *caller.Edge
+	Caller    *caller.Server
 }
 
 // register attaches the edges to the runner and puts all parts under the
 // lifecycle, in the order in which they start.
 func register(lifecycle fx.Lifecycle, ends chan<- partEnd, p parts) {
-	p.Runner.Attach(
-		p.Caller.Act, p.Pool.Act, p.Group.Act, p.Platform.Act, p.Peer.Act, p.Operator.Act, p.Readiness.Act,
+	p.Runner.AddHandlers(
+		p.Caller.HandleAction, p.Pool.HandleAction, p.Group.HandleAction, p.Platform.HandleAction, p.Peer.HandleAction, p.Operator.HandleAction, p.Readiness.HandleAction,
 	)
 	supervise(lifecycle, ends, partPool, p.Pool)
 	supervise(lifecycle, ends, partGroup, p.Group)
@@ -95,26 +95,26 @@
 func newLogger(options Options, id identity) logr.Logger {
 	s := options.Settings
 	return log.NewLogger(log.Options{
-		Level: s.Log.Level, Format: s.Log.Format, Instance: id.instance, Zone: s.Zone, Writer: options.Log,
+		Level: s.Log.Level, Format: s.Log.Format, Instance: id.instance, Zone: s.Zone, Writer: options.LogWriter,
 	})
 }
 
 func newEvents(logger logr.Logger) *eventlog.Writer {
-	return eventlog.NewWriter(logger, eventlog.DefaultLimit)
+	return eventlog.NewWriter(logger, eventlog.DefaultLinesPerSecond)
 }
 
 func newEngine(s *settings.Settings, id identity) *engine.Engine {
 	return engine.NewEngine(engine.Options{
-		Instance: id.instance,
-		Zone:     s.Zone,
-		Peer:     s.Listen.Peers,
-		Seeds:    s.Seeds,
-		Start:    id.start,
+		Instance:      id.instance,
+		Zone:          s.Zone,
+		PeerAddress:   s.Listen.Peers,
+		SeedAddresses: s.SeedAddresses,
+		StartID:       id.start,
 	})
 }
 
 func newRunner(core *engine.Engine, s *settings.Settings, logger logr.Logger) *runner.Runner {
-	return runner.NewRunner(core, runner.Options{Tick: s.Tick}, logger)
+	return runner.NewRunner(core, runner.Options{MaxStepInterval: s.TickInterval}, logger)
 }
 
 // looper gives the runner the common shape of the parts.
@@ -134,15 +134,15 @@
 	return database.NewPool(database.PoolOptions{User: s.Database.User, Password: password}, logger), nil
 }
 
-func newGroupEdge(s *settings.Settings, sink message.Sink, logger logr.Logger) (*group.Edge, error) {
+func newGroupEdge(s *settings.Settings, sink message.Sink, logger logr.Logger) (*group.Client, error) {
 	password, err := s.Database.Password.Load()
 	if err != nil {
 		return nil, err
 	}
-	return group.NewEdge(group.Options{User: s.Database.User, Password: password}, sink, logger), nil
+	return group.NewClient(group.Options{User: s.Database.User, Password: password}, sink, logger), nil
 }
 
-func newPlatformEdge(s *settings.Settings, sink message.Sink, logger logr.Logger) (*platform.Edge, error) {
+func newPlatformEdge(s *settings.Settings, sink message.Sink, logger logr.Logger) (*platform.Client, error) {
 	token, err := s.Platform.Token.Load()
 	if err != nil {
 		return nil, err
@@ -155,11 +155,11 @@
 	if s.Platform.URL.Scheme == "https" {
 		options.TLS = &tls.Config{MinVersion: tls.VersionTLS12}
 	}
-	return platform.NewEdge(platform.Options{Port: platform.NewHTTPPort(options)}, sink, logger), nil
+	return platform.NewClient(platform.Options{Service: platform.NewHTTPService(options)}, sink, logger), nil
 }
 
-func newPeerEdge(s *settings.Settings, id identity, sink message.Sink, logger logr.Logger) (*peer.Edge, error) {
-	key, err := s.Peer.Key.Load()
+func newPeerEdge(s *settings.Settings, id identity, sink message.Sink, logger logr.Logger) (*peer.Transport, error) {
+	key, err := s.Peer.SharedKey.Load()
 	if err != nil {
 		return nil, err
 	}
@@ -168,19 +168,19 @@
 		return nil, err
 	}
 	options := peer.Options{Instance: id.instance, Listen: s.Listen.Peers, Key: []byte(key), TLS: secure}
-	return peer.NewEdge(options, sink, logger), nil
+	return peer.NewTransport(options, sink, logger), nil
 }
 
-func newOperatorEdge(s *settings.Settings, ready *readiness, sink message.Sink, logger logr.Logger) (*operator.Edge, error) {
+func newOperatorEdge(s *settings.Settings, ready *readiness, sink message.Sink, logger logr.Logger) (*operator.Server, error) {
 	token, err := s.Operator.Token.Load()
 	if err != nil {
 		return nil, err
 	}
-	options := operator.Options{Address: s.Listen.Operators, Token: token, Ready: ready.ready.Load}
-	return operator.NewEdge(options, sink, logger), nil
+	options := operator.Options{Address: s.Listen.Operators, Token: token, IsReady: ready.ready.Load}
+	return operator.NewServer(options, sink, logger), nil
 }
 
-func newCallerEdge(s *settings.Settings, id identity, pool *database.Pool, sink message.Sink, logger logr.Logger) (*caller.Edge, error) {
+func newCallerEdge(s *settings.Settings, id identity, pool *database.Pool, sink message.Sink, logger logr.Logger) (*caller.Server, error) {
 	users, err := loadUsers(s.Caller.Users)
 	if err != nil {
 		return nil, err
@@ -190,15 +190,15 @@
 		return nil, err
 	}
 	options := caller.Options{
-		Listen:     s.Listen.Callers,
-		Key:        string(id.instance),
-		TLS:        secure,
-		RequireTLS: s.Caller.Require,
-		Users:      users,
-		Trust:      s.Caller.Trust,
-		Sessions:   s.Caller.Limit,
+		ListenAddress:        s.Listen.Callers,
+		IdempotencyKeyPrefix: string(id.instance),
+		TLS:                  secure,
+		RequireTLS:           s.Caller.RequireTLS,
+		Users:                users,
+		Trust:                s.Caller.TrustAnyUser,
+		MaxSessions:          s.Caller.MaxConnections,
 	}
-	return caller.NewEdge(options, pool, sink, logger), nil
+	return caller.NewServer(options, pool, sink, logger), nil
 }
 
 // -----------------------------------------------------------------------------
@@ -209,8 +209,8 @@
 
 func newReadiness() *readiness { return &readiness{} }
 
-// Act takes message.Readiness, and reports whether action was that.
-func (r *readiness) Act(action message.Action) bool {
+// HandleAction takes message.Readiness, and reports whether action was that.
+func (r *readiness) HandleAction(action message.Action) bool {
 	told, is := action.(message.Readiness)
 	if is {
 		r.ready.Store(told.Ready)
--- a/internal/node/serve/part.go
+++ b/internal/node/serve/part.go
@@ -74,6 +74,6 @@
 	case <-p.ended:
 		return nil
 	case <-ctx.Done():
-		return &PartError{Part: p.name, Cause: ctx.Err()}
+		return &ComponentError{Component: p.name, Cause: ctx.Err()}
 	}
 }
--- a/internal/node/serve/secure.go
+++ b/internal/node/serve/secure.go
@@ -15,7 +15,7 @@
 const hashPrefix = "pbkdf2-sha256$"
 
 // callerTLS returns the setting for callers' connections, or nil.
-func callerTLS(files settings.TLS) (*tls.Config, error) {
+func callerTLS(files settings.TLSFiles) (*tls.Config, error) {
 	if !files.IsSet() {
 		return nil, nil
 	}
@@ -24,7 +24,7 @@
 
 // peerTLS returns the setting for links between instances, or nil. Both ends
 // have to show a certificate of the authority.
-func peerTLS(files settings.TLS) (*tls.Config, error) {
+func peerTLS(files settings.TLSFiles) (*tls.Config, error) {
 	if !files.IsSet() {
 		return nil, nil
 	}
@@ -32,13 +32,13 @@
 	if err != nil {
 		return nil, err
 	}
-	authority, err := os.ReadFile(files.Authority)
+	authority, err := os.ReadFile(files.CAFile)
 	if err != nil {
-		return nil, &CertificateError{Path: files.Authority, Why: err.Error()}
+		return nil, &CertificateError{Path: files.CAFile, Reason: err.Error()}
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return nil, &CertificateError{Path: files.Authority, Why: "holds no certificate"}
+		return nil, &CertificateError{Path: files.CAFile, Reason: "holds no certificate"}
 	}
 	config.RootCAs = pool
 	config.ClientCAs = pool
@@ -46,10 +46,10 @@
 	return config, nil
 }
 
-func loadTLS(files settings.TLS) (*tls.Config, error) {
-	certificate, err := tls.LoadX509KeyPair(files.Certificate, files.Secret)
+func loadTLS(files settings.TLSFiles) (*tls.Config, error) {
+	certificate, err := tls.LoadX509KeyPair(files.CertificateFile, files.PrivateKeyFile)
 	if err != nil {
-		return nil, &CertificateError{Path: files.Certificate, Why: err.Error()}
+		return nil, &CertificateError{Path: files.CertificateFile, Reason: err.Error()}
 	}
 	return &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS12}, nil
 }
@@ -68,7 +68,7 @@
 	return loaded, nil
 }
 
-func loadPassword(secret settings.Secret) (caller.PasswordHash, error) {
+func loadPassword(secret settings.SecretReference) (caller.PasswordHash, error) {
 	text, err := secret.Load()
 	if err != nil {
 		return caller.PasswordHash{}, err
--- a/internal/node/serve/serve.go
+++ b/internal/node/serve/serve.go
@@ -42,8 +42,8 @@
 	Version string
 	// Signals carries the signals that ask the process to end.
 	Signals <-chan os.Signal
-	// Log takes the log lines; nil stands for standard error.
-	Log io.Writer
+	// LogWriter takes the log lines; nil stands for standard error.
+	LogWriter io.Writer
 }
 
 // Run runs an instance until it has drained, a part fails, a second signal
@@ -107,11 +107,11 @@
 			}
 			draining = true
 			a.note(event.SignalCaught, event.F("signal", signal.String()), event.F("meaning", "drain"))
-			a.Sink.Post(message.DrainWanted{})
+			a.Sink.Post(message.DrainRequested{})
 		case end := <-ends:
 			if end.err != nil {
 				a.note(event.PartFailed, event.F("part", end.name), event.F("error", end.err.Error()))
-				return &PartError{Part: end.name, Cause: end.err}
+				return &ComponentError{Component: end.name, Cause: end.err}
 			}
 			if end.name == partRunner {
 				return nil
--- a/internal/node/serve/serve_test.go
+++ b/internal/node/serve/serve_test.go
@@ -104,7 +104,7 @@
 		name := fmt.Sprintf("ratings-%d", i)
 		db := database.NewDatabase(database.Options{
 			Name: model.DatabaseID(name), Group: "ratings", Zone: "z",
-			Listen: loopback(t), Admin: loopback(t), Slots: 3, Connections: 20,
+			Listen: loopback(t), AdminListen: loopback(t), Slots: 3, Connections: 20,
 			Primary: i == 0, Term: 1, Source: source, Password: testSecret,
 		})
 		ended, err := db.Start(ctx)
@@ -119,7 +119,7 @@
 
 func (f *fixture) run(ctx context.Context) {
 	go func() {
-		f.ended <- Run(ctx, Options{Settings: f.settings, Signals: f.signals, Log: io.Discard})
+		f.ended <- Run(ctx, Options{Settings: f.settings, Signals: f.signals, LogWriter: io.Discard})
 	}()
 }
 
@@ -129,7 +129,7 @@
 	client := operator.NewClient(f.settings.Listen.Operators, testSecret)
 	retry(ctx, t, func() error {
 		decision, err := client.Submit(ctx, []byte(f.manifest), 0, "test")
-		if err == nil && decision.Error != "ok" {
+		if err == nil && decision.Outcome != "ok" {
 			t.Fatalf("decision %+v", decision)
 		}
 		return err
@@ -182,7 +182,7 @@
 	client := operator.NewClient(f.settings.Listen.Operators, "")
 	retry(ctx, t, func() error {
 		if client.Ready(ctx) == nil {
-			return &PartError{Part: "instance", Cause: errors.ErrUnsupported}
+			return &ComponentError{Component: "instance", Cause: errors.ErrUnsupported}
 		}
 		return nil
 	})
@@ -234,13 +234,13 @@
 		},
 		"no secret": {
 			spoil: func(_ *testing.T, s *settings.Settings) {
-				s.Peer.Key, _ = settings.ParseSecret("env:SECRET_OF_NOBODY")
+				s.Peer.SharedKey, _ = settings.ParseSecretReference("env:SECRET_OF_NOBODY")
 			},
 			want: "secret env:SECRET_OF_NOBODY: is empty",
 		},
 		"no certificate": {
 			spoil: func(_ *testing.T, s *settings.Settings) {
-				s.Caller.TLS = settings.TLS{Certificate: "absent.pem", Secret: "absent.key"}
+				s.Caller.TLS = settings.TLSFiles{CertificateFile: "absent.pem", PrivateKeyFile: "absent.key"}
 			},
 			want: "absent.pem",
 		},
@@ -249,7 +249,7 @@
 		t.Run(name, func(t *testing.T) {
 			f, ctx := newFixture(t)
 			c.spoil(t, f.settings)
-			err := Run(ctx, Options{Settings: f.settings, Signals: f.signals, Log: io.Discard})
+			err := Run(ctx, Options{Settings: f.settings, Signals: f.signals, LogWriter: io.Discard})
 			var start *StartError
 			if !errors.As(err, &start) || !strings.Contains(err.Error(), c.want) {
 				t.Errorf("Run = %v, want a *StartError with %q", err, c.want)
--- a/internal/report/event/event_route.go
+++ b/internal/report/event/event_route.go
@@ -40,7 +40,7 @@
 		Text:   "A database answers this instance.",
 		Fields: []string{"group", "database", "role", "term", "received"},
 	}
-	DatabaseLeft = Event{
+	DatabaseLeaving = Event{
 		Number: 207, Name: "database-leaving", Level: LevelInfo,
 		Text:   "A database is leaving; it receives no new work.",
 		Fields: []string{"group", "database", "source"},
@@ -49,5 +49,5 @@
 
 var routeEvents = []Event{
 	ReadRouted, WriteRouted, ReadBehind, RequestRefused, RequestRetried,
-	DatabaseUnreachable, DatabaseReachable, DatabaseLeft,
+	DatabaseUnreachable, DatabaseReachable, DatabaseLeaving,
 }
--- a/internal/report/event/event_steward.go
+++ b/internal/report/event/event_steward.go
@@ -5,12 +5,12 @@
 
 // Events of the table of groups.
 var (
-	RowSeen = Event{
+	GroupRowSeen = Event{
 		Number: 420, Name: "group-row-seen", Level: LevelInfo,
 		Text:   "A group's row in the store has changed: who is its primary, or that it is being replaced.",
 		Fields: []string{"group", "epoch", "phase", "primary", "term", "steward", "reason", "source"},
 	}
-	RowWritten = Event{
+	GroupRowWritten = Event{
 		Number: 421, Name: "group-row-written", Level: LevelInfo,
 		Text:   "This instance has changed a group's row.",
 		Fields: []string{"group", "epoch", "phase", "primary", "term", "reason", "outcome"},
@@ -46,7 +46,7 @@
 		Text:   "A database was asked for its standing, or to step down.",
 		Fields: []string{"group", "database", "statement", "role", "term", "received", "outcome"},
 	}
-	DutyWritten = Event{
+	CoordinatorLeaseWritten = Event{
 		Number: 428, Name: "duty-written", Level: LevelInfo,
 		Text:   "This instance has changed the row of the duty without taking it: a challenge, or its answer.",
 		Fields: []string{"holder", "token", "challenger", "outcome"},
@@ -65,6 +65,6 @@
 )
 
 var stewardEvents = []Event{
-	RowSeen, RowWritten, ChangeBegun, ChangeFailed, ChangeEnded, PrimarySteppedDown, PromotionCalled, DatabaseAsked,
-	DutyWritten, LeasesRevoked, GroupSurveyed,
+	GroupRowSeen, GroupRowWritten, ChangeBegun, ChangeFailed, ChangeEnded, PrimarySteppedDown, PromotionCalled, DatabaseAsked,
+	CoordinatorLeaseWritten, LeasesRevoked, GroupSurveyed,
 }
--- a/internal/report/eventlog/sparing_test.go
+++ b/internal/report/eventlog/sparing_test.go
@@ -16,7 +16,7 @@
 // Routine lines are left out before those that warn.
 func TestSparingWriterKeepsWarnings(t *testing.T) {
 	var out bytes.Buffer
-	writer := eventlog.NewSparingWriter(log.NewLogger(log.Options{Level: event.LevelInfo, Writer: &out}), 2, 5)
+	writer := eventlog.NewWriterWithLimits(log.NewLogger(log.Options{Level: event.LevelInfo, Writer: &out}), 2, 5)
 	now := time.Unix(1000, 0)
 	for range 10 {
 		writer.Write(now, event.StatementAnswered)
--- a/internal/report/eventlog/writer.go
+++ b/internal/report/eventlog/writer.go
@@ -30,8 +30,8 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// DefaultLimit is the number of lines that one event may write in one second.
-const DefaultLimit = 50
+// DefaultLinesPerSecond is the number of lines that one event may write in one second.
+const DefaultLinesPerSecond = 50
 
 // window is the time over which lines are counted against the limit.
 const window = time.Second
@@ -80,12 +80,12 @@
 
 // NewWriter returns a writer that lets each event have limit lines a second.
 func NewWriter(log logr.Logger, limit int) *Writer {
-	return NewSparingWriter(log, limit, limit)
+	return NewWriterWithLimits(log, limit, limit)
 }
 
-// NewSparingWriter returns a writer that lets each routine event have other
+// NewWriterWithLimits returns a writer that lets each routine event have other
 // lines a second than events that warn: what went wrong is left out last.
-func NewSparingWriter(log logr.Logger, routine, limit int) *Writer {
+func NewWriterWithLimits(log logr.Logger, routine, limit int) *Writer {
 	return &Writer{
 		handler: logr.ToSlogHandler(log),
 		routine: routine,
--- a/internal/report/eventlog/writer_test.go
+++ b/internal/report/eventlog/writer_test.go
@@ -64,7 +64,7 @@
 func BenchmarkWrite(b *testing.B) {
 	silent := slog.NewTextHandler(&bytes.Buffer{}, &slog.HandlerOptions{Level: slog.LevelError})
 	numbered := event.Event{Number: 9993, Name: "measured", Level: event.LevelDebug}
-	for _, limit := range []int{0, eventlog.DefaultLimit} {
+	for _, limit := range []int{0, eventlog.DefaultLinesPerSecond} {
 		b.Run(strconv.Itoa(limit)+" lines", func(b *testing.B) {
 			writer := eventlog.NewWriter(logr.FromSlogHandler(silent), limit)
 			now := time.Unix(100, 0)
--- a/internal/report/log/buffer.go
+++ b/internal/report/log/buffer.go
@@ -15,24 +15,24 @@
 	batchBytes = 4 << 10
 )
 
-// Buffer writes lines behind the caller's back: a reader that stops reading costs
-// lines, and never blocks. NewBuffer makes one.
-type Buffer struct {
+// AsyncWriter writes lines behind the caller's back: a reader that stops reading costs
+// lines, and never blocks. NewAsyncWriter makes one.
+type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	ended   chan struct{}
 }
 
-// NewBuffer returns a buffer that writes to out until it is closed.
-func NewBuffer(out io.Writer) *Buffer {
-	b := &Buffer{lines: make(chan []byte, bufferLines), ended: make(chan struct{})}
+// NewAsyncWriter returns a buffer that writes to out until it is closed.
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
+	b := &AsyncWriter{lines: make(chan []byte, bufferLines), ended: make(chan struct{})}
 	go b.run(out)
 	return b
 }
 
 // Write implements io.Writer. It takes whole lines, and drops one where the
 // buffer is full.
-func (b *Buffer) Write(line []byte) (int, error) {
+func (b *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- append([]byte(nil), line...):
 	default:
@@ -43,12 +43,12 @@
 
 // Close writes what is left, unless the reader has stopped, and ends the buffer.
 // Nothing may be written after it.
-func (b *Buffer) Close() <-chan struct{} {
+func (b *AsyncWriter) Close() <-chan struct{} {
 	close(b.lines)
 	return b.ended
 }
 
-func (b *Buffer) run(out io.Writer) {
+func (b *AsyncWriter) run(out io.Writer) {
 	defer close(b.ended)
 	for line := range b.lines {
 		batch := line
@@ -68,7 +68,7 @@
 }
 
 // flush writes lines, and tells how many were dropped.
-func (b *Buffer) flush(out io.Writer, batch []byte) {
+func (b *AsyncWriter) flush(out io.Writer, batch []byte) {
 	// Standard output that is closed leaves nobody to tell.
 	_, _ = out.Write(batch)
 	if dropped := b.dropped.Swap(0); dropped > 0 {
@@ -77,7 +77,7 @@
 }
 
 // poll returns a line that waits, and whether there was one.
-func (b *Buffer) poll() ([]byte, bool) {
+func (b *AsyncWriter) poll() ([]byte, bool) {
 	select {
 	case line, open := <-b.lines:
 		return line, open
--- a/internal/report/log/buffer_test.go
+++ b/internal/report/log/buffer_test.go
@@ -22,7 +22,7 @@
 // A reader that has stopped costs lines, and blocks nobody.
 func TestBufferNeverBlocks(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
-	b := NewBuffer(out)
+	b := NewAsyncWriter(out)
 	const written = 3 * bufferLines
 	for range written {
 		if _, err := b.Write([]byte("line\n")); err != nil {
@@ -42,7 +42,7 @@
 
 func TestBufferKeepsOrder(t *testing.T) {
 	var out bytes.Buffer
-	b := NewBuffer(&out)
+	b := NewAsyncWriter(&out)
 	for _, line := range []string{"a\n", "b\n", "c\n"} {
 		if _, err := b.Write([]byte(line)); err != nil {
 			t.Fatal(err)
--- a/internal/report/status/status.go
+++ b/internal/report/status/status.go
@@ -21,16 +21,16 @@
 type Status struct {
 	Instance string `json:"instance"`
 	Zone     string `json:"zone"`
-	// Manifest is the number of the manifest in force; 0 where there is none.
-	Manifest uint64 `json:"manifest"`
-	Digest   string `json:"digest"`
-	Draining bool   `json:"draining"`
-	// Sessions and Requests count what is open now.
-	Sessions int     `json:"sessions"`
-	Requests int     `json:"requests"`
-	Groups   []Group `json:"groups"`
-	Peers    []Peer  `json:"peers"`
-	Ranks    any     `json:"ranks,omitempty"`
+	// ManifestNumber is the number of the manifest in force; 0 where there is none.
+	ManifestNumber uint64 `json:"manifest"`
+	ManifestDigest string `json:"digest"`
+	Draining       bool   `json:"draining"`
+	// OpenSessions and Requests count what is open now.
+	OpenSessions int     `json:"sessions"`
+	OpenRequests int     `json:"requests"`
+	Groups       []Group `json:"groups"`
+	Peers        []Peer  `json:"peers"`
+	Ranks        any     `json:"ranks,omitempty"`
 }
 
 // Group is one group of databases.
@@ -38,49 +38,49 @@
 	Name    string `json:"name"`
 	Term    uint64 `json:"term"`
 	Primary string `json:"primary"`
-	// Proven is the newest position that survives a promotion.
-	Proven string `json:"proven"`
-	// Proof is the age of the proof of the term.
-	Proof time.Duration `json:"proof"`
-	// Proving and Settling count commits that wait for a proof, and those
+	// DurablePosition is the newest position that survives a promotion.
+	DurablePosition string `json:"proven"`
+	// TermConfirmationAge is the age of the proof of the term.
+	TermConfirmationAge time.Duration `json:"proof"`
+	// CommitsAwaitingQuorum and Settling count commits that wait for a proof, and those
 	// whose outcome is being asked for.
-	Proving  int `json:"proving"`
-	Settling int `json:"settling"`
-	// Change names the step of a change of primary conducted here.
-	Change    string     `json:"change"`
-	Evidence  []string   `json:"evidence,omitempty"`
-	Databases []Database `json:"databases"`
+	CommitsAwaitingQuorum int `json:"proving"`
+	InDoubtCommits        int `json:"settling"`
+	// FailoverStep names the step of a change of primary conducted here.
+	FailoverStep string     `json:"change"`
+	Evidence     []string   `json:"evidence,omitempty"`
+	Databases    []Database `json:"databases"`
 }
 
 // Database is one database as the instance last heard of it.
 type Database struct {
-	Name      string         `json:"name"`
-	Zone      string         `json:"zone"`
-	Address   netip.AddrPort `json:"address"`
-	Role      string         `json:"role"`
-	Term      uint64         `json:"term"`
-	Received  string         `json:"received"`
-	Applied   string         `json:"applied"`
-	Streaming bool           `json:"streaming"`
-	Leaving   bool           `json:"leaving"`
-	Reachable bool           `json:"reachable"`
-	// Silent is the time since the last answer.
-	Silent  time.Duration `json:"silent"`
-	Lag     time.Duration `json:"lag"`
-	Latency time.Duration `json:"latency"`
-	// Running counts this instance's requests at the database.
-	Running int `json:"running"`
+	Name             string         `json:"name"`
+	Zone             string         `json:"zone"`
+	Address          netip.AddrPort `json:"address"`
+	Role             string         `json:"role"`
+	Term             uint64         `json:"term"`
+	ReceivedPosition string         `json:"received"`
+	AppliedPosition  string         `json:"applied"`
+	Streaming        bool           `json:"streaming"`
+	Leaving          bool           `json:"leaving"`
+	Reachable        bool           `json:"reachable"`
+	// TimeSinceAnswer is the time since the last answer.
+	TimeSinceAnswer time.Duration `json:"silent"`
+	ReplicationLag  time.Duration `json:"lag"`
+	Latency         time.Duration `json:"latency"`
+	// RunningRequests counts this instance's requests at the database.
+	RunningRequests int `json:"running"`
 }
 
 // Peer is another instance.
 type Peer struct {
-	Instance string         `json:"instance"`
-	Zone     string         `json:"zone"`
-	Address  netip.AddrPort `json:"address"`
-	Alive    bool           `json:"alive"`
-	Leaving  bool           `json:"leaving"`
-	Manifest uint64         `json:"manifest"`
-	Silent   time.Duration  `json:"silent"`
+	Instance           string         `json:"instance"`
+	Zone               string         `json:"zone"`
+	Address            netip.AddrPort `json:"address"`
+	Alive              bool           `json:"alive"`
+	Leaving            bool           `json:"leaving"`
+	ManifestNumber     uint64         `json:"manifest"`
+	TimeSinceHeartbeat time.Duration  `json:"silent"`
 }
 
 // Logbook is a list of changes of primary.
@@ -88,7 +88,7 @@
 	Records []any `json:"records"`
 	// Source tells whether the platform was asked lately; without it the
 	// records are what this instance and its peers know.
-	Asked time.Time `json:"asked"`
+	QueriedAt time.Time `json:"asked"`
 }
 
 // Manifest is the manifest in force.
--- a/internal/report/story/story.go
+++ b/internal/report/story/story.go
@@ -58,9 +58,9 @@
 // Error implements error.
 func (e *NotFoundError) Error() string { return "no log line names " + e.Name }
 
-// Tell reads log lines and writes the story of a request or of a group. Its
+// WriteTimeline reads log lines and writes the story of a request or of a group. Its
 // errors are *NotFoundError and those of reading and writing.
-func Tell(in io.Reader, out io.Writer, name string) error {
+func WriteTimeline(in io.Reader, out io.Writer, name string) error {
 	named, others, err := read(in, name)
 	if err != nil {
 		return err
--- a/internal/report/story/story_test.go
+++ b/internal/report/story/story_test.go
@@ -21,7 +21,7 @@
 				t.Fatal(err)
 			}
 			var out bytes.Buffer
-			if err := Tell(bytes.NewReader(in), &out, asked); err != nil {
+			if err := WriteTimeline(bytes.NewReader(in), &out, asked); err != nil {
 				t.Fatal(err)
 			}
 			path := "testdata/" + name + ".golden"
@@ -43,7 +43,7 @@
 
 func TestTellKnowsNothing(t *testing.T) {
 	var missing *NotFoundError
-	if err := Tell(strings.NewReader("{}\n"), &bytes.Buffer{}, "r9"); !errors.As(err, &missing) {
+	if err := WriteTimeline(strings.NewReader("{}\n"), &bytes.Buffer{}, "r9"); !errors.As(err, &missing) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/standin/command/verb_database.go
+++ b/internal/standin/command/verb_database.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return err
 	}
-	addresses := map[string]string{"listen": db.Address().String(), "admin": db.Admin().String()}
+	addresses := map[string]string{"listen": db.Address().String(), "admin": db.AdminAddress().String()}
 	if err := s.announce(addresses); err != nil {
 		return err
 	}
@@ -43,20 +43,20 @@
 
 func (v *databaseVerb) options() database.Options {
 	return database.Options{
-		Name:        model.DatabaseID(v.Name),
-		Group:       model.GroupID(v.Group),
-		Zone:        model.ZoneID(v.Zone),
-		Listen:      v.Listen,
-		Admin:       v.Admin,
-		Slots:       v.Slots,
-		Connections: v.Connections,
-		Open:        v.Open,
-		Work:        v.Work,
-		Ship:        v.Ship,
-		Lag:         v.Lag,
-		Primary:     v.Primary,
-		Term:        model.Term(v.Term),
-		Source:      v.Source,
-		Password:    v.Password,
+		Name:          model.DatabaseID(v.Name),
+		Group:         model.GroupID(v.Group),
+		Zone:          model.ZoneID(v.Zone),
+		Listen:        v.Listen,
+		AdminListen:   v.Admin,
+		Slots:         v.Slots,
+		Connections:   v.Connections,
+		ConnectDelay:  v.Open,
+		StatementTime: v.Work,
+		ShippingDelay: v.Ship,
+		ApplyLag:      v.Lag,
+		Primary:       v.Primary,
+		Term:          model.Term(v.Term),
+		Source:        v.Source,
+		Password:      v.Password,
 	}
 }
--- a/internal/standin/command/verb_flood.go
+++ b/internal/standin/command/verb_flood.go
@@ -17,11 +17,11 @@
 // Run prints the table.
 func (v *floodVerb) Run(s *streams) error {
 	selection := flood.Selection{
-		Places: []flood.Place{flood.Consortium, flood.Reparto}, Ways: v.Ways, Loads: v.Loads, Seed: v.Seed,
+		Topologies: []flood.Topology{flood.Consortium, flood.Reparto}, Schedulers: v.Ways, Loads: v.Loads, Seed: v.Seed,
 	}
-	for _, part := range flood.Parts {
+	for _, part := range flood.Tables {
 		if part.Name == v.Part {
-			return flood.Write(s.out, part, selection)
+			return flood.WriteTable(s.out, part, selection)
 		}
 	}
 	return nil
@@ -30,8 +30,8 @@
 // floodVars names the parts and ways for the help.
 func floodVars() map[string]string {
 	var parts []string
-	for _, part := range flood.Parts {
+	for _, part := range flood.Tables {
 		parts = append(parts, part.Name)
 	}
-	return map[string]string{"parts": strings.Join(parts, ","), "ways": strings.Join(flood.Ways, ",")}
+	return map[string]string{"parts": strings.Join(parts, ","), "ways": strings.Join(flood.Schedulers, ",")}
 }
--- a/internal/standin/command/verb_load.go
+++ b/internal/standin/command/verb_load.go
@@ -46,22 +46,22 @@
 
 func (v *loadVerb) options() (load.Options, error) {
 	options := load.Options{
-		Addresses:   v.Address,
-		Group:       model.GroupID(v.Group),
-		User:        v.User,
-		Password:    v.Password,
-		Connections: v.Connections,
-		Duration:    time.Duration(v.Seconds * float64(time.Second)),
-		Patience:    v.Patience,
-		Seed:        v.Seed,
-		Closed:      v.Closed,
-		Roam:        v.Roam,
-		Direct:      v.Direct,
-		Simple:      v.Simple,
-		Admins:      v.Admins,
+		Addresses:        v.Address,
+		Group:            model.GroupID(v.Group),
+		User:             v.User,
+		Password:         v.Password,
+		Connections:      v.Connections,
+		Duration:         time.Duration(v.Seconds * float64(time.Second)),
+		StatementTimeout: v.Patience,
+		Seed:             v.Seed,
+		ClosedLoop:       v.Closed,
+		RotateAddresses:  v.Roam,
+		Direct:           v.Direct,
+		SimpleProtocol:   v.Simple,
+		AdminAddresses:   v.Admins,
 	}
 	if v.Check {
-		options.Checkers = v.Checkers
+		options.ConsistencyCheckers = v.Checkers
 	}
 	for _, text := range v.Kinds {
 		kind, err := load.ParseKind(text)
--- a/internal/standin/database/control.go
+++ b/internal/standin/database/control.go
@@ -70,7 +70,7 @@
 	}
 	timeout, cancel := context.WithTimeout(ctx, time.Duration(milliseconds)*time.Millisecond)
 	defer cancel()
-	_, _ = d.Await(timeout, func(state State) bool {
+	_, _ = d.AwaitState(timeout, func(state State) bool {
 		return !state.Received.Less(position) || state.Term > position.Term
 	})
 	return context.Cause(ctx)
--- a/internal/standin/database/database.go
+++ b/internal/standin/database/database.go
@@ -49,17 +49,17 @@
 	Name  model.DatabaseID
 	Group model.GroupID
 	Zone  model.ZoneID
-	// Listen is the address for clients and replicas, Admin that of the HTTP
+	// Listen is the address for clients and replicas, AdminListen that of the HTTP
 	// service; port 0 lets the system choose.
-	Listen, Admin netip.AddrPort
+	Listen, AdminListen netip.AddrPort
 	// Slots is the number of statements that run at once, Connections the
 	// number of clients' connections.
 	Slots, Connections int
-	// Open is the time that a new connection takes, Work that of a statement.
-	Open, Work time.Duration
-	// Ship is the time between a commit and its reception by a replica, Lag
+	// ConnectDelay is the time that a new connection takes, StatementTime that of a statement.
+	ConnectDelay, StatementTime time.Duration
+	// ShippingDelay is the time between a commit and its reception by a replica, ApplyLag
 	// that between reception and visibility to reads.
-	Ship, Lag time.Duration
+	ShippingDelay, ApplyLag time.Duration
 	// Primary makes the database the primary of Term from the start.
 	Primary bool
 	Term    model.Term
@@ -106,7 +106,7 @@
 	if err != nil {
 		return nil, err
 	}
-	adminListener, admin, err := task.Listen(d.options.Admin)
+	adminListener, admin, err := task.Listen(d.options.AdminListen)
 	if err != nil {
 		_ = listener.Close()
 		return nil, err
@@ -125,8 +125,8 @@
 // Address returns the address for clients and replicas.
 func (d *Database) Address() netip.AddrPort { return d.address }
 
-// Admin returns the address of the HTTP service.
-func (d *Database) Admin() netip.AddrPort { return d.admin }
+// AdminAddress returns the address of the HTTP service.
+func (d *Database) AdminAddress() netip.AddrPort { return d.admin }
 
 // -----------------------------------------------------------------------------
 // Connections.
@@ -234,9 +234,9 @@
 	return state, changed
 }
 
-// Await returns the first state that meets a condition on role, term,
+// AwaitState returns the first state that meets a condition on role, term,
 // positions, source or streaming. It fails with the context.
-func (d *Database) Await(ctx context.Context, meets func(state State) bool) (State, error) {
+func (d *Database) AwaitState(ctx context.Context, meets func(state State) bool) (State, error) {
 	for {
 		state, changed := d.observe()
 		if meets(state) {
--- a/internal/standin/database/database_test.go
+++ b/internal/standin/database/database_test.go
@@ -32,7 +32,7 @@
 // start runs a database until the end of the test.
 func start(t *testing.T, options database.Options) *database.Database {
 	t.Helper()
-	options.Listen, options.Admin = loopback, loopback
+	options.Listen, options.AdminListen = loopback, loopback
 	options.Slots = max(options.Slots, 1)
 	if options.Connections == 0 {
 		options.Connections = 20
@@ -90,7 +90,7 @@
 
 func await(t *testing.T, db *database.Database, meets func(s database.State) bool) {
 	t.Helper()
-	if state, err := db.Await(testContext(t), meets); err != nil {
+	if state, err := db.AwaitState(testContext(t), meets); err != nil {
 		t.Fatalf("%v: %+v", err, state)
 	}
 }
--- a/internal/standin/database/execute.go
+++ b/internal/standin/database/execute.go
@@ -134,7 +134,7 @@
 	if err := d.slots.acquire(ctx); err != nil {
 		return err
 	}
-	if !task.Pause(ctx, duration) || !d.faults.awaitThaw(ctx.Done()) {
+	if !task.Sleep(ctx, duration) || !d.faults.awaitThaw(ctx.Done()) {
 		d.slots.release()
 		return context.Cause(ctx)
 	}
--- a/internal/standin/database/fault_err.go
+++ b/internal/standin/database/fault_err.go
@@ -1,10 +1,10 @@
 package database
 
-// FaultErr makes a share of the statements fail with SQLSTATE 58030, spread
+// FaultFailStatements makes a share of the statements fail with SQLSTATE 58030, spread
 // evenly. A statement that fails so has changed nothing.
-type FaultErr struct{ Share float64 }
+type FaultFailStatements struct{ Share float64 }
 
-func (FaultErr) isFault() {}
+func (FaultFailStatements) isFault() {}
 
 var faultErr = faultVariant{
 	name:  "err",
@@ -14,7 +14,7 @@
 
 func parseErr(request FaultRequest) (Fault, error) {
 	if request.Share <= 0 || request.Share > 1 {
-		return nil, &FaultError{Request: request}
+		return nil, &FaultRequestError{Request: request}
 	}
-	return FaultErr{Share: request.Share}, nil
+	return FaultFailStatements{Share: request.Share}, nil
 }
--- a/internal/standin/database/fault_isolate.go
+++ b/internal/standin/database/fault_isolate.go
@@ -14,7 +14,7 @@
 
 func parseIsolate(request FaultRequest) (Fault, error) {
 	if len(request.From) == 0 {
-		return nil, &FaultError{Request: request}
+		return nil, &FaultRequestError{Request: request}
 	}
 	return FaultIsolate{From: request.From}, nil
 }
--- a/internal/standin/database/fault_leave.go
+++ b/internal/standin/database/fault_leave.go
@@ -20,7 +20,7 @@
 	}
 	grace, err := time.ParseDuration(request.Grace)
 	if err != nil || grace < 0 {
-		return nil, &FaultError{Request: request}
+		return nil, &FaultRequestError{Request: request}
 	}
 	return FaultLeave{Grace: grace}, nil
 }
--- a/internal/standin/database/fault_slow.go
+++ b/internal/standin/database/fault_slow.go
@@ -13,7 +13,7 @@
 
 func parseSlow(request FaultRequest) (Fault, error) {
 	if request.Factor <= 0 {
-		return nil, &FaultError{Request: request}
+		return nil, &FaultRequestError{Request: request}
 	}
 	return FaultSlow{Factor: request.Factor}, nil
 }
--- a/internal/standin/database/fault_test.go
+++ b/internal/standin/database/fault_test.go
@@ -94,7 +94,7 @@
 func TestErr(t *testing.T) {
 	db := startPrimary(t)
 	conn := connect(t, db, nil)
-	db.SetFault(database.FaultErr{Share: 0.5})
+	db.SetFault(database.FaultFailStatements{Share: 0.5})
 	var got []string
 	for range 4 {
 		_, err := conn.Exec(testContext(t), "INSERT INTO ledger (entry) VALUES ('e')")
@@ -105,7 +105,7 @@
 }
 
 func TestSlow(t *testing.T) {
-	db := start(t, database.Options{Name: "a", Primary: true, Work: time.Microsecond})
+	db := start(t, database.Options{Name: "a", Primary: true, StatementTime: time.Microsecond})
 	db.SetFault(database.FaultSlow{Factor: 1e10})
 	equal(t, "57014", runAndCancel(t, connect(t, db, nil), "SELECT value FROM kv WHERE key = 'bow'"))
 }
@@ -263,7 +263,7 @@
 		{"GET", "/state", "", 200, `{"name":"a","term":1,"nonce":"","source":"","streaming":false,"leaving":true,"slots":1,"busy":0,"connections":1,"role":"primary","received":"1:2","applied":"1:2"}`},
 	}
 	for _, c := range cases {
-		request, err := http.NewRequestWithContext(testContext(t), c.method, "http://"+db.Admin().String()+c.path, strings.NewReader(c.body))
+		request, err := http.NewRequestWithContext(testContext(t), c.method, "http://"+db.AdminAddress().String()+c.path, strings.NewReader(c.body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -281,7 +281,7 @@
 }
 
 func TestLag(t *testing.T) {
-	group := startGroup(t, func(options *database.Options) { options.Lag = time.Hour })
+	group := startGroup(t, func(options *database.Options) { options.ApplyLag = time.Hour })
 	execute(t, connect(t, group[0], nil), "INSERT INTO ledger (entry) VALUES ('e1')")
 	awaitReceived(t, group[1], position(1, 2))
 	equal(t, model.Position{}, group[1].State().Applied)
--- a/internal/standin/database/faults.go
+++ b/internal/standin/database/faults.go
@@ -44,7 +44,7 @@
 		// The connections themselves are marked.
 	case FaultSlow:
 		f.factor = fault.Factor
-	case FaultErr:
+	case FaultFailStatements:
 		f.share = fault.Share
 	case FaultLeave:
 		f.leaving, f.closes = true, now.Add(fault.Grace)
--- a/internal/standin/database/node.go
+++ b/internal/standin/database/node.go
@@ -42,7 +42,7 @@
 		zone:     options.Zone,
 		log:      newEntryLog(),
 		content:  newContent(),
-		lag:      options.Lag,
+		lag:      options.ApplyLag,
 		retarget: make(chan struct{}),
 		changed:  make(chan struct{}),
 	}
--- a/internal/standin/database/node_test.go
+++ b/internal/standin/database/node_test.go
@@ -124,7 +124,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	for _, text := range Forms() {
+	for _, text := range SupportedStatements() {
 		f.Add(text)
 	}
 	for _, text := range []string{"'", "\"", "$", "$0", "/*", "--", "-1", "BEGIN READ ONLY;;", "SELECT 1;", "SET a = $1"} {
--- a/internal/standin/database/parse_form.go
+++ b/internal/standin/database/parse_form.go
@@ -89,8 +89,8 @@
 	return all
 }
 
-// Forms returns the text of every statement that the stand-in knows.
-func Forms() []string {
+// SupportedStatements returns the text of every statement that the stand-in knows.
+func SupportedStatements() []string {
 	texts := make([]string, 0, len(forms))
 	for _, f := range forms {
 		texts = append(texts, f.text)
--- a/internal/standin/database/session.go
+++ b/internal/standin/database/session.go
@@ -65,7 +65,7 @@
 		return
 	}
 	defer s.database.unregister(s)
-	if !task.Pause(ctx, s.database.options.Open) {
+	if !task.Sleep(ctx, s.database.options.ConnectDelay) {
 		return
 	}
 	if err := s.authenticate(); err != nil {
--- a/internal/standin/database/statement.go
+++ b/internal/standin/database/statement.go
@@ -164,5 +164,5 @@
 	case selectOne, sendNotice, copyStatement:
 		return 0, nil
 	}
-	return d.faults.stretch(d.options.Work), nil
+	return d.faults.stretch(d.options.StatementTime), nil
 }
--- a/internal/standin/database/stream.go
+++ b/internal/standin/database/stream.go
@@ -67,7 +67,7 @@
 			return false
 		}
 		if len(entries) > 0 {
-			return task.Pause(ctx, d.options.Ship)
+			return task.Sleep(ctx, d.options.ShippingDelay)
 		}
 		select {
 		case <-changed:
@@ -96,7 +96,7 @@
 		}
 		d.pull(ctx, target, retarget)
 		d.node.endStream(retarget)
-		task.Pause(ctx, followRetry)
+		task.Sleep(ctx, followRetry)
 	}
 	return nil
 }
--- a/internal/standin/database/transaction.go
+++ b/internal/standin/database/transaction.go
@@ -103,7 +103,7 @@
 	if err := d.slots.acquire(ctx); err != nil {
 		return err
 	}
-	if !task.Pause(ctx, d.faults.stretch(d.options.Work)) || !d.faults.awaitThaw(ctx.Done()) {
+	if !task.Sleep(ctx, d.faults.stretch(d.options.StatementTime)) || !d.faults.awaitThaw(ctx.Done()) {
 		d.slots.release()
 		return context.Cause(ctx)
 	}
--- a/internal/standin/demo/demo.go
+++ b/internal/standin/demo/demo.go
@@ -87,21 +87,21 @@
 	text, _, _ := strings.Cut(string(example), "[[group]]")
 	d.say("== start one platform, three databases, two instances, and submit examples/consortium")
 	d.Deployment, err = deploy.Start(ctx, deploy.Options{
-		Binaries:  d.binaries,
-		Zones:     []model.ZoneID{"lanier", "savannah", "allatoona"},
-		Groups:    []model.GroupID{group},
-		Instances: 2,
-		Manifest:  text,
+		Binaries:     d.binaries,
+		Zones:        []model.ZoneID{"lanier", "savannah", "allatoona"},
+		Groups:       []model.GroupID{group},
+		Instances:    2,
+		BaseManifest: text,
 	})
 	if err != nil {
 		return err
 	}
-	d.say("   platform    %s", d.Platform)
+	d.say("   platform    %s", d.PlatformAddress)
 	for _, database := range d.Databases {
 		d.say("   %-11s %s in %s", database.Name, database.Address, database.Zone)
 	}
 	for _, in := range d.Instances {
-		d.say("   %-11s %s in %s, operators %s", in.Name, in.Callers, in.Zone, in.Operators)
+		d.say("   %-11s %s in %s, operators %s", in.Name, in.CallerAddress, in.Zone, in.OperatorAddress)
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 	err := d.Stop()
 	if failed || err != nil {
 		for _, process := range d.Processes() {
-			d.say("-- the end of the log of %s:\n%s", process.Name, process.Tail())
+			d.say("-- the end of the log of %s:\n%s", process.Name, process.LogTail())
 		}
 	}
 	return err
--- a/internal/standin/demo/steps.go
+++ b/internal/standin/demo/steps.go
@@ -35,7 +35,7 @@
 		}
 		d.say("   read    sail-4711 = %s", value)
 		if value != "14:03:10" {
-			return &deploy.ProcessError{Name: "read", Why: "the write was not seen: " + strconv.Quote(value)}
+			return &deploy.ProcessError{Name: "read", Reason: "the write was not seen: " + strconv.Quote(value)}
 		}
 	}
 	return nil
@@ -71,7 +71,7 @@
 }
 
 func (d *demo) connect(ctx context.Context, in *deploy.Instance, parameters map[string]string) (*pgx.Conn, error) {
-	place := url.URL{Scheme: "postgres", User: url.User("officer"), Host: in.Callers.String(), Path: "/" + group}
+	place := url.URL{Scheme: "postgres", User: url.User("officer"), Host: in.CallerAddress.String(), Path: "/" + group}
 	config, err := pgx.ParseConfig(place.String())
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -92,7 +92,7 @@
 	shown := []event.Event{event.ReadRouted, event.WriteRouted, event.WriteAcknowledged}
 	found := map[int]bool{}
 	for _, in := range d.Instances {
-		for _, line := range in.Process.Lines() {
+		for _, line := range in.Process.LogLines() {
 			for _, e := range shown {
 				if strings.Contains(line, fmt.Sprintf(" event=%d ", e.Number)) {
 					found[e.Number] = true
@@ -102,13 +102,13 @@
 		}
 	}
 	if !found[event.ReadRouted.Number] || !found[event.WriteRouted.Number] {
-		return &deploy.ProcessError{Name: "logs", Why: "a routing decision has no line"}
+		return &deploy.ProcessError{Name: "logs", Reason: "a routing decision has no line"}
 	}
 	return nil
 }
 
 func (d *demo) showStatus(ctx context.Context) error {
-	out, err := d.Operate(ctx, d.Instances[1], "status")
+	out, err := d.RunOperatorCommand(ctx, d.Instances[1], "status")
 	if err != nil {
 		return err
 	}
--- a/internal/standin/deploy/deploy.go
+++ b/internal/standin/deploy/deploy.go
@@ -50,38 +50,38 @@
 	Groups []model.GroupID
 	// Instances is the number of instances.
 	Instances int
-	// Manifest is the text of the manifest up to its groups, which follow from
+	// BaseManifest is the text of the manifest up to its groups, which follow from
 	// what was started.
-	Manifest string
-	// Database are further flags of each database.
-	Database []string
-	// Log is the log level of the instances; empty for "info".
-	Log string
+	BaseManifest string
+	// DatabaseFlags are further flags of each database.
+	DatabaseFlags []string
+	// LogLevel is the log level of the instances; empty for "info".
+	LogLevel string
 }
 
 // Database is one database.
 type Database struct {
-	Name    model.DatabaseID
-	Group   model.GroupID
-	Zone    model.ZoneID
-	Address netip.AddrPort
-	Admin   netip.AddrPort
-	Process *Process
+	Name         model.DatabaseID
+	Group        model.GroupID
+	Zone         model.ZoneID
+	Address      netip.AddrPort
+	AdminAddress netip.AddrPort
+	Process      *Process
 }
 
 // Instance is one instance of eelgrassfold.
 type Instance struct {
-	Name                      string
-	Zone                      model.ZoneID
-	Callers, Peers, Operators netip.AddrPort
-	Process                   *Process
+	Name                                        string
+	Zone                                        model.ZoneID
+	CallerAddress, PeerAddress, OperatorAddress netip.AddrPort
+	Process                                     *Process
 }
 
 // Deployment holds what was started.
 type Deployment struct {
-	Platform  netip.AddrPort
-	Databases []*Database
-	Instances []*Instance
+	PlatformAddress netip.AddrPort
+	Databases       []*Database
+	Instances       []*Instance
 
 	options Options
 	folder  string
@@ -91,13 +91,13 @@
 // StartError reports a deployment that did not come up.
 type StartError struct {
 	Cause error
-	// Logs holds the end of each process's log, in the order of their start.
-	Logs []string
+	// LogTails holds the end of each process's log, in the order of their start.
+	LogTails []string
 }
 
 // Error implements error.
 func (e *StartError) Error() string {
-	return "start: " + e.Cause.Error() + "\n" + strings.Join(e.Logs, "\n")
+	return "start: " + e.Cause.Error() + "\n" + strings.Join(e.LogTails, "\n")
 }
 
 // Unwrap returns the cause.
@@ -118,7 +118,7 @@
 	for _, step := range steps {
 		if err := step(ctx); err != nil {
 			_ = d.Stop()
-			return nil, &StartError{Cause: err, Logs: d.tails()}
+			return nil, &StartError{Cause: err, LogTails: d.tails()}
 		}
 	}
 	return d, nil
@@ -148,7 +148,7 @@
 func (d *Deployment) tails() []string {
 	tails := make([]string, 0, len(d.started))
 	for _, process := range d.started {
-		tails = append(tails, "-- "+process.Name+"\n"+process.Tail())
+		tails = append(tails, "-- "+process.Name+"\n"+process.LogTail())
 	}
 	return tails
 }
@@ -168,7 +168,7 @@
 	if err != nil {
 		return err
 	}
-	d.Platform, err = netip.ParseAddrPort(addresses["listen"])
+	d.PlatformAddress, err = netip.ParseAddrPort(addresses["listen"])
 	return errors.WithStack(err)
 }
 
@@ -200,7 +200,7 @@
 	} else {
 		args = append(args, "--primary")
 	}
-	process, err := d.start(string(database.Name), "standin", append(args, d.options.Database...)...)
+	process, err := d.start(string(database.Name), "standin", append(args, d.options.DatabaseFlags...)...)
 	if err != nil {
 		return err
 	}
@@ -213,7 +213,7 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	database.Admin, err = netip.ParseAddrPort(addresses["admin"])
+	database.AdminAddress, err = netip.ParseAddrPort(addresses["admin"])
 	return errors.WithStack(err)
 }
 
@@ -231,7 +231,7 @@
 	for i := range d.options.Instances {
 		in := &Instance{
 			Name: fmt.Sprintf("%s-%d", d.zone(i), i+1), Zone: d.zone(i),
-			Callers: addresses[3*i], Peers: addresses[3*i+1], Operators: addresses[3*i+2],
+			CallerAddress: addresses[3*i], PeerAddress: addresses[3*i+1], OperatorAddress: addresses[3*i+2],
 		}
 		d.Instances = append(d.Instances, in)
 	}
@@ -245,13 +245,13 @@
 
 // StartInstance starts an instance, for the first time or again.
 func (d *Deployment) StartInstance(in *Instance) error {
-	level := d.options.Log
+	level := d.options.LogLevel
 	if level == "" {
 		level = "info"
 	}
 	file := d.path(in.Name + ".toml")
-	text := fmt.Sprintf(settingsText, in.Name, in.Zone, d.Instances[0].Peers, d.Instances[len(d.Instances)-1].Peers,
-		in.Callers, in.Peers, in.Operators, d.Platform, d.path(secretFile), d.path(secretFile), level)
+	text := fmt.Sprintf(settingsText, in.Name, in.Zone, d.Instances[0].PeerAddress, d.Instances[len(d.Instances)-1].PeerAddress,
+		in.CallerAddress, in.PeerAddress, in.OperatorAddress, d.PlatformAddress, d.path(secretFile), d.path(secretFile), level)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return errors.WithStack(err)
 	}
@@ -336,7 +336,7 @@
 // Manifest and readiness.
 
 // ManifestText returns the manifest for what was started.
-func (d *Deployment) ManifestText() string { return d.options.Manifest + d.GroupsText() }
+func (d *Deployment) ManifestText() string { return d.options.BaseManifest + d.GroupsText() }
 
 // GroupsText returns the part of the manifest that declares the groups.
 func (d *Deployment) GroupsText() string {
@@ -357,20 +357,20 @@
 	in := d.Instances[0]
 	return Retry(ctx, func() error {
 		if in.Process.HasEnded() {
-			return backoff.Permanent(&ProcessError{Name: in.Name, Why: "ended early"})
+			return backoff.Permanent(&ProcessError{Name: in.Name, Reason: "ended early"})
 		}
-		_, err := d.Submit(ctx, in, d.ManifestText(), 0)
+		_, err := d.SubmitManifest(ctx, in, d.ManifestText(), 0)
 		return err
 	})
 }
 
-// Submit submits a manifest that was reviewed against a number.
-func (d *Deployment) Submit(ctx context.Context, in *Instance, text string, expected int) (string, error) {
+// SubmitManifest submits a manifest that was reviewed against a number.
+func (d *Deployment) SubmitManifest(ctx context.Context, in *Instance, text string, expected int) (string, error) {
 	file := d.path("manifest.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		return "", errors.WithStack(err)
 	}
-	return d.Operate(ctx, in, "submit", file, "--expected", fmt.Sprint(expected))
+	return d.RunOperatorCommand(ctx, in, "submit", file, "--expected", fmt.Sprint(expected))
 }
 
 // AwaitServing waits until each running instance has a manifest in force and
@@ -386,18 +386,18 @@
 
 func (d *Deployment) isServing(ctx context.Context, in *Instance) error {
 	if in.Process.HasEnded() {
-		return backoff.Permanent(&ProcessError{Name: in.Name, Why: "ended early: " + in.Process.Tail()})
+		return backoff.Permanent(&ProcessError{Name: in.Name, Reason: "ended early: " + in.Process.LogTail()})
 	}
 	report, err := d.Status(ctx, in)
 	if err != nil {
 		return err
 	}
-	missing := &ProcessError{Name: in.Name, Why: "is not serving yet"}
-	if report.Manifest == 0 || len(report.Groups) != len(d.options.Groups) {
+	missing := &ProcessError{Name: in.Name, Reason: "is not serving yet"}
+	if report.ManifestNumber == 0 || len(report.Groups) != len(d.options.Groups) {
 		return missing
 	}
 	for _, group := range report.Groups {
-		if group.Primary == "" || group.Proof == 0 {
+		if group.Primary == "" || group.TermConfirmationAge == 0 {
 			return missing
 		}
 	}
@@ -407,25 +407,25 @@
 // Status returns an instance's report.
 func (d *Deployment) Status(ctx context.Context, in *Instance) (status.Status, error) {
 	var report status.Status
-	out, err := d.Operate(ctx, in, "status", "--json")
+	out, err := d.RunOperatorCommand(ctx, in, "status", "--json")
 	if err != nil {
 		return report, err
 	}
 	return report, errors.WithStack(json.Unmarshal([]byte(out), &report))
 }
 
-// Operate runs an operators' verb against an instance. Its error is a
+// RunOperatorCommand runs an operators' verb against an instance. Its error is a
 // *ProcessError with the exit code.
-func (d *Deployment) Operate(ctx context.Context, in *Instance, args ...string) (string, error) {
-	args = append(args, "--address", in.Operators.String(), "--token", "file:"+d.path(secretFile))
+func (d *Deployment) RunOperatorCommand(ctx context.Context, in *Instance, args ...string) (string, error) {
+	args = append(args, "--address", in.OperatorAddress.String(), "--token", "file:"+d.path(secretFile))
 	command := exec.CommandContext(ctx, filepath.Join(d.options.Binaries, "eelgrassfold"), args...)
 	var failures bytes.Buffer
 	command.Stderr = &failures
 	out, err := command.Output()
 	if err != nil {
 		return "", &ProcessError{
-			Name: "eelgrassfold " + args[0], Why: strings.TrimSpace(failures.String()),
-			Exit: command.ProcessState.ExitCode(),
+			Name: "eelgrassfold " + args[0], Reason: strings.TrimSpace(failures.String()),
+			ExitCode: command.ProcessState.ExitCode(),
 		}
 	}
 	return strings.TrimRight(string(out), "\n"), nil
--- a/internal/standin/deploy/manifest.go
+++ b/internal/standin/deploy/manifest.go
@@ -1,10 +1,10 @@
 package deploy
 
-// Manifest is the text of a manifest up to its groups, with slots and
+// BaseManifest is the text of a manifest up to its groups, with slots and
 // connections as the Consortium has them: three ranks, and the kinds of work
 // post (a write), check (a read without a bound) and pull (a read that bears
 // data of 10 s).
-const Manifest = `service = "handicap-db"
+const BaseManifest = `service = "handicap-db"
 [limits]
 slots = 3
 connections = 20
--- a/internal/standin/deploy/process.go
+++ b/internal/standin/deploy/process.go
@@ -26,14 +26,14 @@
 
 // ProcessError reports a process that did not do what it should.
 type ProcessError struct {
-	Name string
-	Why  string
-	// Exit is the exit code of a verb that ran to its end and failed.
-	Exit int
+	Name   string
+	Reason string
+	// ExitCode is the exit code of a verb that ran to its end and failed.
+	ExitCode int
 }
 
 // Error implements error.
-func (e *ProcessError) Error() string { return e.Name + ": " + e.Why }
+func (e *ProcessError) Error() string { return e.Name + ": " + e.Reason }
 
 // Process is one process that a deployment started.
 type Process struct {
@@ -106,9 +106,9 @@
 	case addresses := <-p.ready:
 		return addresses, nil
 	case <-p.ended:
-		return nil, &ProcessError{Name: p.Name, Why: fmt.Sprintf("ended early: %v", p.failure)}
+		return nil, &ProcessError{Name: p.Name, Reason: fmt.Sprintf("ended early: %v", p.failure)}
 	case <-ctx.Done():
-		return nil, &ProcessError{Name: p.Name, Why: "did not become ready"}
+		return nil, &ProcessError{Name: p.Name, Reason: "did not become ready"}
 	}
 }
 
@@ -128,10 +128,10 @@
 	select {
 	case <-p.ended:
 	case <-ctx.Done():
-		return &ProcessError{Name: p.Name, Why: "did not end"}
+		return &ProcessError{Name: p.Name, Reason: "did not end"}
 	}
 	if p.failure != nil {
-		return &ProcessError{Name: p.Name, Why: p.failure.Error()}
+		return &ProcessError{Name: p.Name, Reason: p.failure.Error()}
 	}
 	return nil
 }
@@ -139,29 +139,29 @@
 // Stop asks the process to end, and kills it where it does not.
 func (p *Process) Stop() error {
 	if err := p.command.Process.Signal(syscall.SIGTERM); err != nil {
-		return &ProcessError{Name: p.Name, Why: "ended early"}
+		return &ProcessError{Name: p.Name, Reason: "ended early"}
 	}
 	select {
 	case <-p.ended:
 		if p.failure != nil {
-			return &ProcessError{Name: p.Name, Why: p.failure.Error()}
+			return &ProcessError{Name: p.Name, Reason: p.failure.Error()}
 		}
 		return nil
 	case <-time.After(stopLimit):
 		_ = p.command.Process.Kill()
 		<-p.ended
-		return &ProcessError{Name: p.Name, Why: "did not end after SIGTERM"}
+		return &ProcessError{Name: p.Name, Reason: "did not end after SIGTERM"}
 	}
 }
 
-// Tail returns the last lines of the log.
-func (p *Process) Tail() string {
-	lines := p.Lines()
+// LogTail returns the last lines of the log.
+func (p *Process) LogTail() string {
+	lines := p.LogLines()
 	return strings.Join(lines[max(0, len(lines)-tailLines):], "\n")
 }
 
-// Lines returns what the process has logged.
-func (p *Process) Lines() []string { return p.log.lines() }
+// LogLines returns what the process has logged.
+func (p *Process) LogLines() []string { return p.log.lines() }
 
 // Kill ends the process at once.
 func (p *Process) Kill() {
--- a/internal/standin/deploy/usage.go
+++ b/internal/standin/deploy/usage.go
@@ -18,11 +18,11 @@
 	fieldUser, fieldSystem, fieldResident = 11, 12, 21
 )
 
-// UsageError reports counters of a process that can't be read.
-type UsageError struct{ Text string }
+// UsageParseError reports counters of a process that can't be read.
+type UsageParseError struct{ Text string }
 
 // Error implements error.
-func (e *UsageError) Error() string { return "can't read the counters of a process: " + e.Text }
+func (e *UsageParseError) Error() string { return "can't read the counters of a process: " + e.Text }
 
 // readUsage reads the processor time and resident memory, in bytes, of a
 // process.
@@ -34,13 +34,13 @@
 	_, behind, found := strings.Cut(string(text), ") ")
 	fields := strings.Fields(behind)
 	if !found || len(fields) <= fieldResident {
-		return 0, 0, &UsageError{Text: string(text)}
+		return 0, 0, &UsageParseError{Text: string(text)}
 	}
 	var counts [3]int64
 	for i, field := range []int{fieldUser, fieldSystem, fieldResident} {
 		counts[i], err = strconv.ParseInt(fields[field], 10, 64)
 		if err != nil {
-			return 0, 0, &UsageError{Text: string(text)}
+			return 0, 0, &UsageParseError{Text: string(text)}
 		}
 	}
 	ticks := time.Duration(counts[0] + counts[1])
--- a/internal/standin/drill/counters.go
+++ b/internal/standin/drill/counters.go
@@ -27,7 +27,7 @@
 
 // readCounters reads one map of counters of an instance.
 func readCounters(ctx context.Context, in *deploy.Instance, name string) (map[string]int64, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+in.Operators.String()+"/debug/vars", nil)
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+in.OperatorAddress.String()+"/debug/vars", nil)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
--- a/internal/standin/drill/drill.go
+++ b/internal/standin/drill/drill.go
@@ -99,7 +99,7 @@
 
 // start starts a deployment of one group.
 func start(ctx context.Context, binaries string, instances int, database ...string) (*deploy.Deployment, error) {
-	return startWith(ctx, binaries, deploy.Manifest, instances, database...)
+	return startWith(ctx, binaries, deploy.BaseManifest, instances, database...)
 }
 
 // startWith starts a deployment of one group under a manifest of its own.
@@ -108,7 +108,7 @@
 	defer cancel()
 	return deploy.Start(ctx, deploy.Options{
 		Binaries: binaries, Zones: zones, Groups: []model.GroupID{group}, Instances: instances,
-		Manifest: manifest, Database: database, Log: "info",
+		BaseManifest: manifest, DatabaseFlags: database, LogLevel: "info",
 	})
 }
 
--- a/internal/standin/drill/experiment_capacity.go
+++ b/internal/standin/drill/experiment_capacity.go
@@ -109,8 +109,8 @@
 		names = append(names, model.GroupID(fmt.Sprintf("%s-%d", group, i+1)))
 	}
 	d, err := deploy.Start(starting, deploy.Options{
-		Binaries: binaries, Zones: zones, Groups: names, Instances: instances, Manifest: deploy.Manifest, Log: "warn",
-		Database: []string{"--connections", fmt.Sprint(spareConnections + instances)},
+		Binaries: binaries, Zones: zones, Groups: names, Instances: instances, BaseManifest: deploy.BaseManifest, LogLevel: "warn",
+		DatabaseFlags: []string{"--connections", fmt.Sprint(spareConnections + instances)},
 	})
 	if err != nil {
 		return idleCost{}, err
@@ -140,7 +140,7 @@
 	for i := range count {
 		address := netip.AddrFrom4([4]byte{127, 0, 1, byte(1 + i/ports)})
 		listed = append(listed, platform.Instance{
-			Instance: model.InstanceID(fmt.Sprintf("phantom-%d", i+1)), Zone: zones[i%len(zones)],
+			ID: model.InstanceID(fmt.Sprintf("phantom-%d", i+1)), Zone: zones[i%len(zones)],
 			Peer: netip.AddrPortFrom(address, uint16(firstPort+i%ports)),
 		})
 	}
@@ -148,7 +148,7 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	return send(ctx, http.MethodPut, fmt.Sprintf("http://%s/admin/instances", d.Platform), body)
+	return send(ctx, http.MethodPut, fmt.Sprintf("http://%s/admin/instances", d.PlatformAddress), body)
 }
 
 // -----------------------------------------------------------------------------
--- a/internal/standin/drill/experiment_failover.go
+++ b/internal/standin/drill/experiment_failover.go
@@ -59,18 +59,18 @@
 		if err != nil {
 			return err
 		}
-		gaps = append(gaps, time.Duration(report.Gap*float64(time.Millisecond)))
+		gaps = append(gaps, time.Duration(report.LongestWriteGap*float64(time.Millisecond)))
 		total.Acknowledged += report.Comparison.Acknowledged
 		total.Lost += report.Comparison.Lost
-		total.Doubled += report.Comparison.Doubled
-		total.Ghosts += report.Comparison.Ghosts
+		total.Duplicated += report.Comparison.Duplicated
+		total.UnexpectedlyCommitted += report.Comparison.UnexpectedlyCommitted
 		unknown += report.Kinds["post"].Unknown
 		notRun += report.Kinds["post"].NotRun
 	}
 	slices.Sort(gaps)
 	row(out, "%-8s %5d %8s %8s %8s %6d %8d %7d %6d %8d %6d", fault, len(gaps),
 		round(gaps[len(gaps)/2]), round(gaps[(len(gaps)-1)*99/100]), round(gaps[len(gaps)-1]),
-		total.Acknowledged, unknown, notRun, total.Lost, total.Doubled, total.Ghosts)
+		total.Acknowledged, unknown, notRun, total.Lost, total.Duplicated, total.UnexpectedlyCommitted)
 	return nil
 }
 
@@ -92,7 +92,7 @@
 			{Name: "post", Access: model.AccessWrite, Rate: f.Rate},
 			{Name: "check", Access: model.AccessRead, Rate: f.Rate},
 		},
-		Duration: f.Before + f.After, Patience: 15 * time.Second, Seed: seed, Admins: adminAddresses(d),
+		Duration: f.Before + f.After, StatementTimeout: 15 * time.Second, Seed: seed, AdminAddresses: adminAddresses(d),
 	})
 	if err != nil {
 		return report, err
@@ -110,7 +110,7 @@
 	}
 	for _, in := range d.Instances {
 		name := filepath.Join(f.Logs, in.Name+".log")
-		_ = os.WriteFile(name, []byte(strings.Join(in.Process.Lines(), "\n")), 0o600)
+		_ = os.WriteFile(name, []byte(strings.Join(in.Process.LogLines(), "\n")), 0o600)
 	}
 }
 
@@ -118,7 +118,7 @@
 func callerAddresses(d *deploy.Deployment) []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for _, in := range d.Instances {
-		addresses = append(addresses, in.Callers)
+		addresses = append(addresses, in.CallerAddress)
 	}
 	return addresses
 }
@@ -127,7 +127,7 @@
 func adminAddresses(d *deploy.Deployment) []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for _, database := range d.Databases {
-		addresses = append(addresses, database.Admin)
+		addresses = append(addresses, database.AdminAddress)
 	}
 	return addresses
 }
@@ -154,7 +154,7 @@
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	return send(ctx, http.MethodPost, fmt.Sprintf("http://%s/fault", d.Admin), body)
+	return send(ctx, http.MethodPost, fmt.Sprintf("http://%s/fault", d.AdminAddress), body)
 }
 
 // send sends a request to a stand-in and wants the status 200 or 204.
@@ -169,7 +169,7 @@
 	}
 	_ = answer.Body.Close()
 	if answer.StatusCode >= http.StatusMultipleChoices {
-		return &load.AnswerError{URL: url, Status: answer.StatusCode}
+		return &load.HTTPStatusError{URL: url, Status: answer.StatusCode}
 	}
 	return nil
 }
--- a/internal/standin/drill/experiment_flood.go
+++ b/internal/standin/drill/experiment_flood.go
@@ -99,8 +99,8 @@
 	}
 	options := load.Options{
 		Addresses: callerAddresses(d), Group: group, User: "drill", Connections: f.Clients, Kinds: kinds,
-		Duration: time.Duration(f.Seconds * float64(time.Second)), Patience: 15 * time.Second, Seed: 1,
-		Admins: adminAddresses(d),
+		Duration: time.Duration(f.Seconds * float64(time.Second)), StatementTimeout: 15 * time.Second, Seed: 1,
+		AdminAddresses: adminAddresses(d),
 	}
 	if err := f.warm(ctx, options); err != nil {
 		return err
@@ -113,10 +113,10 @@
 	for _, kind := range floodKinds {
 		r := report.Kinds[kind.name]
 		cells = append(cells, fmt.Sprintf("%s: %5d, %5d, %5.1f%%, %5d, %4.0f and %5.0f ms", kind.name, r.Offered, r.Done,
-			share(r.Target, r.Offered), r.NotRun, r.Latency.P50, r.Latency.P99))
+			share(r.InTarget, r.Offered), r.NotRun, r.Latency.P50, r.Latency.P99))
 	}
 	row(out, "%-6s %5.1f  %s; lost %d, doubled %d, refused but held %d", flood, times, strings.Join(cells, " | "),
-		report.Comparison.Lost, report.Comparison.Doubled, report.Comparison.Ghosts)
+		report.Comparison.Lost, report.Comparison.Duplicated, report.Comparison.UnexpectedlyCommitted)
 	return nil
 }
 
@@ -124,7 +124,7 @@
 // have their connections.
 func (f *Flood) warm(ctx context.Context, options load.Options) error {
 	options.Duration = f.Warm
-	options.Admins = nil
+	options.AdminAddresses = nil
 	options.Kinds = slices.Clone(options.Kinds)
 	for i := range options.Kinds {
 		const rate = 20
@@ -138,11 +138,11 @@
 func (f *Flood) start(ctx context.Context, binaries string, p place) (*deploy.Deployment, error) {
 	ctx, cancel := context.WithTimeout(ctx, startTime)
 	defer cancel()
-	head := strings.Replace(deploy.Manifest, "slots = 3\nconnections = 20",
+	head := strings.Replace(deploy.BaseManifest, "slots = 3\nconnections = 20",
 		fmt.Sprintf("slots = %d\nconnections = %d", p.slots, p.connections), 1)
 	return deploy.Start(ctx, deploy.Options{
 		Binaries: binaries, Zones: p.zones, Groups: []model.GroupID{group}, Instances: f.Instances,
-		Manifest: head, Log: "warn", Database: []string{
+		BaseManifest: head, LogLevel: "warn", DatabaseFlags: []string{
 			"--slots", fmt.Sprint(p.slots), "--connections", fmt.Sprint(p.connections), "--work", f.Work.String(),
 		},
 	})
--- a/internal/standin/drill/experiment_idle.go
+++ b/internal/standin/drill/experiment_idle.go
@@ -63,7 +63,7 @@
 
 // connectIdle opens a connection and runs one read on it.
 func connectIdle(ctx context.Context, d *deploy.Deployment) (*pgx.Conn, error) {
-	url := "postgres://drill@" + d.Instances[0].Callers.String() + "/" + string(group)
+	url := "postgres://drill@" + d.Instances[0].CallerAddress.String() + "/" + string(group)
 	conn, err := pgx.Connect(ctx, url)
 	if err != nil {
 		return nil, errors.WithStack(err)
--- a/internal/standin/drill/experiment_manifest.go
+++ b/internal/standin/drill/experiment_manifest.go
@@ -59,7 +59,7 @@
 		return 0, err
 	}
 	text := fmt.Sprintf("# change %d\n%s", number, d.ManifestText())
-	if _, err := d.Submit(ctx, d.Instances[number%len(d.Instances)], text, number); err != nil {
+	if _, err := d.SubmitManifest(ctx, d.Instances[number%len(d.Instances)], text, number); err != nil {
 		return 0, err
 	}
 	accepted := time.Now()
@@ -70,8 +70,8 @@
 	for _, in := range d.Instances {
 		err := deploy.Retry(ctx, func() error {
 			report, err := d.Status(ctx, in)
-			if err == nil && report.Manifest < want {
-				err = &deploy.ProcessError{Name: in.Name, Why: "has an older manifest"}
+			if err == nil && report.ManifestNumber < want {
+				err = &deploy.ProcessError{Name: in.Name, Reason: "has an older manifest"}
 			}
 			return err
 		})
@@ -84,5 +84,5 @@
 
 // setPlatform lets a fault happen at the platform.
 func setPlatform(ctx context.Context, d *deploy.Deployment, fault string) error {
-	return send(ctx, http.MethodPost, fmt.Sprintf("http://%s/admin/fault", d.Platform), []byte(fault))
+	return send(ctx, http.MethodPost, fmt.Sprintf("http://%s/admin/fault", d.PlatformAddress), []byte(fault))
 }
--- a/internal/standin/drill/experiment_overhead.go
+++ b/internal/standin/drill/experiment_overhead.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	through, err := o.measure(ctx, d.Instances[0].Callers, connections, false)
+	through, err := o.measure(ctx, d.Instances[0].CallerAddress, connections, false)
 	if err != nil {
 		return err
 	}
@@ -72,9 +72,9 @@
 // measure reads in a closed loop.
 func (o *Overhead) measure(ctx context.Context, to netip.AddrPort, connections int, direct bool) (load.Report, error) {
 	return load.Run(ctx, load.Options{
-		Addresses: []netip.AddrPort{to}, Group: group, User: "drill", Connections: connections, Closed: true, Direct: direct,
+		Addresses: []netip.AddrPort{to}, Group: group, User: "drill", Connections: connections, ClosedLoop: true, Direct: direct,
 		Kinds:    []load.Kind{{Name: "check", Access: model.AccessRead, Rate: 1}},
-		Duration: time.Duration(o.Seconds * float64(time.Second)), Patience: 15 * time.Second, Seed: 1,
+		Duration: time.Duration(o.Seconds * float64(time.Second)), StatementTimeout: 15 * time.Second, Seed: 1,
 	})
 }
 
--- a/internal/standin/drill/experiment_replicas.go
+++ b/internal/standin/drill/experiment_replicas.go
@@ -49,12 +49,12 @@
 	}
 	defer func() { _ = d.Stop() }()
 	report, err := load.Run(ctx, load.Options{
-		Addresses: callerAddresses(d), Group: group, User: "drill", Connections: 24, Roam: true, Checkers: 4,
+		Addresses: callerAddresses(d), Group: group, User: "drill", Connections: 24, RotateAddresses: true, ConsistencyCheckers: 4,
 		Kinds: []load.Kind{
 			{Name: kind, Access: model.AccessRead, Rate: r.Reads},
 			{Name: "post", Access: model.AccessWrite, Rate: r.Writes},
 		},
-		Duration: time.Duration(r.Seconds * float64(time.Second)), Patience: 15 * time.Second, Seed: 1,
+		Duration: time.Duration(r.Seconds * float64(time.Second)), StatementTimeout: 15 * time.Second, Seed: 1,
 	})
 	if err != nil {
 		return err
--- a/internal/standin/flood/arrivals.go
+++ b/internal/standin/flood/arrivals.go
@@ -41,7 +41,7 @@
 	for at.down {
 		at = sim.instances[sim.random.IntN(len(sim.instances))]
 	}
-	if sim.scenario.Skewed && sim.isFlooding() && r == sim.scenario.Rank {
+	if sim.scenario.SingleIngress && sim.isFlooding() && r == sim.scenario.Rank {
 		at = sim.instances[0]
 	}
 	sim.bins[r][sim.now/binTime].offered++
@@ -56,7 +56,7 @@
 		Request: req.id, Group: "group", Rank: r, Caller: model.CallerID(rune('A' + sim.random.IntN(20))), Kind: kind,
 		Arrived: sim.clock(), Deadline: sim.clock().Add(limit),
 	}
-	if _, ok := at.schedule.Offer(sim.clock(), work); !ok {
+	if _, ok := at.schedule.Enqueue(sim.clock(), work); !ok {
 		sim.end(req, outcomeRefused)
 		return
 	}
--- a/internal/standin/flood/baseline.go
+++ b/internal/standin/flood/baseline.go
@@ -30,27 +30,27 @@
 
 func newBaseline(m *manifest.Manifest, instances int) *baseline {
 	return &baseline{
-		slots:   max(1, m.Limits.Slots/instances),
+		slots:   max(1, m.Limits.MaxConcurrentStatements/instances),
 		running: map[model.RequestID]run{},
 		busy:    map[model.DatabaseID]int{},
 	}
 }
 
-// Offer takes everything in.
-func (b *baseline) Offer(_ time.Time, work rank.Work) (rank.Refusal, bool) {
+// Enqueue takes everything in.
+func (b *baseline) Enqueue(_ time.Time, work rank.Work) (rank.Refusal, bool) {
 	b.waiting = append(b.waiting, work)
 	return rank.Refusal{}, true
 }
 
 // Requeue puts a request at the end of the queue.
-func (b *baseline) Requeue(now time.Time, request model.RequestID, ending rank.Ending) {
+func (b *baseline) Requeue(now time.Time, request model.RequestID, ending rank.SlotCompletion) {
 	work := b.running[request].work
 	b.Finish(now, request, ending)
 	b.waiting = append(b.waiting, work)
 }
 
-// Expired drops what has passed its deadline.
-func (b *baseline) Expired(now time.Time) []model.RequestID {
+// TakeExpired drops what has passed its deadline.
+func (b *baseline) TakeExpired(now time.Time) []model.RequestID {
 	if now.Sub(b.swept) < sweepTime {
 		return nil
 	}
@@ -68,10 +68,10 @@
 	return gone
 }
 
-// Grant starts work in the order of arrival. It stops looking once all
+// AssignSlots starts work in the order of arrival. It stops looking once all
 // databases are busy.
-func (b *baseline) Grant(_ time.Time, candidates rank.Candidates) []rank.Grant {
-	var grants []rank.Grant
+func (b *baseline) AssignSlots(_ time.Time, candidates rank.Candidates) []rank.SlotAssignment {
+	var grants []rank.SlotAssignment
 	if b.isFull() {
 		return nil
 	}
@@ -88,7 +88,7 @@
 		}
 		b.busy[database]++
 		b.running[work.Request] = run{work: work, database: database}
-		grants = append(grants, rank.Grant{Request: work.Request, Database: database})
+		grants = append(grants, rank.SlotAssignment{Request: work.Request, Database: database})
 	}
 	b.waiting = kept
 	return grants
@@ -113,13 +113,13 @@
 }
 
 // Finish frees a slot.
-func (b *baseline) Finish(_ time.Time, request model.RequestID, _ rank.Ending) {
+func (b *baseline) Finish(_ time.Time, request model.RequestID, _ rank.SlotCompletion) {
 	b.busy[b.running[request].database]--
 	delete(b.running, request)
 }
 
-// Hear hears nothing.
-func (b *baseline) Hear(time.Time, model.InstanceID, message.PeerMessage) {}
+// HandlePeerMessage hears nothing.
+func (b *baseline) HandlePeerMessage(time.Time, model.InstanceID, message.PeerMessage) {}
 
-// Messages says nothing.
-func (b *baseline) Messages(time.Time) []message.SendPeer { return nil }
+// TakeMessages says nothing.
+func (b *baseline) TakeMessages(time.Time) []message.SendPeer { return nil }
--- a/internal/standin/flood/databases.go
+++ b/internal/standin/flood/databases.go
@@ -14,7 +14,7 @@
 
 // receive lets a request run, or wait in line for a slot.
 func (sim *simulation) receive(d *database, j job) {
-	if d.busy >= sim.scenario.Place.Slots {
+	if d.busy >= sim.scenario.Topology.Slots {
 		d.line = append(d.line, j)
 		return
 	}
@@ -51,7 +51,7 @@
 		return
 	}
 	j.req.tries++
-	ending := rank.Ending{Elapsed: sim.now - j.req.sent, Failed: failed}
+	ending := rank.SlotCompletion{Elapsed: sim.now - j.req.sent, Failed: failed}
 	if sim.now >= sim.scenario.countedFrom() && sim.now < floodEnd {
 		sim.held[j.req.rank] += sim.now - j.req.sent
 	}
@@ -73,5 +73,5 @@
 // mayRetry asks the instance's retry budget; the baseline has none.
 func (sim *simulation) mayRetry(i *instance) bool {
 	s, ok := i.schedule.(*rank.Scheduler)
-	return !ok || s.AllowRetry(sim.clock(), "group")
+	return !ok || s.TakeRetry(sim.clock(), "group")
 }
--- a/internal/standin/flood/figures.go
+++ b/internal/standin/flood/figures.go
@@ -19,7 +19,7 @@
 // end counts what became of a request.
 func (sim *simulation) end(req *request, what outcome) {
 	latency := sim.now - req.arrived
-	inside := what == outcomeServed && latency <= sim.manifest.Ranks[req.rank].Target
+	inside := what == outcomeServed && latency <= sim.manifest.Ranks[req.rank].LatencyTarget
 	if inside {
 		sim.bins[req.rank][req.arrived/binTime].inside++
 	}
@@ -29,7 +29,7 @@
 	r := &sim.result.Ranks[req.rank]
 	switch {
 	case inside:
-		r.Inside++
+		r.InTarget++
 	case what == outcomeServed:
 		r.Late++
 	case what == outcomeRefused:
@@ -47,8 +47,8 @@
 	from := sim.scenario.countedFrom()
 	span := floodEnd - from
 	first, last := int(from/binTime), int(floodEnd/binTime)
-	sim.result.UsefulBy = make([]float64, len(loads))
-	sim.result.OfferedBy = make([]float64, len(loads))
+	sim.result.GoodputByRank = make([]float64, len(loads))
+	sim.result.OfferedByRank = make([]float64, len(loads))
 	worth := 0.0
 	for r := range loads {
 		result := &sim.result.Ranks[r]
@@ -56,17 +56,17 @@
 			result.Offered += b.offered
 		}
 		slot := loads[r].mean.Seconds() / (sim.scenario.capacity() * span.Seconds())
-		sim.result.UsefulBy[r] = float64(result.Inside) * slot
-		sim.result.OfferedBy[r] = float64(result.Offered) * slot
-		sim.result.Useful += sim.result.UsefulBy[r]
-		worth += float64(result.Inside) * sim.manifest.Ranks[r].Worth
-		result.Worst = percentile(sim.worst[r], 0.99)
+		sim.result.GoodputByRank[r] = float64(result.InTarget) * slot
+		sim.result.OfferedByRank[r] = float64(result.Offered) * slot
+		sim.result.Goodput += sim.result.GoodputByRank[r]
+		worth += float64(result.InTarget) * sim.manifest.Ranks[r].Value
+		result.P99 = percentile(sim.worst[r], 0.99)
 	}
-	sim.result.HeldBy = shares(sim.held)
+	sim.result.SlotShareByRank = shares(sim.held)
 	sim.result.Worth = worth / sim.best()
 	sim.result.Recovery = sim.recovery()
-	sim.result.Messages = float64(sim.messages) / runEnd.Seconds() / float64(len(sim.instances))
-	sim.result.Bytes = float64(sim.bytes) / runEnd.Seconds() / float64(len(sim.instances))
+	sim.result.MessagesPerSecond = float64(sim.messages) / runEnd.Seconds() / float64(len(sim.instances))
+	sim.result.BytesPerSecond = float64(sim.bytes) / runEnd.Seconds() / float64(len(sim.instances))
 	return sim.result
 }
 
@@ -90,14 +90,14 @@
 	for r := range order {
 		order[r] = r
 	}
-	value := func(r int) float64 { return sim.manifest.Ranks[r].Worth / loads[r].mean.Seconds() }
+	value := func(r int) float64 { return sim.manifest.Ranks[r].Value / loads[r].mean.Seconds() }
 	sort.Slice(order, func(i, j int) bool { return value(order[i]) > value(order[j]) })
 	left, sum := 1.0, 0.0
 	for _, r := range order {
-		part := min(left, sim.result.OfferedBy[r])
+		part := min(left, sim.result.OfferedByRank[r])
 		left -= part
-		if sim.result.OfferedBy[r] > 0 {
-			sum += part / sim.result.OfferedBy[r] * float64(sim.result.Ranks[r].Offered) * sim.manifest.Ranks[r].Worth
+		if sim.result.OfferedByRank[r] > 0 {
+			sum += part / sim.result.OfferedByRank[r] * float64(sim.result.Ranks[r].Offered) * sim.manifest.Ranks[r].Value
 		}
 	}
 	return sum
--- a/internal/standin/flood/flood.go
+++ b/internal/standin/flood/flood.go
@@ -31,8 +31,8 @@
 // -----------------------------------------------------------------------------
 // Sizes.
 
-// Place is the size of a deployment.
-type Place struct {
+// Topology is the size of a deployment.
+type Topology struct {
 	Name        string
 	Zones       int
 	Instances   int
@@ -48,11 +48,11 @@
 
 // The deployments of today.
 var (
-	Consortium = Place{
+	Consortium = Topology{
 		Name: "handicap-db", Zones: 3, Instances: 6, Databases: 3, Slots: 3, Connections: 20,
 		Delay: time.Millisecond,
 	}
-	Reparto = Place{
+	Reparto = Topology{
 		Name: "libro-reparto", Zones: 4, Instances: 7, Databases: 3, Slots: 2, Connections: 30,
 		Delay: 1500 * time.Microsecond,
 	}
@@ -81,22 +81,22 @@
 const baseLoad = 0.5
 
 // Manifest returns the manifest of a deployment.
-func Manifest(place Place) *manifest.Manifest {
+func Manifest(place Topology) *manifest.Manifest {
 	m := &manifest.Manifest{
 		Service: place.Name,
 		Ranks: []manifest.Rank{
-			{Name: "urgent", Target: 150 * time.Millisecond, Worth: 10, Floor: 0.3},
-			{Name: "ordinary", Target: 300 * time.Millisecond, Worth: 3, Floor: 0.2},
-			{Name: "background", Target: 2 * time.Second, Worth: 1, Floor: 0.1},
+			{Name: "urgent", LatencyTarget: 150 * time.Millisecond, Value: 10, MinSlotShare: 0.3},
+			{Name: "ordinary", LatencyTarget: 300 * time.Millisecond, Value: 3, MinSlotShare: 0.2},
+			{Name: "background", LatencyTarget: 2 * time.Second, Value: 1, MinSlotShare: 0.1},
 		},
-		Limits: manifest.Limits{
-			Slots: place.Slots, Connections: place.Connections, Reserve: 2, Open: 12 * time.Millisecond,
+		Limits: manifest.DatabaseLimits{
+			MaxConcurrentStatements: place.Slots, MaxConnections: place.Connections, ReservedConnections: 2, ConnectTime: 12 * time.Millisecond,
 		},
 	}
 	deadlines := []time.Duration{time.Second, 2 * time.Second, 10 * time.Second}
 	for r, declared := range m.Ranks {
 		for _, access := range []model.Access{model.AccessWrite, model.AccessRead} {
-			m.Kinds = append(m.Kinds, manifest.Kind{
+			m.Kinds = append(m.Kinds, manifest.RequestKind{
 				Name: declared.Name + "-" + access.String(), Rank: model.Rank(r), Access: access, Deadline: deadlines[r],
 			})
 		}
@@ -122,37 +122,37 @@
 	Leases = "leases"
 )
 
-// Ways lists the ways to divide slots.
-var Ways = []string{Baseline, Leases}
+// Schedulers lists the ways to divide slots.
+var Schedulers = []string{Baseline, Leases}
 
 // Scenario is one run.
 type Scenario struct {
-	Place Place
-	// Way is one of Ways.
-	Way string
+	Topology Topology
+	// Scheduler is one of Ways.
+	Scheduler string
 	// Rank is the rank that floods.
 	Rank model.Rank
 	// Load is the offered work of all ranks as a part of capacity during the
 	// flood.
 	Load float64
 	Seed uint64
-	// Slow is how many times slower the last database is during the flood;
+	// SlowFactor is how many times slower the last database is during the flood;
 	// below 1 it is as ever.
-	Slow float64
+	SlowFactor float64
 	// SlowPrimary lets the primary be the slow or failing one.
 	SlowPrimary bool
-	// Failing is the part of the requests that the same database answers with
+	// ErrorShare is the part of the requests that the same database answers with
 	// an error at once during the flood.
-	Failing float64
+	ErrorShare float64
 	// FixedLimits turns adaptive limits off.
 	FixedLimits bool
-	// Cut lets no message pass between the instances of the first availability
+	// ZonePartitioned lets no message pass between the instances of the first availability
 	// zone and the others during the flood. The databases are in reach of all.
-	Cut bool
-	// Crash lets the instance that leases the slots crash when the flood begins.
-	Crash bool
-	// Skewed lets all of the flood arrive at one instance.
-	Skewed bool
+	ZonePartitioned bool
+	// ArbiterCrashes lets the instance that leases the slots crash when the flood begins.
+	ArbiterCrashes bool
+	// SingleIngress lets all of the flood arrive at one instance.
+	SingleIngress bool
 }
 
 // Times of a run.
@@ -169,14 +169,14 @@
 // countedFrom returns when arrivals begin to count: after the beginning of the
 // flood, or with it where peers are lost at that moment.
 func (s *Scenario) countedFrom() time.Duration {
-	if s.Cut || s.Crash {
+	if s.ZonePartitioned || s.ArbiterCrashes {
 		return floodStart
 	}
 	return floodStart + settleTime
 }
 
 // capacity returns the slot-time that the databases give in a second.
-func (s *Scenario) capacity() float64 { return float64(s.Place.Databases * s.Place.Slots) }
+func (s *Scenario) capacity() float64 { return float64(s.Topology.Databases * s.Topology.Slots) }
 
 // arrivals returns the requests of a rank in a second.
 func (s *Scenario) arrivals(r model.Rank, flooding bool) float64 {
@@ -192,48 +192,48 @@
 
 // RankResult is what one rank got during the flood.
 type RankResult struct {
-	// Offered, Inside, Late, Refused and Failed count requests that arrived
+	// Offered, InTarget, Late, Refused and Failed count requests that arrived
 	// during the flood: all of them, those answered inside the target, those
 	// answered after it, those refused or expired, those answered with an
 	// error.
-	Offered, Inside, Late, Refused, Failed int
-	// Worst is the latency that 99% of the answers stayed under.
-	Worst time.Duration
+	Offered, InTarget, Late, Refused, Failed int
+	// P99 is the latency that 99% of the answers stayed under.
+	P99 time.Duration
 }
 
-// InsideShare returns the part of the offered requests that were answered inside the
+// InTargetShare returns the part of the offered requests that were answered inside the
 // target.
-func (r *RankResult) InsideShare() float64 {
+func (r *RankResult) InTargetShare() float64 {
 	if r.Offered == 0 {
 		return 1
 	}
-	return float64(r.Inside) / float64(r.Offered)
+	return float64(r.InTarget) / float64(r.Offered)
 }
 
 // Result is what a run gave.
 type Result struct {
 	Scenario Scenario
 	Ranks    []RankResult
-	// Useful is the slot-time of the answers inside their target, as a part
+	// Goodput is the slot-time of the answers inside their target, as a part
 	// of capacity.
-	Useful float64
-	// UsefulBy has the same by rank.
-	UsefulBy []float64
-	// HeldBy is the part of the used slot-time that each rank had, with the way
+	Goodput float64
+	// GoodputByRank has the same by rank.
+	GoodputByRank []float64
+	// SlotShareByRank is the part of the used slot-time that each rank had, with the way
 	// there and back. It is what floors are about.
-	HeldBy []float64
-	// OfferedBy is the offered slot-time by rank, as a part of capacity.
-	OfferedBy []float64
+	SlotShareByRank []float64
+	// OfferedByRank is the offered slot-time by rank, as a part of capacity.
+	OfferedByRank []float64
 	// Worth is the worth of the answers inside their target, as a part of the
 	// best possible for the capacity.
 	Worth float64
 	// Recovery is the time from the end of the flood until at least 99% of
 	// what arrives in any rank is answered inside its target again.
 	Recovery time.Duration
-	// Beyond is the greatest number of requests that were at one database or
+	// MaxExcessRequests is the greatest number of requests that were at one database or
 	// on the way to it, beyond its slots.
-	Beyond int
-	// Messages and Bytes are what one instance sent to its peers in a second,
+	MaxExcessRequests int
+	// MessagesPerSecond and BytesPerSecond are what one instance sent to its peers in a second,
 	// without the frames around it.
-	Messages, Bytes float64
+	MessagesPerSecond, BytesPerSecond float64
 }
--- a/internal/standin/flood/flood_test.go
+++ b/internal/standin/flood/flood_test.go
@@ -9,10 +9,10 @@
 )
 
 // eachPlace runs a test for both deployments at the same time.
-func eachPlace(t *testing.T, test func(t *testing.T, place Place)) {
+func eachPlace(t *testing.T, test func(t *testing.T, place Topology)) {
 	t.Helper()
 	t.Parallel()
-	for _, place := range []Place{Consortium, Reparto} {
+	for _, place := range []Topology{Consortium, Reparto} {
 		t.Run(place.Name, func(t *testing.T) {
 			t.Parallel()
 			test(t, place)
@@ -23,8 +23,8 @@
 func TestSameScenarioSameResult(t *testing.T) {
 	t.Parallel()
 	for _, scenario := range []Scenario{
-		{Place: Reparto, Way: Leases, Rank: 1, Load: 0.5, Seed: 3, Cut: true},
-		{Place: Consortium, Way: Leases, Rank: 2, Load: 0.5, Seed: 3, Failing: 0.5},
+		{Topology: Reparto, Scheduler: Leases, Rank: 1, Load: 0.5, Seed: 3, ZonePartitioned: true},
+		{Topology: Consortium, Scheduler: Leases, Rank: 2, Load: 0.5, Seed: 3, ErrorShare: 0.5},
 	} {
 		if diff := cmp.Diff(Run(scenario), Run(scenario)); diff != "" {
 			t.Error(diff)
@@ -35,17 +35,17 @@
 // TestUrgentWhileLeastUrgentFloods checks that urgent work stays inside its
 // target, and that the flood costs little of what is useful.
 func TestUrgentWhileLeastUrgentFloods(t *testing.T) {
-	eachPlace(t, func(t *testing.T, place Place) {
-		calm := Run(Scenario{Place: place, Way: Leases, Rank: 2, Load: 1, Seed: 1})
-		flooded := Run(Scenario{Place: place, Way: Leases, Rank: 2, Load: 10, Seed: 1})
-		if share := flooded.Ranks[0].InsideShare(); share < 0.99 {
+	eachPlace(t, func(t *testing.T, place Topology) {
+		calm := Run(Scenario{Topology: place, Scheduler: Leases, Rank: 2, Load: 1, Seed: 1})
+		flooded := Run(Scenario{Topology: place, Scheduler: Leases, Rank: 2, Load: 10, Seed: 1})
+		if share := flooded.Ranks[0].InTargetShare(); share < 0.99 {
 			t.Errorf("%s: %.4f of urgent work inside its target", place.Name, share)
 		}
-		if flooded.Useful < 0.9*calm.Useful {
-			t.Errorf("%s: %.3f useful, %.3f at load 1", place.Name, flooded.Useful, calm.Useful)
+		if flooded.Goodput < 0.9*calm.Goodput {
+			t.Errorf("%s: %.3f useful, %.3f at load 1", place.Name, flooded.Goodput, calm.Goodput)
 		}
-		if flooded.Beyond > 2 {
-			t.Errorf("%s: %d requests beyond the slots", place.Name, flooded.Beyond)
+		if flooded.MaxExcessRequests > 2 {
+			t.Errorf("%s: %d requests beyond the slots", place.Name, flooded.MaxExcessRequests)
 		}
 	})
 }
@@ -53,12 +53,12 @@
 // TestFloorsWhileUrgentFloods checks that each other rank keeps its floor,
 // within 5%, or all that it asks for.
 func TestFloorsWhileUrgentFloods(t *testing.T) {
-	eachPlace(t, func(t *testing.T, place Place) {
-		flooded := Run(Scenario{Place: place, Way: Leases, Rank: 0, Load: 10, Seed: 1})
+	eachPlace(t, func(t *testing.T, place Topology) {
+		flooded := Run(Scenario{Topology: place, Scheduler: Leases, Rank: 0, Load: 10, Seed: 1})
 		ranks := Manifest(place).Ranks
 		for r := range model.Rank(len(ranks)) {
-			if held := flooded.HeldBy[r]; held < 0.95*ranks[r].Floor {
-				t.Errorf("%s: %s has %.3f of the slot-time, floor %.2f", place.Name, ranks[r].Name, held, ranks[r].Floor)
+			if held := flooded.SlotShareByRank[r]; held < 0.95*ranks[r].MinSlotShare {
+				t.Errorf("%s: %s has %.3f of the slot-time, floor %.2f", place.Name, ranks[r].Name, held, ranks[r].MinSlotShare)
 			}
 		}
 	})
@@ -67,10 +67,10 @@
 // TestFailingDatabase checks that a database that fails altogether costs the
 // others nothing.
 func TestFailingDatabase(t *testing.T) {
-	eachPlace(t, func(t *testing.T, place Place) {
-		result := Run(Scenario{Place: place, Way: Leases, Rank: 2, Load: 0.5, Seed: 1, Failing: 1})
+	eachPlace(t, func(t *testing.T, place Topology) {
+		result := Run(Scenario{Topology: place, Scheduler: Leases, Rank: 2, Load: 0.5, Seed: 1, ErrorShare: 1})
 		for r := range result.Ranks {
-			if share := result.Ranks[r].InsideShare(); share < 0.99 {
+			if share := result.Ranks[r].InTargetShare(); share < 0.99 {
 				t.Errorf("%s: %.4f of rank %d inside its target", place.Name, share, r)
 			}
 		}
--- a/internal/standin/flood/instances.go
+++ b/internal/standin/flood/instances.go
@@ -22,15 +22,15 @@
 	if i.down {
 		return
 	}
-	for _, id := range i.schedule.Expired(sim.clock()) {
+	for _, id := range i.schedule.TakeExpired(sim.clock()) {
 		sim.end(i.requests[id], outcomeRefused)
 		delete(i.requests, id)
 	}
-	grants := i.schedule.Grant(sim.clock(), func(work rank.Work) []model.DatabaseID { return sim.candidates(i, work) })
+	grants := i.schedule.AssignSlots(sim.clock(), func(work rank.Work) []model.DatabaseID { return sim.candidates(i, work) })
 	for _, grant := range grants {
 		sim.send(i, i.requests[grant.Request], grant.Database)
 	}
-	for _, sent := range i.schedule.Messages(sim.clock()) {
+	for _, sent := range i.schedule.TakeMessages(sim.clock()) {
 		sim.pass(i, sent)
 	}
 }
@@ -59,7 +59,7 @@
 	for _, to := range sim.instances {
 		if to.id == sent.To && !sim.isCut(i, to) {
 			sim.after(sim.delay(i.zone, to.zone), func() {
-				to.schedule.Hear(sim.clock(), i.id, sent.Body)
+				to.schedule.HandlePeerMessage(sim.clock(), i.id, sent.Body)
 				sim.step(to)
 			})
 		}
@@ -74,7 +74,7 @@
 		}
 		d.inUse++
 		req.sent = sim.now
-		sim.result.Beyond = max(sim.result.Beyond, d.inUse-sim.scenario.Place.Slots)
+		sim.result.MaxExcessRequests = max(sim.result.MaxExcessRequests, d.inUse-sim.scenario.Topology.Slots)
 		sim.after(sim.delay(i.zone, d.zone), func() { sim.receive(d, job{from: i, req: req}) })
 	}
 }
--- a/internal/standin/flood/run.go
+++ b/internal/standin/flood/run.go
@@ -16,13 +16,13 @@
 
 // scheduler is what the bench asks of an instance.
 type scheduler interface {
-	Offer(now time.Time, work rank.Work) (rank.Refusal, bool)
-	Requeue(now time.Time, request model.RequestID, ending rank.Ending)
-	Expired(now time.Time) []model.RequestID
-	Grant(now time.Time, candidates rank.Candidates) []rank.Grant
-	Finish(now time.Time, request model.RequestID, ending rank.Ending)
-	Hear(now time.Time, from model.InstanceID, body message.PeerMessage)
-	Messages(now time.Time) []message.SendPeer
+	Enqueue(now time.Time, work rank.Work) (rank.Refusal, bool)
+	Requeue(now time.Time, request model.RequestID, ending rank.SlotCompletion)
+	TakeExpired(now time.Time) []model.RequestID
+	AssignSlots(now time.Time, candidates rank.Candidates) []rank.SlotAssignment
+	Finish(now time.Time, request model.RequestID, ending rank.SlotCompletion)
+	HandlePeerMessage(now time.Time, from model.InstanceID, body message.PeerMessage)
+	TakeMessages(now time.Time) []message.SendPeer
 }
 
 // origin is the beginning of virtual time.
@@ -105,10 +105,10 @@
 	}
 	sim.after(floodStart, func() { sim.breakDatabase() })
 	sim.after(floodEnd, func() { sim.mendDatabase() })
-	if scenario.Crash {
+	if scenario.ArbiterCrashes {
 		sim.after(floodStart, func() { sim.crash() })
 	}
-	if scenario.Cut || scenario.Crash {
+	if scenario.ZonePartitioned || scenario.ArbiterCrashes {
 		sim.after(floodStart+noticeTime, func() { sim.notice() })
 		sim.after(floodEnd+noticeTime, func() { sim.notice() })
 	}
@@ -123,7 +123,7 @@
 func newSimulation(scenario Scenario) *simulation {
 	sim := &simulation{
 		scenario: scenario,
-		manifest: Manifest(scenario.Place),
+		manifest: Manifest(scenario.Topology),
 		random:   rand.New(rand.NewPCG(scenario.Seed, 1)),
 	}
 	sim.result = Result{Scenario: scenario, Ranks: make([]RankResult, len(loads))}
@@ -132,16 +132,16 @@
 	for range loads {
 		sim.bins = append(sim.bins, make([]bin, runEnd/binTime+1))
 	}
-	for i := range scenario.Place.Databases {
-		sim.databases = append(sim.databases, &database{id: databaseName(i), zone: i % scenario.Place.Zones, slow: 1})
+	for i := range scenario.Topology.Databases {
+		sim.databases = append(sim.databases, &database{id: databaseName(i), zone: i % scenario.Topology.Zones, slow: 1})
 	}
 	var ids []model.InstanceID
-	for i := range scenario.Place.Instances {
+	for i := range scenario.Topology.Instances {
 		ids = append(ids, model.InstanceID("instance-"+string(rune('1'+i))))
 	}
 	for i, id := range ids {
 		sim.instances = append(sim.instances, &instance{
-			id: id, zone: i % scenario.Place.Zones, schedule: newScheduler(scenario, id, sim.manifest, ids),
+			id: id, zone: i % scenario.Topology.Zones, schedule: newScheduler(scenario, id, sim.manifest, ids),
 			requests: map[model.RequestID]*request{},
 		})
 	}
@@ -149,7 +149,7 @@
 }
 
 func newScheduler(scenario Scenario, id model.InstanceID, m *manifest.Manifest, all []model.InstanceID) scheduler {
-	if scenario.Way == Baseline {
+	if scenario.Scheduler == Baseline {
 		return newBaseline(m, len(all))
 	}
 	var options []rank.Option
@@ -180,8 +180,8 @@
 }
 
 func (sim *simulation) breakDatabase() {
-	sim.broken().failing = sim.scenario.Failing
-	sim.broken().slow = max(1, sim.scenario.Slow)
+	sim.broken().failing = sim.scenario.ErrorShare
+	sim.broken().slow = max(1, sim.scenario.SlowFactor)
 }
 
 // isCut reports whether no message passes between two instances.
@@ -189,7 +189,7 @@
 	if a.down || b.down {
 		return true
 	}
-	return sim.scenario.Cut && sim.isFlooding() && (a.zone == 0) != (b.zone == 0)
+	return sim.scenario.ZonePartitioned && sim.isFlooding() && (a.zone == 0) != (b.zone == 0)
 }
 
 // noticeTime is how long instances take to notice that peers are gone or back.
@@ -232,5 +232,5 @@
 	if a == b {
 		return nearDelay
 	}
-	return sim.scenario.Place.Delay
+	return sim.scenario.Topology.Delay
 }
--- a/internal/standin/load/arrival.go
+++ b/internal/standin/load/arrival.go
@@ -15,7 +15,7 @@
 // arrivals returns the channel on which the arrivals of a kind come, closed
 // when no more will come, or nil for closed-loop load.
 func (r *run) arrivals(stop context.Context, index int, kind Kind, spawn func(work func())) <-chan time.Time {
-	if r.options.Closed {
+	if r.options.ClosedLoop {
 		return nil
 	}
 	arrivals := make(chan time.Time, queueLimit)
@@ -31,7 +31,7 @@
 	next := time.Now()
 	for {
 		next = next.Add(time.Duration(random.ExpFloat64() / kind.Rate * float64(time.Second)))
-		if !task.Pause(stop, time.Until(next)) {
+		if !task.Sleep(stop, time.Until(next)) {
 			return
 		}
 		select {
--- a/internal/standin/load/check.go
+++ b/internal/standin/load/check.go
@@ -41,7 +41,7 @@
 
 func newChecker(r *run, index int) *checker {
 	options := r.options
-	options.Roam = true
+	options.RotateAddresses = true
 	return &checker{run: r, index: index, session: newSession(options)}
 }
 
@@ -60,7 +60,7 @@
 			c.read(ctx, turn+1)
 		}
 		isNew = !acknowledged
-		task.Pause(stop, checkInterval)
+		task.Sleep(stop, checkInterval)
 	}
 }
 
@@ -100,7 +100,7 @@
 // do sends one statement of the first kind with an access, and returns the
 // values of its rows.
 func (c *checker) do(ctx context.Context, address netip.AddrPort, access model.Access, sql string, args ...any) ([]string, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.run.options.Patience)
+	ctx, cancel := context.WithTimeout(ctx, c.run.options.StatementTimeout)
 	defer cancel()
 	conn, err := c.session.conn(ctx, address)
 	if err != nil {
--- a/internal/standin/load/client.go
+++ b/internal/standin/load/client.go
@@ -78,12 +78,12 @@
 
 // send sends one statement and counts its outcome.
 func (c *client) send(ctx, stop context.Context, arrived time.Time) {
-	ctx, cancel := context.WithTimeout(ctx, c.run.options.Patience)
+	ctx, cancel := context.WithTimeout(ctx, c.run.options.StatementTimeout)
 	defer cancel()
 	conn, err := c.session.conn(ctx, c.address())
 	if err != nil {
 		c.tally.count(outcomeNotRun, classifyConnect(err))
-		task.Pause(stop, reconnectPause)
+		task.Sleep(stop, reconnectPause)
 		return
 	}
 	if c.kind.Access == model.AccessRead {
@@ -110,7 +110,7 @@
 	if c.run.options.Direct && c.kind.Access == model.AccessWrite {
 		return addresses[0]
 	}
-	if c.run.options.Roam {
+	if c.run.options.RotateAddresses {
 		c.turn++
 	}
 	return addresses[c.turn%len(addresses)]
--- a/internal/standin/load/compare.go
+++ b/internal/standin/load/compare.go
@@ -22,29 +22,29 @@
 	Acknowledged int `json:"acknowledged"`
 	// Lost counts those that are not in the ledger.
 	Lost int `json:"lost"`
-	// Doubled counts the entries that stand there more than once.
-	Doubled int `json:"doubled"`
-	// Ghosts counts the entries that stand there although the client was told
+	// Duplicated counts the entries that stand there more than once.
+	Duplicated int `json:"doubled"`
+	// UnexpectedlyCommitted counts the entries that stand there although the client was told
 	// that they were not committed.
-	Ghosts int `json:"ghosts"`
+	UnexpectedlyCommitted int `json:"ghosts"`
 }
 
 // NoPrimaryError reports that no database of a comparison is primary.
-type NoPrimaryError struct{ Admins []netip.AddrPort }
+type NoPrimaryError struct{ Addresses []netip.AddrPort }
 
 // Error implements error.
 func (e *NoPrimaryError) Error() string {
-	return fmt.Sprintf("none of the databases at %v is primary", e.Admins)
+	return fmt.Sprintf("none of the databases at %v is primary", e.Addresses)
 }
 
-// AnswerError reports an HTTP answer other than 200.
-type AnswerError struct {
+// HTTPStatusError reports an HTTP answer other than 200.
+type HTTPStatusError struct {
 	URL    string
 	Status int
 }
 
 // Error implements error.
-func (e *AnswerError) Error() string { return fmt.Sprintf("%s answered %d", e.URL, e.Status) }
+func (e *HTTPStatusError) Error() string { return fmt.Sprintf("%s answered %d", e.URL, e.Status) }
 
 // adminTimeout bounds a question to a database's admin address: one that is
 // frozen never answers.
@@ -52,7 +52,7 @@
 
 // compare reads the ledger of the primary and compares it.
 func (r *run) compare(ctx context.Context) (*Comparison, error) {
-	primary, err := findPrimary(ctx, r.options.Admins)
+	primary, err := findPrimary(ctx, r.options.AdminAddresses)
 	if err != nil {
 		return nil, err
 	}
@@ -89,12 +89,12 @@
 				compared.Lost++
 			}
 		case result != outcomeUnknown && isThere:
-			compared.Ghosts++
+			compared.UnexpectedlyCommitted++
 		}
 	}
 	for _, count := range counts {
 		if count > 1 {
-			compared.Doubled++
+			compared.Duplicated++
 		}
 	}
 	return compared
@@ -118,7 +118,7 @@
 		}
 	}
 	if !found.IsValid() {
-		return found, &NoPrimaryError{Admins: admins}
+		return found, &NoPrimaryError{Addresses: admins}
 	}
 	return found, nil
 }
@@ -137,7 +137,7 @@
 	}
 	defer response.Body.Close() //nolint:errcheck // the body was read
 	if response.StatusCode != http.StatusOK {
-		return &AnswerError{URL: url, Status: response.StatusCode}
+		return &HTTPStatusError{URL: url, Status: response.StatusCode}
 	}
 	return errors.Wrapf(json.NewDecoder(response.Body).Decode(value), "read %s", url)
 }
--- a/internal/standin/load/load.go
+++ b/internal/standin/load/load.go
@@ -45,23 +45,23 @@
 	Connections int
 	// Duration is how long work is offered.
 	Duration time.Duration
-	// Patience bounds the time that one statement may take.
-	Patience time.Duration
-	Seed     uint64
-	// Closed makes each client send a statement as soon as the one before is
+	// StatementTimeout bounds the time that one statement may take.
+	StatementTimeout time.Duration
+	Seed             uint64
+	// ClosedLoop makes each client send a statement as soon as the one before is
 	// answered, whatever the rates.
-	Closed bool
-	// Roam makes each client send its statements to all addresses in turn and
+	ClosedLoop bool
+	// RotateAddresses makes each client send its statements to all addresses in turn and
 	// hand over the session token.
-	Roam bool
+	RotateAddresses bool
 	// Direct sends writes to the first address, which is that of the primary.
 	Direct bool
-	// Simple uses the simple query protocol.
-	Simple bool
-	// Checkers is the number of clients that check read-your-writes.
-	Checkers int
-	// Admins are the databases' admin addresses, for the comparison.
-	Admins []netip.AddrPort
+	// SimpleProtocol uses the simple query protocol.
+	SimpleProtocol bool
+	// ConsistencyCheckers is the number of clients that check read-your-writes.
+	ConsistencyCheckers int
+	// AdminAddresses are the databases' admin addresses, for the comparison.
+	AdminAddresses []netip.AddrPort
 }
 
 // Run offers work until the duration is over, or the context ends, and reports
@@ -81,7 +81,7 @@
 	}
 	r.writes.succeeded(r.stopped)
 	report := r.report(r.stopped.Sub(started))
-	if len(options.Admins) == 0 {
+	if len(options.AdminAddresses) == 0 {
 		return report, nil
 	}
 	comparison, err := r.compare(ctx)
@@ -120,7 +120,7 @@
 			spawn(func() { c.serve(ctx, stop, arrivals) })
 		}
 	}
-	for i := range r.options.Checkers {
+	for i := range r.options.ConsistencyCheckers {
 		c := newChecker(r, i)
 		r.checkers = append(r.checkers, c)
 		spawn(func() { c.serve(ctx, stop) })
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -35,7 +35,7 @@
 func start(t *testing.T, options database.Options) *database.Database {
 	t.Helper()
 	loopback := netip.MustParseAddrPort("127.0.0.1:0")
-	options.Listen, options.Admin = loopback, loopback
+	options.Listen, options.AdminListen = loopback, loopback
 	options.Slots, options.Connections = 3, 50
 	db := database.NewDatabase(options)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -56,11 +56,11 @@
 func newRun(databases ...*database.Database) *run {
 	options := Options{
 		Group: "ratings", User: "load", Kinds: []Kind{post, check}, Connections: 2,
-		Duration: 50 * time.Millisecond, Patience: time.Minute, Seed: 1, Direct: true,
+		Duration: 50 * time.Millisecond, StatementTimeout: time.Minute, Seed: 1, Direct: true,
 	}
 	for _, db := range databases {
 		options.Addresses = append(options.Addresses, db.Address())
-		options.Admins = append(options.Admins, db.Admin())
+		options.AdminAddresses = append(options.AdminAddresses, db.AdminAddress())
 	}
 	return &run{options: options, prefix: "run"}
 }
@@ -132,7 +132,7 @@
 		"run-refused": outcomeNotRun,
 	}
 	ledger := []string{"run-kept", "run-doubled", "run-doubled", "run-ghost", "run-failed", "run-maybe", "other", "other"}
-	equal(t, Comparison{Acknowledged: 3, Lost: 1, Doubled: 1, Ghosts: 2}, compareLedger(told, "run", ledger))
+	equal(t, Comparison{Acknowledged: 3, Lost: 1, Duplicated: 1, UnexpectedlyCommitted: 2}, compareLedger(told, "run", ledger))
 }
 
 // -----------------------------------------------------------------------------
@@ -142,8 +142,8 @@
 	db := start(t, database.Options{Name: "a", Group: "ratings", Primary: true})
 	for _, closed := range []bool{false, true} {
 		options := newRun(db).options
-		options.Closed = closed
-		options.Checkers = 1
+		options.ClosedLoop = closed
+		options.ConsistencyCheckers = 1
 		report, err := Run(t.Context(), options)
 		if err != nil {
 			t.Fatal(err)
@@ -164,7 +164,7 @@
 	c := newClient(r, post, 0)
 	t.Cleanup(c.session.close)
 	c.send(t.Context(), t.Context(), time.Now())
-	db.SetFault(database.FaultErr{Share: 1})
+	db.SetFault(database.FaultFailStatements{Share: 1})
 	c.send(t.Context(), t.Context(), time.Now())
 	db.SetFault(database.FaultNone{})
 	c.send(t.Context(), t.Context(), time.Now())
@@ -176,14 +176,14 @@
 
 func TestCheckerSeesStaleReads(t *testing.T) {
 	a := start(t, database.Options{Name: "a", Group: "ratings", Primary: true})
-	b := start(t, database.Options{Name: "b", Group: "ratings", Source: a.Address(), Lag: time.Hour})
+	b := start(t, database.Options{Name: "b", Group: "ratings", Source: a.Address(), ApplyLag: time.Hour})
 	c := newChecker(newRun(a, b), 0)
 	t.Cleanup(c.session.close)
 	equal(t, true, c.write(t.Context(), 0, true))
 	c.read(t.Context(), 1)
 	equal(t, CheckReport{Checks: 1, Violations: 1}, c.report)
 	b.SetLag(0)
-	if _, err := b.Await(t.Context(), func(s database.State) bool { return s.Applied.Offset == 2 }); err != nil {
+	if _, err := b.AwaitState(t.Context(), func(s database.State) bool { return s.Applied.Offset == 2 }); err != nil {
 		t.Fatal(err)
 	}
 	c.read(t.Context(), 1)
@@ -192,7 +192,7 @@
 
 func TestComments(t *testing.T) {
 	kind := Kind{Name: "post", Deadline: 2 * time.Second}
-	s := newSession(Options{Roam: true})
+	s := newSession(Options{RotateAddresses: true})
 	equal(t, "SELECT 1 /*kind='post',deadline='2s'*/", s.commented("SELECT 1", kind))
 	s.token = model.Token{Group: "ratings", Position: model.Position{Term: 3, Offset: 14}}
 	equal(t, "SELECT 1 /*kind='post',deadline='2s',token='ratings%2F3:14'*/", s.commented("SELECT 1", kind))
--- a/internal/standin/load/report.go
+++ b/internal/standin/load/report.go
@@ -98,11 +98,11 @@
 	Seconds float64 `json:"seconds"`
 	// Rate is the number of statements done a second.
 	Rate float64 `json:"rate"`
-	// Gap is the longest time between successful writes, in milliseconds,
+	// LongestWriteGap is the longest time between successful writes, in milliseconds,
 	// counting from the start and to the end of the offer; zero where nothing
 	// was written. Answers that come after the offer's end do not lengthen it.
-	Gap   float64               `json:"gap"`
-	Kinds map[string]KindReport `json:"kinds"`
+	LongestWriteGap float64               `json:"gap"`
+	Kinds           map[string]KindReport `json:"kinds"`
 	// Check is there where read-your-writes was checked.
 	Check *CheckReport `json:"check,omitempty"`
 	// Comparison is there where the databases' content was compared.
@@ -116,8 +116,8 @@
 	NotRun  int64 `json:"notrun"`
 	Unknown int64 `json:"unknown"`
 	Failed  int64 `json:"failed"`
-	// Target counts the statements done within the target.
-	Target int64 `json:"target"`
+	// InTarget counts the statements done within the target.
+	InTarget int64 `json:"target"`
 	// Causes counts what was not done, by SQLSTATE or other cause.
 	Causes map[string]int64 `json:"causes"`
 	// Rate is the number of statements done a second.
@@ -145,7 +145,7 @@
 		sum.add(c.tally)
 		tallies[c.kind.Name] = sum
 		if len(c.told) > 0 {
-			report.Gap = milliseconds(r.writes.longest)
+			report.LongestWriteGap = milliseconds(r.writes.longest)
 		}
 	}
 	for name, sum := range tallies {
@@ -159,7 +159,7 @@
 func (t *tally) report(elapsed time.Duration) KindReport {
 	return KindReport{
 		Offered: t.Offered, Done: t.Done, NotRun: t.NotRun, Unknown: t.Unknown, Failed: t.Failed,
-		Target: t.InTarget, Causes: t.causes,
+		InTarget: t.InTarget, Causes: t.causes,
 		Rate: float64(t.Done) / elapsed.Seconds(),
 		Latency: Latency{
 			P50: fromMicroseconds(t.latencies.ValueAtQuantile(50)),
--- a/internal/standin/load/session.go
+++ b/internal/standin/load/session.go
@@ -68,13 +68,13 @@
 	if !s.token.Position.IsZero() {
 		config.RuntimeParams[settingToken] = s.token.String()
 	}
-	if s.options.Roam {
+	if s.options.RotateAddresses {
 		config.RuntimeParams[settingRoaming] = "on"
 	}
 	switch {
-	case s.options.Simple:
+	case s.options.SimpleProtocol:
 		config.DefaultQueryExecMode = pgx.QueryExecModeSimpleProtocol
-	case s.options.Roam:
+	case s.options.RotateAddresses:
 		// The comments differ from statement to statement, so preparing them
 		// would be in vain.
 		config.DefaultQueryExecMode = pgx.QueryExecModeExec
@@ -114,7 +114,7 @@
 	if kind.Deadline > 0 {
 		pairs = append(pairs, pair("deadline", kind.Deadline.String()))
 	}
-	if s.options.Roam && !s.token.Position.IsZero() {
+	if s.options.RotateAddresses && !s.token.Position.IsZero() {
 		pairs = append(pairs, pair("token", s.token.String()))
 	}
 	return sql + " /*" + strings.Join(pairs, ",") + "*/"
--- a/internal/standin/platform/fault.go
+++ b/internal/standin/platform/fault.go
@@ -30,24 +30,24 @@
 	faultLose,
 }
 
-// FaultError reports a request for a fault that can't be read.
-type FaultError struct {
+// FaultRequestError reports a request for a fault that can't be read.
+type FaultRequestError struct {
 	Request FaultRequest
 }
 
 // Error implements error.
-func (e *FaultError) Error() string {
+func (e *FaultRequestError) Error() string {
 	return fmt.Sprintf("no fault %q with delay %q", e.Request.Fault, e.Request.Delay)
 }
 
-// ParseFault reads a request for a fault. Its error is a *FaultError.
+// ParseFault reads a request for a fault. Its error is a *FaultRequestError.
 func ParseFault(request FaultRequest) (Fault, error) {
 	for _, variant := range faultVariants {
 		if variant.name == request.Fault {
 			return variant.parse(request)
 		}
 	}
-	return nil, &FaultError{Request: request}
+	return nil, &FaultRequestError{Request: request}
 }
 
 // FaultHelp returns a line of help for each fault.
--- a/internal/standin/platform/fault_lose.go
+++ b/internal/standin/platform/fault_lose.go
@@ -1,13 +1,13 @@
 package platform
 
-// FaultLose does what is asked and then closes the connection without an
+// FaultDropResponse does what is asked and then closes the connection without an
 // answer. With Writes, requests that change nothing are answered.
-type FaultLose struct{ Writes bool }
+type FaultDropResponse struct{ WritesOnly bool }
 
-func (FaultLose) isFault() {}
+func (FaultDropResponse) isFault() {}
 
 var faultLose = faultVariant{
 	name:  "lose",
 	help:  "changes take effect, and connections are closed unanswered; with \"writes\" those of changes only",
-	parse: func(request FaultRequest) (Fault, error) { return FaultLose{Writes: request.Writes}, nil },
+	parse: func(request FaultRequest) (Fault, error) { return FaultDropResponse{WritesOnly: request.Writes}, nil },
 }
--- a/internal/standin/platform/fault_slow.go
+++ b/internal/standin/platform/fault_slow.go
@@ -16,7 +16,7 @@
 func parseSlow(request FaultRequest) (Fault, error) {
 	delay, err := time.ParseDuration(request.Delay)
 	if err != nil || delay < 0 {
-		return nil, &FaultError{Request: request}
+		return nil, &FaultRequestError{Request: request}
 	}
 	return FaultSlow{Delay: delay}, nil
 }
--- a/internal/standin/platform/handler.go
+++ b/internal/standin/platform/handler.go
@@ -53,12 +53,12 @@
 		case FaultOutage:
 			closeUnanswered()
 		case FaultSlow:
-			if !task.Pause(r.Context(), fault.Delay) {
+			if !task.Sleep(r.Context(), fault.Delay) {
 				closeUnanswered()
 			}
 			next.ServeHTTP(w, r)
-		case FaultLose:
-			if fault.Writes && r.Method == http.MethodGet {
+		case FaultDropResponse:
+			if fault.WritesOnly && r.Method == http.MethodGet {
 				next.ServeHTTP(w, r)
 				return
 			}
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -129,8 +129,8 @@
 
 // Instance is one entry of the list of instances.
 type Instance struct {
-	Instance model.InstanceID `json:"instance"`
-	Zone     model.ZoneID     `json:"zone"`
+	ID   model.InstanceID `json:"instance"`
+	Zone model.ZoneID     `json:"zone"`
 	// Peer is the address at which the instance speaks to its peers.
 	Peer netip.AddrPort `json:"peer"`
 	// Leaving says that the instance is about to be taken away.
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -175,7 +175,7 @@
 		}
 		return instances
 	}
-	first := []platform.Instance{{Instance: "i1", Zone: "lanier", Peer: netip.MustParseAddrPort("127.0.0.1:7000")}}
+	first := []platform.Instance{{ID: "i1", Zone: "lanier", Peer: netip.MustParseAddrPort("127.0.0.1:7000")}}
 	body, err := json.Marshal(first)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standin/proof/case_database_test.go
+++ b/internal/standin/proof/case_database_test.go
@@ -60,7 +60,7 @@
 	})
 	s.wantNoCause(report, ioError)
 	s.serves()
-	out, err := s.Operate(s.ctx, s.Instances[0], "logbook")
+	out, err := s.RunOperatorCommand(s.ctx, s.Instances[0], "logbook")
 	s.must(err)
 	if !strings.Contains(out, "reason: primary leaving") {
 		s.Errorf("the logbook does not tell why:\n%s", out)
@@ -74,7 +74,7 @@
 	s.awaitStatus("no work at the leaving database", func(report status.Status) bool {
 		for _, d := range report.Groups[0].Databases {
 			if d.Name == string(leaving.Name) {
-				return d.Leaving && d.Running == 0
+				return d.Leaving && d.RunningRequests == 0
 			}
 		}
 		return false
--- a/internal/standin/proof/case_instance_test.go
+++ b/internal/standin/proof/case_instance_test.go
@@ -54,7 +54,7 @@
 
 func instanceDrained(s *stage) {
 	s.endsCleanly(func() error {
-		if _, err := s.Operate(s.ctx, s.Instances[2], "drain"); err != nil {
+		if _, err := s.RunOperatorCommand(s.ctx, s.Instances[2], "drain"); err != nil {
 			return err
 		}
 		return s.Instances[2].Process.Wait(s.ctx)
--- a/internal/standin/proof/case_operator_test.go
+++ b/internal/standin/proof/case_operator_test.go
@@ -30,14 +30,14 @@
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		s.Error(err)
 	}
-	_, err := s.Operate(s.ctx, in, "submit", file, "--expected", fmt.Sprint(expected))
+	_, err := s.RunOperatorCommand(s.ctx, in, "submit", file, "--expected", fmt.Sprint(expected))
 	return exitOf(err)
 }
 
 func exitOf(err error) int {
 	var failed *deploy.ProcessError
 	if errors.As(err, &failed) {
-		return failed.Exit
+		return failed.ExitCode
 	}
 	return exitDone
 }
@@ -46,7 +46,7 @@
 func (s *stage) awaitInForce(number uint64, digest string) {
 	s.Helper()
 	s.awaitStatus(fmt.Sprintf("manifest %d in force", number), func(report status.Status) bool {
-		return report.Manifest == number && report.Digest == digest
+		return report.ManifestNumber == number && report.ManifestDigest == digest
 	})
 }
 
@@ -147,16 +147,16 @@
 
 // wantChange wants a record, in JSON and in text, to tell of the change and its
 // evidence.
-func (s *stage) wantChange(in *deploy.Instance, record engine.Record, primary *deploy.Database) {
+func (s *stage) wantChange(in *deploy.Instance, record engine.PromotionRecord, primary *deploy.Database) {
 	s.Helper()
 	s.equal("group", group, record.Group)
-	s.equal("primary before", s.Databases[0].Name, record.Before)
+	s.equal("primary before", s.Databases[0].Name, record.PreviousPrimary)
 	s.equal("primary", primary.Name, record.Primary)
 	s.equal("term", s.state(primary).Term, record.Term)
-	if len(record.Evidence) == 0 || len(record.Fenced) < 2 || record.Steward == "" || record.Promoted.IsZero() {
+	if len(record.Evidence) == 0 || len(record.FencedDatabases) < 2 || record.Coordinator == "" || record.PromotedAt.IsZero() {
 		s.Errorf("%s: the record lacks evidence, fences, conductor or time: %+v", in.Name, record)
 	}
-	out, err := s.Operate(s.ctx, in, "logbook")
+	out, err := s.RunOperatorCommand(s.ctx, in, "logbook")
 	s.must(err)
 	for _, wanted := range append([]string{"evidence: ", "reason: ", string(record.Primary)}, record.Evidence...) {
 		if !strings.Contains(out, wanted) {
@@ -166,12 +166,12 @@
 }
 
 // records returns an instance's logbook from its JSON form.
-func (s *stage) records(in *deploy.Instance) []engine.Record {
+func (s *stage) records(in *deploy.Instance) []engine.PromotionRecord {
 	s.Helper()
-	out, err := s.Operate(s.ctx, in, "logbook", "--json")
+	out, err := s.RunOperatorCommand(s.ctx, in, "logbook", "--json")
 	s.must(err)
 	var book struct {
-		Records []engine.Record `json:"records"`
+		Records []engine.PromotionRecord `json:"records"`
 	}
 	s.must(json.Unmarshal([]byte(out), &book))
 	return book.Records
--- a/internal/standin/proof/session_test.go
+++ b/internal/standin/proof/session_test.go
@@ -19,7 +19,7 @@
 }
 
 func (s *stage) dial(in *deploy.Instance, parameters map[string]string) (*pgx.Conn, error) {
-	place := url.URL{Scheme: "postgres", User: url.User("proof"), Host: in.Callers.String(), Path: "/" + string(group)}
+	place := url.URL{Scheme: "postgres", User: url.User("proof"), Host: in.CallerAddress.String(), Path: "/" + string(group)}
 	config, err := pgx.ParseConfig(place.String())
 	if err != nil {
 		return nil, errors.WithStack(err)
--- a/internal/standin/proof/stage_test.go
+++ b/internal/standin/proof/stage_test.go
@@ -46,7 +46,7 @@
 	t.Cleanup(cancel)
 	d, err := deploy.Start(ctx, deploy.Options{
 		Binaries: binaries, Zones: []model.ZoneID{"lanier", "savannah", "allatoona"},
-		Groups: []model.GroupID{group}, Instances: 3, Manifest: deploy.Manifest,
+		Groups: []model.GroupID{group}, Instances: 3, BaseManifest: deploy.BaseManifest,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -65,7 +65,7 @@
 		return
 	}
 	for _, process := range s.Processes() {
-		s.Logf("the end of the log of %s:\n%s", process.Name, process.Tail())
+		s.Logf("the end of the log of %s:\n%s", process.Name, process.LogTail())
 	}
 }
 
@@ -90,7 +90,7 @@
 		if holds() {
 			return nil
 		}
-		return &deploy.ProcessError{Name: what, Why: "does not hold yet"}
+		return &deploy.ProcessError{Name: what, Reason: "does not hold yet"}
 	})
 	if err != nil {
 		s.Fatalf("waiting for %s: %v", what, err)
@@ -125,18 +125,18 @@
 
 func (s *stage) loadOptions() load.Options {
 	options := load.Options{
-		Group: group, User: "proof", Connections: 6, Checkers: 2, Seed: 4711,
+		Group: group, User: "proof", Connections: 6, ConsistencyCheckers: 2, Seed: 4711,
 		Kinds: []load.Kind{
 			{Name: "post", Access: model.AccessWrite, Rate: 100},
 			{Name: "check", Access: model.AccessRead, Rate: 100},
 		},
-		Duration: 3 * time.Second, Patience: 15 * time.Second,
+		Duration: 3 * time.Second, StatementTimeout: 15 * time.Second,
 	}
 	for _, in := range s.Instances {
-		options.Addresses = append(options.Addresses, in.Callers)
+		options.Addresses = append(options.Addresses, in.CallerAddress)
 	}
 	for _, d := range s.Databases {
-		options.Admins = append(options.Admins, d.Admin)
+		options.AdminAddresses = append(options.AdminAddresses, d.AdminAddress)
 	}
 	return options
 }
@@ -168,25 +168,25 @@
 func (s *stage) state(d *deploy.Database) state {
 	s.Helper()
 	var got state
-	s.get(d.Admin, "/state", &got)
+	s.get(d.AdminAddress, "/state", &got)
 	return got
 }
 
 func (s *stage) content(d *deploy.Database) database.Content {
 	s.Helper()
 	var got database.Content
-	s.get(d.Admin, "/content", &got)
+	s.get(d.AdminAddress, "/content", &got)
 	return got
 }
 
 func (s *stage) fail(d *deploy.Database, fault database.FaultRequest) {
 	s.Helper()
-	s.post(d.Admin, "/fault", fault)
+	s.post(d.AdminAddress, "/fault", fault)
 }
 
 func (s *stage) failPlatform(fault string) {
 	s.Helper()
-	s.post(s.Platform, "/admin/fault", platform.FaultRequest{Fault: fault})
+	s.post(s.PlatformAddress, "/admin/fault", platform.FaultRequest{Fault: fault})
 }
 
 // loseWrites lets changes take effect at the platform while their answers are
@@ -194,7 +194,7 @@
 func (s *stage) loseWrites(step func()) {
 	s.Helper()
 	before := s.platformWrites()
-	s.post(s.Platform, "/admin/fault", platform.FaultRequest{Fault: "lose", Writes: true})
+	s.post(s.PlatformAddress, "/admin/fault", platform.FaultRequest{Fault: "lose", Writes: true})
 	step()
 	s.await("a lost answer", func() bool { return s.platformWrites() > before })
 	s.failPlatform("none")
@@ -204,7 +204,7 @@
 func (s *stage) platformWrites() int64 {
 	s.Helper()
 	var stats platform.Stats
-	s.get(s.Platform, "/admin/stats", &stats)
+	s.get(s.PlatformAddress, "/admin/stats", &stats)
 	return stats.Writes
 }
 
@@ -270,7 +270,7 @@
 	mark := fmt.Sprintf(" event=%d ", wanted.Number)
 	s.await("event "+wanted.Name, func() bool {
 		return slices.ContainsFunc(s.Instances, func(in *deploy.Instance) bool {
-			return slices.ContainsFunc(in.Process.Lines(), func(line string) bool { return strings.Contains(line, mark) })
+			return slices.ContainsFunc(in.Process.LogLines(), func(line string) bool { return strings.Contains(line, mark) })
 		})
 	})
 }
--- a/internal/standin/task/task.go
+++ b/internal/standin/task/task.go
@@ -72,9 +72,9 @@
 	return done
 }
 
-// Pause waits for a duration, or less where the context ends. It reports
+// Sleep waits for a duration, or less where the context ends. It reports
 // whether the whole duration has passed.
-func Pause(ctx context.Context, duration time.Duration) bool {
+func Sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
 	}
