--- a/internal/node/fleet/directory_configuration.go
+++ b/internal/node/fleet/directory_configuration.go
@@ -166,7 +166,7 @@
 	return f.directory.configuration.IdleTransactionTimeout
 }
 
-// Version implements session.Router.
+// ConfigurationVersion returns the version of the configuration in force, as session.Router requires.
 func (f *Fleet) ConfigurationVersion() uint64 {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
