--- a/internal/core/placement/belief.go
+++ b/internal/core/placement/belief.go
@@ -7,241 +7,248 @@
 )
 
 const (
-	// latencyWeight is the weight of the newest time in the mean.
+	// latencyWeight is the weight of the newest sample in the moving average.
 	latencyWeight = 0.2
-	// latencyFade is the time in which what was learnt of a database's speed
-	// loses half of its weight, so that one that was slow is tried again.
-	latencyFade = time.Second
-	// unreachablePause is the time for which a database that could not be
-	// reached gets no work; it doubles with each failure up to
-	// unreachableMost.
-	unreachablePause = 150 * time.Millisecond
-	unreachableMost  = time.Second
-	// fullPause is the time for which no connection is opened to a database
-	// that takes no further one: about what a statement holds one for.
-	fullPause = 100 * time.Millisecond
-	// silentAfter is the time without any answer after which a database that
-	// owes one gets no new work. Statements of the slowest kind take less.
-	silentAfter = 500 * time.Millisecond
-	// doubtAfter is the time without an owed answer after which a primary is
-	// asked on a new connection: half of silentAfter, so that its answer is there
-	// before it counts as silent.
-	doubtAfter = 250 * time.Millisecond
-	// heardFor is how long an answer tells that a primary is well, where it is
-	// asked nothing: more than the pause between two questions of a witness.
-	heardFor = 2500 * time.Millisecond
-	// lagShare is the part by which the estimate of a replica's lag falls with
-	// each answer that was fresh enough, and lagFade the time in which it halves
-	// without any, so that a replica that has caught up is tried again.
-	lagShare = 0.02
-	lagFade  = 500 * time.Millisecond
+	// latencyDecayTime is the age at which an average latency counts half, so that a
+	// database that was slow is tried again.
+	latencyDecayTime = time.Second
+	// initialUnreachableBackoff is the time for which an unreachable database gets no
+	// statements after the first failure. It doubles with each further failure up to
+	// maxUnreachableBackoff.
+	initialUnreachableBackoff = 150 * time.Millisecond
+	maxUnreachableBackoff     = time.Second
+	// connectionLimitBackoff is the time for which no connection is opened to a
+	// database that has rejected one for its connection limit: about as long as a
+	// statement holds a connection.
+	connectionLimitBackoff = 100 * time.Millisecond
+	// unresponsiveAfter is the time after which a database with statements in flight
+	// and no answer gets no new statements. Statements of the slowest kind take less.
+	unresponsiveAfter = 500 * time.Millisecond
+	// suspectAfter is the time without an answer after which a primary with
+	// statements in flight is probed on a new connection: half of unresponsiveAfter,
+	// so that the answer arrives before the primary counts as unresponsive.
+	suspectAfter = 250 * time.Millisecond
+	// maxAnswerAge is how long an answer shows that an idle primary is healthy: more
+	// than the interval between two probes by an observer.
+	maxAnswerAge = 2500 * time.Millisecond
+	// lagReduction is the fraction by which the lag estimate of a replica falls with
+	// each answer that was fresh enough. lagDecayTime is the age at which the
+	// estimate is halved, so that a replica that has caught up is tried again even
+	// if nothing was sent to it.
+	lagReduction = 0.02
+	lagDecayTime = 500 * time.Millisecond
 )
 
-// Result is how a statement ended at a database.
+// Result is the result of one statement at a database.
 type Result struct {
-	// Elapsed is the time from sending to the answer.
+	// Elapsed is the time from sending the statement to its answer.
 	Elapsed time.Duration
-	// Position is how far the database's log reached, where it answered.
+	// Position is the end of the database's log, where it answered.
 	Position model.Position
 	Outcome  Outcome
-	// Lag is, with OutcomeBehind, how long ago the position was written that
-	// the database's log lacked.
+	// Lag is the age of the position that the database's log lacked. It is set with
+	// OutcomeBehind only.
 	Lag time.Duration
 }
 
-// Outcome tells what a statement's end says of its database.
+// Outcome classifies a statement's result by what it shows about the database.
 type Outcome int
 
-// The values of Ending.
+// The values of Outcome.
 const (
-	// OutcomeAnswered: it answered.
+	// OutcomeAnswered: the database answered.
 	OutcomeAnswered Outcome = iota
-	// OutcomeWritten: it carried out a write or a commit.
+	// OutcomeWritten: the database executed a write or a commit.
 	OutcomeWritten
-	// OutcomeNotPrimary: it refused as a replica what only a primary does.
+	// OutcomeNotPrimary: the database is a replica and rejected a statement that only a
+	// primary executes.
 	OutcomeNotPrimary
-	// OutcomeBehind: its log lacked a position.
+	// OutcomeBehind: the database's log lacked the minimum position.
 	OutcomeBehind
-	// OutcomeBusy: it had no room for the statement.
+	// OutcomeBusy: the database had no free slot for the statement.
 	OutcomeBusy
-	// OutcomeConnectionLimit: it takes no further connection.
+	// OutcomeConnectionLimit: the database rejected a new connection because of its
+	// connection limit.
 	OutcomeConnectionLimit
 	// OutcomeUnreachable: no connection could be opened.
 	OutcomeUnreachable
-	// OutcomeConnectionLost: a connection broke before the answer. Whether the database
-	// is there, the next connection tells.
+	// OutcomeConnectionLost: the connection broke before the answer. Only the next
+	// connection shows whether the database is reachable.
 	OutcomeConnectionLost
-	// OutcomeNotSent: nothing was sent.
+	// OutcomeNotSent: the statement was not sent.
 	OutcomeNotSent
 )
 
-// belief is a database with what answers have told of it.
-type belief struct {
+// databaseState is a database with its state as observed through its answers.
+type databaseState struct {
 	Database
-	// running counts the statements on their way, leased the connections in
-	// use.
-	running, leased int
-	// latency is the mean time of an answer, learnt when it was last updated.
-	latency time.Duration
-	learnt  time.Time
-	// applied is the furthest that the log was seen to reach; lag estimates
-	// how long it takes a commit to get there.
+	// inFlight counts the statements that await an answer, connectionsInUse the
+	// connections that are reserved.
+	inFlight, connectionsInUse int
+	// latency is the moving average of the time to an answer, updated last at
+	// latencyUpdatedAt.
+	latency          time.Duration
+	latencyUpdatedAt time.Time
+	// applied is the highest log position that was observed. lag is the estimated
+	// time until a commit reaches this database.
 	applied model.Position
 	lag     time.Duration
-	// lagged is when the log was last found too short.
-	lagged time.Time
-	// owed is since when an answer has been outstanding without any other
-	// having come.
-	owed time.Time
-	// blocked and full are the times before which it gets no work, or no
-	// further connection.
-	blocked, full time.Time
-	// fullAt is the number of connections that there were when the database
-	// took no further one.
-	fullAt   int
-	failures int
-	// heard is when it last answered, unreached when the first failure to reach it
-	// since then was, and denied since when it has refused what a primary does.
-	heard, unreached, denied time.Time
+	// behindAt is when the log last lacked a minimum position.
+	behindAt time.Time
+	// unansweredSince is the time since which an answer has been awaited without any
+	// other having arrived; zero if none is awaited.
+	unansweredSince time.Time
+	// blockedUntil is the time before which the database gets no statements.
+	// connectionLimitUntil is the time before which the number of connections does
+	// not rise above observedConnectionLimit.
+	blockedUntil, connectionLimitUntil time.Time
+	// observedConnectionLimit is the number of connections that were in use when the
+	// database rejected another one.
+	observedConnectionLimit int
+	failures                int
+	// lastAnswerAt is the time of the last answer, unreachableSince that of the first
+	// failed attempt to connect after it. notPrimarySince is the time since which the
+	// database has rejected statements that only a primary executes.
+	lastAnswerAt, unreachableSince, notPrimarySince time.Time
 }
 
-// sent notes that a statement goes to the database.
-func (b *belief) sent(now time.Time) {
-	if b.owed.IsZero() {
-		b.owed = now
+// recordSent records that a statement is being sent to the database.
+func (db *databaseState) recordSent(now time.Time) {
+	if db.unansweredSince.IsZero() {
+		db.unansweredSince = now
 	}
 }
 
-// learn takes in how a statement ended.
-func (b *belief) learn(now time.Time, result Result) {
+// recordResult updates the state with the result of a statement.
+func (db *databaseState) recordResult(now time.Time, result Result) {
 	switch result.Outcome {
 	case OutcomeAnswered:
-		b.answered(now)
-		b.measure(now, result.Elapsed)
-		b.lag -= time.Duration(float64(b.lag) * lagShare)
+		db.answered(now)
+		db.recordLatency(now, result.Elapsed)
+		db.lag -= time.Duration(float64(db.lag) * lagReduction)
 	case OutcomeBehind:
-		b.answered(now)
-		b.lag = max(b.lagAt(now), result.Lag) + time.Millisecond
-		b.lagged = now
+		db.answered(now)
+		db.lag = max(db.lagEstimate(now), result.Lag) + time.Millisecond
+		db.behindAt = now
 	case OutcomeBusy:
-		b.answered(now)
-		b.measure(now, max(result.Elapsed, 2*b.latency))
+		db.answered(now)
+		db.recordLatency(now, max(result.Elapsed, 2*db.latency))
 	case OutcomeConnectionLimit:
-		b.full = now.Add(fullPause)
-		b.fullAt = b.leased - 1
+		db.connectionLimitUntil = now.Add(connectionLimitBackoff)
+		db.observedConnectionLimit = db.connectionsInUse - 1
 	case OutcomeUnreachable:
-		b.owed = time.Time{}
-		b.unreachable(now)
+		db.unansweredSince = time.Time{}
+		db.recordUnreachable(now)
 	case OutcomeConnectionLost:
-		b.owed = time.Time{}
+		db.unansweredSince = time.Time{}
 	case OutcomeNotPrimary:
-		b.answered(now)
-		if b.denied.IsZero() {
-			b.denied = now
+		db.answered(now)
+		if db.notPrimarySince.IsZero() {
+			db.notPrimarySince = now
 		}
 	case OutcomeWritten:
-		b.answered(now)
-		b.measure(now, result.Elapsed)
-		b.denied = time.Time{}
+		db.answered(now)
+		db.recordLatency(now, result.Elapsed)
+		db.notPrimarySince = time.Time{}
 	case OutcomeNotSent:
 	}
-	if b.running == 0 {
-		b.owed = time.Time{}
+	if db.inFlight == 0 {
+		db.unansweredSince = time.Time{}
 	}
-	b.applied = b.applied.Max(result.Position)
+	db.applied = db.applied.Max(result.Position)
 }
 
-// unreachable notes that a connection could not be opened or broke.
-func (b *belief) unreachable(now time.Time) {
-	b.failures++
-	if b.unreached.IsZero() {
-		b.unreached = now
+// recordUnreachable records a failed attempt to connect or an unanswered probe.
+func (db *databaseState) recordUnreachable(now time.Time) {
+	db.failures++
+	if db.unreachableSince.IsZero() {
+		db.unreachableSince = now
 	}
-	b.blocked = now.Add(b.pause())
+	db.blockedUntil = now.Add(db.backoff())
 }
 
-// failing returns for how long the database has not done what a primary does,
-// although it was asked to.
-func (b *belief) failing(now time.Time) time.Duration {
+// failureDuration returns for how long the database has been unreachable,
+// unresponsive or not a primary; zero if it is none of these.
+func (db *databaseState) failureDuration(now time.Time) time.Duration {
 	var longest time.Duration
-	for _, since := range []time.Time{b.unreached, b.denied} {
+	for _, since := range []time.Time{db.unreachableSince, db.notPrimarySince} {
 		if !since.IsZero() {
 			longest = max(longest, now.Sub(since))
 		}
 	}
-	if b.isSilent(now) {
-		longest = max(longest, now.Sub(b.owed))
+	if db.isUnresponsive(now) {
+		longest = max(longest, now.Sub(db.unansweredSince))
 	}
 	return longest
 }
 
-// answered notes that the database has answered something.
-func (b *belief) answered(now time.Time) {
-	b.heard = now
-	b.failures = 0
-	b.unreached = time.Time{}
-	b.blocked = time.Time{}
-	b.owed = time.Time{}
-	if b.running > 0 {
-		b.owed = now
+// answered records that the database has answered.
+func (db *databaseState) answered(now time.Time) {
+	db.lastAnswerAt = now
+	db.failures = 0
+	db.unreachableSince = time.Time{}
+	db.blockedUntil = time.Time{}
+	db.unansweredSince = time.Time{}
+	if db.inFlight > 0 {
+		db.unansweredSince = now
 	}
 }
 
-// pauseOf returns the time after which what waits shall be looked at again.
-func (b *belief) pauseOf(result Result) time.Duration {
+// retryDelay returns the time after which reservations are to be assigned again
+// because of result; zero if no retry is needed.
+func (db *databaseState) retryDelay(result Result) time.Duration {
 	switch result.Outcome {
 	case OutcomeUnreachable:
-		return b.pause()
+		return db.backoff()
 	case OutcomeConnectionLimit:
-		return fullPause
+		return connectionLimitBackoff
 	case OutcomeAnswered, OutcomeWritten, OutcomeNotPrimary, OutcomeBehind, OutcomeBusy, OutcomeConnectionLost, OutcomeNotSent:
 	}
 	return 0
 }
 
-// pause returns the time for which the database gets no work after as many
-// failures as it has had.
-func (b *belief) pause() time.Duration {
+// backoff returns the time for which the database gets no statements, by its number
+// of failures since the last answer.
+func (db *databaseState) backoff() time.Duration {
 	const doublings = 4
-	return min(unreachablePause<<min(max(b.failures-1, 0), doublings), unreachableMost)
+	return min(initialUnreachableBackoff<<min(max(db.failures-1, 0), doublings), maxUnreachableBackoff)
 }
 
-// measure takes in the time of an answer.
-func (b *belief) measure(now time.Time, elapsed time.Duration) {
-	if b.latency == 0 {
-		b.latency = elapsed
+// recordLatency updates the average latency.
+func (db *databaseState) recordLatency(now time.Time, elapsed time.Duration) {
+	if db.latency == 0 {
+		db.latency = elapsed
 	} else {
-		b.latency += time.Duration(latencyWeight * float64(elapsed-b.latency))
+		db.latency += time.Duration(latencyWeight * float64(elapsed-db.latency))
 	}
-	b.learnt = now
+	db.latencyUpdatedAt = now
 }
 
-// expected returns the time that an answer should take, by what was learnt and
-// how long ago.
-func (b *belief) expected(now time.Time) time.Duration {
-	age := now.Sub(b.learnt)
-	return time.Duration(float64(b.latency) / (1 + float64(age)/float64(latencyFade)))
+// expectedLatency returns the average latency, lowered according to its age.
+func (db *databaseState) expectedLatency(now time.Time) time.Duration {
+	age := now.Sub(db.latencyUpdatedAt)
+	return time.Duration(float64(db.latency) / (1 + float64(age)/float64(latencyDecayTime)))
 }
 
-// isDoubted reports whether the database owes an answer for so long that it shall
-// be asked on a new connection.
-func (b *belief) isDoubted(now time.Time) bool {
-	return !b.owed.IsZero() && now.Sub(b.owed) > doubtAfter
+// isSuspected reports whether an answer has been outstanding for so long that the
+// database is to be probed on a new connection.
+func (db *databaseState) isSuspected(now time.Time) bool {
+	return !db.unansweredSince.IsZero() && now.Sub(db.unansweredSince) > suspectAfter
 }
 
-// isSilent reports whether the database owes an answer for so long that it gets
-// no new work.
-func (b *belief) isSilent(now time.Time) bool {
-	return !b.owed.IsZero() && now.Sub(b.owed) > silentAfter
+// isUnresponsive reports whether an answer has been outstanding for so long that the
+// database gets no new statements.
+func (db *databaseState) isUnresponsive(now time.Time) bool {
+	return !db.unansweredSince.IsZero() && now.Sub(db.unansweredSince) > unresponsiveAfter
 }
 
-// hasLikely reports whether the log should have reached a position that was
-// written before since.
-func (b *belief) hasLikely(now time.Time, position model.Position, since time.Time) bool {
-	return !b.applied.Less(position) || now.Sub(since) >= b.lagAt(now)
+// hasProbablyReached reports whether the log has reached position, which was written
+// before asOf, or should have by the lag estimate.
+func (db *databaseState) hasProbablyReached(now time.Time, position model.Position, asOf time.Time) bool {
+	return !db.applied.Less(position) || now.Sub(asOf) >= db.lagEstimate(now)
 }
 
-// lagAt returns the estimate of the lag, by how long ago it was made.
-func (b *belief) lagAt(now time.Time) time.Duration {
-	return time.Duration(float64(b.lag) / (1 + float64(now.Sub(b.lagged))/float64(lagFade)))
+// lagEstimate returns the estimated lag, lowered according to the estimate's age.
+func (db *databaseState) lagEstimate(now time.Time) time.Duration {
+	return time.Duration(float64(db.lag) / (1 + float64(now.Sub(db.behindAt))/float64(lagDecayTime)))
 }
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -9,111 +9,116 @@
 )
 
 const (
-	// statementsAhead is the number of statements that one instance may have on
-	// its way to a database, beyond its share of the slots, so that the slots
-	// do not idle during the way there and back.
-	statementsAhead = 1
-	// urgentAhead is the number of further ones for the most urgent rank.
-	urgentAhead = 1
-	// otherZone is added to the expected time of an answer from another
-	// availability zone: half the time of a usual statement, since the bytes
-	// between zones cost as well.
-	otherZone = 12 * time.Millisecond
-	// primaryFactor weighs down the primary for reads that a replica can serve:
-	// its slots are the only ones for writes.
-	primaryFactor = 4
-	// scarceShare is the number of connections that one instance may use where
-	// there are fewer than instances: one beside one that a transaction holds.
-	scarceShare = 2
-	// connectionsKept is the number of connections of a database that are left
-	// to the control questions of all instances.
-	connectionsKept = 1
+	// extraStatements is the number of statements that one instance may have in
+	// flight to a database beyond its share of the slots, so that no slot idles
+	// during the network round trip.
+	extraStatements = 1
+	// extraUrgentStatements is the number of statements that the most urgent rank may
+	// have in flight beyond that.
+	extraUrgentStatements = 1
+	// crossZoneCost is added to the cost of a database in another availability zone:
+	// half the time of a typical statement, since traffic between zones costs money
+	// as well.
+	crossZoneCost = 12 * time.Millisecond
+	// primaryCostFactor multiplies the cost of the primary for reads that a replica
+	// can serve, since only the primary's slots can serve writes.
+	primaryCostFactor = 4
+	// scarceConnectionShare is the number of connections that one instance may use
+	// where there are fewer connections than instances: one in addition to one that
+	// is held by a transaction.
+	scarceConnectionShare = 2
+	// controlConnections is the number of connections of a database that are
+	// reserved for the control requests of all instances.
+	controlConnections = 1
 )
 
-// choose returns a seat for a need, without a belief where no database has room.
-func (s *Scheduler) choose(now time.Time, g *group, need *Requirements, primary lease.Grant, known bool) Reservation {
-	if need.RequiresPrimary {
-		if !known {
+// choose returns a reservation that meets the requirements. Its databaseState is nil
+// if no database is eligible or has capacity. If hasGrant is false, the group has no
+// primary.
+func (s *Scheduler) choose(now time.Time, g *group, requirements *Requirements, grant lease.Grant, hasGrant bool) Reservation {
+	if requirements.RequiresPrimary {
+		if !hasGrant {
 			return Reservation{}
 		}
-		b := s.byID[primary.Primary]
-		if b == nil || b.Group != g.name || !s.hasRoom(now, b, need.Rank) || b.isSilent(now) && b.running > 0 {
+		db := s.byID[grant.Primary]
+		if db == nil || db.Group != g.name || !s.hasCapacity(now, db, requirements.Rank) || db.isUnresponsive(now) && db.inFlight > 0 {
 			return Reservation{}
 		}
-		return Reservation{Database: b.Database, IsPrimary: true, Grant: primary, belief: b}
+		return Reservation{Database: db.Database, IsPrimary: true, Grant: grant, databaseState: db}
 	}
-	after, since, isFresh := need.freshness()
-	best := s.chooseReader(now, g, need, primary, known, after, since, isFresh)
+	minPosition, minPositionAsOf, hasSample := requirements.minReplicaPosition()
+	best := s.chooseReader(now, g, requirements, grant, hasGrant, minPosition, minPositionAsOf, hasSample)
 	if best == nil {
 		return Reservation{}
 	}
 	return Reservation{
-		Database: best.Database, IsPrimary: known && best.ID == primary.Primary, Grant: primary,
-		MinPosition: after, MinPositionAsOf: since, belief: best,
+		Database: best.Database, IsPrimary: hasGrant && best.ID == grant.Primary, Grant: grant,
+		MinPosition: minPosition, MinPositionAsOf: minPositionAsOf, databaseState: best,
 	}
 }
 
-// chooseReader returns the database that should answer a read first, of those
-// that were not tried in vain yet.
+// chooseReader returns the database with the lowest cost for a read, without those
+// that the requirements exclude, or nil if there is none. If hasSample is false,
+// only the primary may serve the read.
 func (s *Scheduler) chooseReader(
-	now time.Time, g *group, need *Requirements, primary lease.Grant, known bool,
-	after model.Position, since time.Time, isFresh bool,
-) *belief {
-	var best *belief
-	var least time.Duration
-	for _, b := range g.databases {
-		isPrimary := known && b.ID == primary.Primary
-		if b.Leaving || b.isSilent(now) || !s.hasRoom(now, b, need.Rank) || slices.Contains(need.ExcludedDatabases, b.ID) {
+	now time.Time, g *group, requirements *Requirements, grant lease.Grant, hasGrant bool,
+	minPosition model.Position, minPositionAsOf time.Time, hasSample bool,
+) *databaseState {
+	var best *databaseState
+	var lowestCost time.Duration
+	for _, db := range g.databases {
+		isPrimary := hasGrant && db.ID == grant.Primary
+		if db.Leaving || db.isUnresponsive(now) || !s.hasCapacity(now, db, requirements.Rank) || slices.Contains(requirements.ExcludedDatabases, db.ID) {
 			continue
 		}
-		if !isPrimary && (!isFresh || !b.hasLikely(now, after, since)) {
+		if !isPrimary && (!hasSample || !db.hasProbablyReached(now, minPosition, minPositionAsOf)) {
 			continue
 		}
-		cost := s.cost(now, b, isPrimary)
-		if best == nil || cost < least {
-			best, least = b, cost
+		cost := s.cost(now, db, isPrimary)
+		if best == nil || cost < lowestCost {
+			best, lowestCost = db, cost
 		}
 	}
 	return best
 }
 
-// cost orders databases for a read.
-func (s *Scheduler) cost(now time.Time, b *belief, isPrimary bool) time.Duration {
-	cost := (b.expected(now) + time.Millisecond) * time.Duration(1+b.running)
+// cost returns the cost of a read at a database; the lowest is preferred.
+func (s *Scheduler) cost(now time.Time, db *databaseState, isPrimary bool) time.Duration {
+	cost := (db.expectedLatency(now) + time.Millisecond) * time.Duration(1+db.inFlight)
 	if isPrimary {
-		cost *= primaryFactor
+		cost *= primaryCostFactor
 	}
-	if b.Zone != s.zone {
-		cost += otherZone
+	if db.Zone != s.zone {
+		cost += crossZoneCost
 	}
 	return cost
 }
 
-// hasRoom reports whether another statement of a rank may go to the database,
-// on another connection.
-func (s *Scheduler) hasRoom(now time.Time, b *belief, rank model.Rank) bool {
-	if now.Before(b.blocked) {
+// hasCapacity reports whether another statement of a rank may be sent to the database
+// on an additional connection.
+func (s *Scheduler) hasCapacity(now time.Time, db *databaseState, rank model.Rank) bool {
+	if now.Before(db.blockedUntil) {
 		return false
 	}
-	if b.leased >= s.connectionShare(b) || now.Before(b.full) && b.leased >= b.fullAt {
+	if db.connectionsInUse >= s.connectionShare(db) || now.Before(db.connectionLimitUntil) && db.connectionsInUse >= db.observedConnectionLimit {
 		return false
 	}
-	limit := (b.Slots+s.instances-1)/s.instances + statementsAhead
-	if b.HasScarceConnections {
-		// One more on its way needs a connection more.
+	limit := (db.Slots+s.instances-1)/s.instances + extraStatements
+	if db.HasScarceConnections {
+		// Each further statement in flight would need a further connection.
 		limit = 1
 	}
 	if rank == 0 {
-		limit += urgentAhead
+		limit += extraUrgentStatements
 	}
-	return b.running < limit
+	return db.inFlight < limit
 }
 
 // connectionShare returns how many connections of a database this instance may
 // use.
-func (s *Scheduler) connectionShare(b *belief) int {
-	if b.HasScarceConnections {
-		return scarceShare
+func (s *Scheduler) connectionShare(db *databaseState) int {
+	if db.HasScarceConnections {
+		return scarceConnectionShare
 	}
-	return max(1, (b.MaxConnections-connectionsKept)/s.instances)
+	return max(1, (db.MaxConnections-controlConnections)/s.instances)
 }
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,26 +1,25 @@
 // Package placement decides which database runs a statement, and which of the
-// statements that wait goes first.
+// waiting statements is sent first.
 //
 // # What flows in and out
 //
-// Databases flow in as the directory knows them, with what answers tell of them:
-// how long they took, how far their logs reach, and when they could not be
-// reached. Needs of sessions flow in; Seats flow out, in the order of rank and
-// then of arrival. A seat is one connection of a database and one statement
-// on its way there.
+// Inputs are the databases of the directory, the results of statements (latency, log
+// position, failures) and the Requirements of sessions. Outputs are Reservations, in
+// the order of rank and then of arrival. A reservation is one connection of a
+// database and one statement in flight to it.
 //
-// No more statements are on their way to a database than limits allow, so that
-// the order of ranks is made here and not in the database's own queue, which
-// knows none.
+// The number of statements in flight to a database is limited, so that statements
+// queue here, ordered by rank, and not in the database's own queue, which does not
+// know ranks.
 //
 // # Usage
 //
 //	scheduler := placement.NewScheduler(zone, leases)
 //	scheduler.SetDatabases(databases, instances)
-//	seat, err := scheduler.Acquire(ctx, need)
+//	reservation, err := scheduler.Acquire(ctx, requirements)
 //	...
-//	scheduler.Finish(seat, result)
-//	scheduler.Leave(seat)
+//	scheduler.FinishStatement(reservation, result)
+//	scheduler.Release(reservation)
 package placement
 
 import (
@@ -36,7 +35,7 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// Database is one database as the directory knows it.
+// Database is one database's entry in the directory.
 type Database struct {
 	ID      model.DatabaseID
 	Group   model.GroupID
@@ -44,136 +43,137 @@
 	Address netip.AddrPort
 	// Slots is the number of statements that it runs at once.
 	Slots int
-	// MaxConnections is the number of connections that it takes from all
-	// instances together.
+	// MaxConnections is the maximum number of connections from all instances
+	// together.
 	MaxConnections int
-	// HasScarceConnections says that there are fewer connections than instances: each holds
-	// one only while it uses it.
+	// HasScarceConnections is true if there are fewer connections than instances: each
+	// instance then holds a connection only while it uses it.
 	HasScarceConnections bool
-	// Leaving says that it takes no new work, unless it is the primary and no
-	// other has taken over yet.
+	// Leaving is true if the database is draining: it gets no new statements, unless it
+	// is the primary and has not been replaced yet.
 	Leaving bool
-	// ClaimsPrimary says that the database itself says it is the primary.
+	// ClaimsPrimary is true if the database reports itself as the primary.
 	ClaimsPrimary bool
-	// Incarnation tells one start of the database from another under the same ID.
+	// Incarnation distinguishes the starts of a database under the same ID.
 	Incarnation int64
 }
 
-// Requirements is what a session wants a seat for.
+// Requirements describes the statement for which a session needs a reservation.
 type Requirements struct {
 	Group     model.GroupID
 	Rank      model.Rank
 	ArrivedAt time.Time
-	// RequiresPrimary says that no replica will do.
+	// RequiresPrimary is true if only the primary may run the statement.
 	RequiresPrimary bool
 	// AsOf and Samples give the position that a replica must have reached: the
-	// lowest that covers all commits acknowledged before AsOf. Without such a
-	// sample only the primary will do.
+	// lowest in Samples that covers all commits acknowledged before AsOf. Without
+	// such a sample only the primary may run the statement.
 	AsOf    time.Time
 	Samples *fresh.PositionSamples
-	// MinPosition is a further position that must have been reached, written before
-	// MinPositionAsOf.
+	// MinPosition is a second position that a replica must have reached. It was
+	// written before MinPositionAsOf.
 	MinPosition     model.Position
 	MinPositionAsOf time.Time
-	// ExcludedDatabases lists databases that have just been tried in vain.
+	// ExcludedDatabases lists databases at which an attempt has just failed.
 	ExcludedDatabases []model.DatabaseID
 }
 
-// Reservation is a place at a database.
+// Reservation is one connection of a database and one statement in flight to it.
 type Reservation struct {
 	Database Database
-	// IsPrimary says that the database was taken as the primary, under Grant.
+	// IsPrimary is true if the database was chosen as the primary under Grant.
 	IsPrimary bool
 	Grant     lease.Grant
 	// MinPosition is the position that the database must have reached, written before
-	// Since. It is zero where only a proof that the database is the primary can
-	// tell that its answer is fresh.
+	// MinPositionAsOf. If it is zero, an answer is fresh only if the database is
+	// confirmed as the primary.
 	MinPosition     model.Position
 	MinPositionAsOf time.Time
-	belief          *belief
+	databaseState   *databaseState
 }
 
-// freshness returns the position that a replica must have reached, the time
-// before which it was written, and whether that is known.
-func (n *Requirements) freshness() (model.Position, time.Time, bool) {
-	if n.Samples == nil {
+// minReplicaPosition returns the position that a replica must have reached, the time
+// before which it was written, and whether both are known.
+func (r *Requirements) minReplicaPosition() (model.Position, time.Time, bool) {
+	if r.Samples == nil {
 		return model.Position{}, time.Time{}, false
 	}
-	sample, found := n.Samples.LowestCovering(n.AsOf)
+	sample, found := r.Samples.LowestCovering(r.AsOf)
 	if !found {
 		return model.Position{}, time.Time{}, false
 	}
-	if sample.Position.Less(n.MinPosition) {
-		return n.MinPosition, n.MinPositionAsOf, true
+	if sample.Position.Less(r.MinPosition) {
+		return r.MinPosition, r.MinPositionAsOf, true
 	}
 	return sample.Position, sample.At, true
 }
 
-// Scheduler hands out seats. NewScheduler makes one; it may be used from many
-// goroutines.
+// Scheduler assigns reservations to waiting sessions. Use NewScheduler to create one.
+// It is safe for concurrent use.
 type Scheduler struct {
 	zone   model.ZoneID
 	leases *lease.Table
 
 	mu     sync.Mutex
 	groups map[model.GroupID]*group
-	byID   map[model.DatabaseID]*belief
+	byID   map[model.DatabaseID]*databaseState
 	// instances is the number of instances that share the databases.
 	instances int
 }
 
-// group holds the databases of a group and what waits for them.
+// group holds the databases of a group and the queue of waiters for them.
 type group struct {
 	name      model.GroupID
-	databases []*belief
+	databases []*databaseState
 	waiting   []*waiter
 }
 
-// waiter is a need that has no seat yet.
+// waiter is a call of Acquire that has no reservation yet.
 type waiter struct {
-	need Requirements
-	// seat takes the seat; it has room for one.
-	seat chan Reservation
+	requirements Requirements
+	// reservation receives the reservation; its buffer holds one, so that the sender
+	// never blocks.
+	reservation chan Reservation
 }
 
 // NewScheduler returns a scheduler without databases.
 func NewScheduler(zone model.ZoneID, leases *lease.Table) *Scheduler {
 	return &Scheduler{
 		zone: zone, leases: leases, instances: 1,
-		groups: map[model.GroupID]*group{}, byID: map[model.DatabaseID]*belief{},
+		groups: map[model.GroupID]*group{}, byID: map[model.DatabaseID]*databaseState{},
 	}
 }
 
-// SetDatabases replaces the known databases and the number of instances that
-// share them. What was learnt of a database stays, unless it was born anew.
+// SetDatabases replaces the known databases and the number of instances that share
+// them. The observed state of a database is kept unless its incarnation has changed.
 func (s *Scheduler) SetDatabases(databases []Database, instances int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.instances = max(1, instances)
 	for i := range databases {
-		databases[i].HasScarceConnections = databases[i].MaxConnections-connectionsKept < s.instances
+		databases[i].HasScarceConnections = databases[i].MaxConnections-controlConnections < s.instances
 	}
-	known := s.byID
-	s.byID = make(map[model.DatabaseID]*belief, len(databases))
+	previous := s.byID
+	s.byID = make(map[model.DatabaseID]*databaseState, len(databases))
 	for _, g := range s.groups {
 		g.databases = nil
 	}
 	for _, d := range databases {
-		b, found := known[d.ID]
-		if !found || b.Incarnation != d.Incarnation {
-			b = &belief{}
+		db, found := previous[d.ID]
+		if !found || db.Incarnation != d.Incarnation {
+			db = &databaseState{}
 		}
-		b.Database = d
-		s.byID[d.ID] = b
+		db.Database = d
+		s.byID[d.ID] = db
 		g := s.group(d.Group)
-		g.databases = append(g.databases, b)
+		g.databases = append(g.databases, db)
 	}
 	for name, g := range s.groups {
 		if len(g.databases) == 0 && len(g.waiting) == 0 {
 			delete(s.groups, name)
 			continue
 		}
-		s.pump(g)
+		s.assignReservations(g)
 	}
 }
 
@@ -187,65 +187,67 @@
 }
 
 // -----------------------------------------------------------------------------
-// Seats.
+// Reservations.
 
-// Acquire waits for a seat until ctx ends. Its errors are those of ctx.
-func (s *Scheduler) Acquire(ctx context.Context, need Requirements) (Reservation, error) {
-	w := &waiter{need: need, seat: make(chan Reservation, 1)}
+// Acquire waits for a reservation until ctx is done. Its error is
+// context.DeadlineExceeded, also if ctx was canceled.
+func (s *Scheduler) Acquire(ctx context.Context, requirements Requirements) (Reservation, error) {
+	w := &waiter{requirements: requirements, reservation: make(chan Reservation, 1)}
 	s.mu.Lock()
-	g := s.group(need.Group)
-	at, _ := slices.BinarySearchFunc(g.waiting, w, compareWaiters)
-	g.waiting = slices.Insert(g.waiting, at, w)
-	s.pump(g)
+	g := s.group(requirements.Group)
+	index, _ := slices.BinarySearchFunc(g.waiting, w, compareWaiters)
+	g.waiting = slices.Insert(g.waiting, index, w)
+	s.assignReservations(g)
 	s.mu.Unlock()
 	select {
-	case seat := <-w.seat:
-		return seat, nil
+	case reservation := <-w.reservation:
+		return reservation, nil
 	default:
 	}
 	select {
-	case seat := <-w.seat:
-		return seat, nil
+	case reservation := <-w.reservation:
+		return reservation, nil
 	case <-ctx.Done():
-		return s.withdraw(w)
+		return s.cancel(w)
 	}
 }
 
-// withdraw takes a waiter out of its queue. A seat that came at the same moment
-// is returned.
-func (s *Scheduler) withdraw(w *waiter) (Reservation, error) {
+// cancel removes a waiter from its queue. It returns the reservation if one was
+// assigned in the meantime, and context.DeadlineExceeded otherwise.
+func (s *Scheduler) cancel(w *waiter) (Reservation, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.group(w.need.Group)
+	g := s.group(w.requirements.Group)
 	if i := slices.Index(g.waiting, w); i >= 0 {
 		g.waiting = slices.Delete(g.waiting, i, i+1)
 		return Reservation{}, context.DeadlineExceeded
 	}
-	return <-w.seat, nil
+	return <-w.reservation, nil
 }
 
-// compareWaiters orders by rank, then by arrival; of equals, the one that came
-// to the queue first stays first.
+// compareWaiters orders waiters by rank, then by time of arrival. It never returns 0,
+// so that a new waiter is inserted behind equal ones.
 func compareWaiters(a, b *waiter) int {
-	if a.need.Rank != b.need.Rank {
-		return int(a.need.Rank - b.need.Rank)
+	if a.requirements.Rank != b.requirements.Rank {
+		return int(a.requirements.Rank - b.requirements.Rank)
 	}
-	if c := a.need.ArrivedAt.Compare(b.need.ArrivedAt); c != 0 {
+	if c := a.requirements.ArrivedAt.Compare(b.requirements.ArrivedAt); c != 0 {
 		return c
 	}
 	return -1
 }
 
-// Reschedule looks again at everything that waits: the leases may have changed.
+// Reschedule assigns reservations in all groups again, since the leases may have
+// changed.
 func (s *Scheduler) Reschedule() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, g := range s.groups {
-		s.pump(g)
+		s.assignReservations(g)
 	}
 }
 
-// QueueLength returns the number of needs in a group's queue.
+// QueueLength returns the number of waiters in a group's queue.
 func (s *Scheduler) QueueLength(name model.GroupID) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -255,125 +257,125 @@
 	return 0
 }
 
-// FailureDurationUnknown is what Failing returns for a primary that was not heard lately
-// and was asked nothing.
+// FailureDurationUnknown is what FailureDuration returns for a primary that is not
+// known to fail but has not answered lately either, since nothing was sent to it.
 const FailureDurationUnknown = -time.Nanosecond
 
-// FailureDuration returns for how long a group's primary has given no answer although it
-// was asked, zero where it answers, or FailureDurationUnknown.
+// FailureDuration returns for how long a group's primary has been failing, zero if it
+// answers, or FailureDurationUnknown.
 func (s *Scheduler) FailureDuration(name model.GroupID) time.Duration {
-	primary, found := s.leases.Grant(name)
+	grant, found := s.leases.Grant(name)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := s.byID[primary.Primary]
-	if !found || b == nil {
+	db := s.byID[grant.Primary]
+	if !found || db == nil {
 		return FailureDurationUnknown
 	}
 	now := clock.Now()
-	// What happened before the database was known as the primary, or while this
-	// instance was cut off, says nothing of it as the primary.
-	known := now.Sub(s.leases.EpochSeenSince(name))
-	if failing := min(b.failing(now), known); failing > 0 || now.Sub(b.heard) < heardFor {
-		return failing
+	// Failures from before the database became known as the primary, or from a time
+	// when this instance was partitioned, do not count against the primary.
+	observedFor := now.Sub(s.leases.EpochSeenSince(name))
+	if failureDuration := min(db.failureDuration(now), observedFor); failureDuration > 0 || now.Sub(db.lastAnswerAt) < maxAnswerAge {
+		return failureDuration
 	}
 	return FailureDurationUnknown
 }
 
-// PrimariesToProbe returns the primaries whose silence tells nothing: those that owe an
-// answer, which may be held up on an old connection only, those that failed
-// last, and, of the groups that this instance witnesses, those that have not
-// answered for a while and have nothing to answer.
-func (s *Scheduler) PrimariesToProbe(after time.Duration, witnesses func(model.GroupID) bool) []Database {
+// PrimariesToProbe returns the primaries that have to be probed to know whether they
+// answer: those with an overdue answer, which may be delayed on an old connection
+// only, and those that are idle, have not answered for idleThreshold and either
+// failed last or belong to a group of which this instance is an observer.
+func (s *Scheduler) PrimariesToProbe(idleThreshold time.Duration, isObserver func(model.GroupID) bool) []Database {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := clock.Now()
-	var unheard []Database
+	var primaries []Database
 	for name := range s.groups {
-		primary, found := s.leases.Grant(name)
-		b := s.byID[primary.Primary]
-		if !found || b == nil {
+		grant, found := s.leases.Grant(name)
+		db := s.byID[grant.Primary]
+		if !found || db == nil {
 			continue
 		}
-		isIdle := b.running == 0 && now.Sub(b.heard) > after
-		if isIdle && (b.failing(now) > 0 || witnesses(name)) || b.isDoubted(now) {
-			unheard = append(unheard, b.Database)
+		isIdle := db.inFlight == 0 && now.Sub(db.lastAnswerAt) > idleThreshold
+		if isIdle && (db.failureDuration(now) > 0 || isObserver(name)) || db.isSuspected(now) {
+			primaries = append(primaries, db.Database)
 		}
 	}
-	return unheard
+	return primaries
 }
 
-// IsSuspected reports whether a database owes an answer for long or failed last.
+// IsSuspected reports whether a database has an overdue answer or failed last.
 func (s *Scheduler) IsSuspected(id model.DatabaseID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b, now := s.byID[id], clock.Now()
-	return b != nil && (b.isDoubted(now) || b.failing(now) > 0)
+	db, now := s.byID[id], clock.Now()
+	return db != nil && (db.isSuspected(now) || db.failureDuration(now) > 0)
 }
 
-// RecordProbe notes that a database has answered a question of the control, or has
-// not.
+// RecordProbe records whether a database has answered a control request.
 func (s *Scheduler) RecordProbe(id model.DatabaseID, answered bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := s.byID[id]
-	if b == nil {
+	db := s.byID[id]
+	if db == nil {
 		return
 	}
 	now := clock.Now()
 	if answered {
-		b.answered(now)
+		db.answered(now)
 	} else {
-		b.unreachable(now)
+		db.recordUnreachable(now)
 	}
-	s.pump(s.group(b.Group))
+	s.assignReservations(s.group(db.Group))
 }
 
-// pump gives seats to those that wait, in their order, as far as there are any.
-func (s *Scheduler) pump(g *group) {
+// assignReservations gives reservations to a group's waiters, in the order of the
+// queue, as far as databases have capacity.
+func (s *Scheduler) assignReservations(g *group) {
 	now := clock.Now()
-	primary, found := s.leases.Grant(g.name)
-	left := g.waiting[:0]
+	grant, hasGrant := s.leases.Grant(g.name)
+	stillWaiting := g.waiting[:0]
 	for _, w := range g.waiting {
-		seat := s.choose(now, g, &w.need, primary, found)
-		if seat.belief == nil {
-			left = append(left, w)
+		reservation := s.choose(now, g, &w.requirements, grant, hasGrant)
+		if reservation.databaseState == nil {
+			stillWaiting = append(stillWaiting, w)
 			continue
 		}
-		seat.belief.running++
-		seat.belief.leased++
-		seat.belief.sent(now)
-		w.seat <- seat
+		reservation.databaseState.inFlight++
+		reservation.databaseState.connectionsInUse++
+		reservation.databaseState.recordSent(now)
+		w.reservation <- reservation
 	}
-	clear(g.waiting[len(left):])
-	g.waiting = left
+	clear(g.waiting[len(stillWaiting):])
+	g.waiting = stillWaiting
 }
 
-// StartStatement notes that another statement goes to the database of a seat that is
-// held, as those of a transaction do.
-func (s *Scheduler) StartStatement(seat Reservation) {
+// StartStatement records that another statement is sent under a reservation that is
+// still held, as in a transaction.
+func (s *Scheduler) StartStatement(reservation Reservation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seat.belief.running++
-	seat.belief.sent(clock.Now())
+	reservation.databaseState.inFlight++
+	reservation.databaseState.recordSent(clock.Now())
 }
 
-// FinishStatement notes how a statement ended.
-func (s *Scheduler) FinishStatement(seat Reservation, result Result) {
+// FinishStatement records the result of a statement.
+func (s *Scheduler) FinishStatement(reservation Reservation, result Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b := seat.belief
-	b.running--
-	b.learn(clock.Now(), result)
-	if pause := b.pauseOf(result); pause > 0 {
-		time.AfterFunc(pause, s.Reschedule)
+	db := reservation.databaseState
+	db.inFlight--
+	db.recordResult(clock.Now(), result)
+	if delay := db.retryDelay(result); delay > 0 {
+		time.AfterFunc(delay, s.Reschedule)
 	}
-	s.pump(s.group(b.Group))
+	s.assignReservations(s.group(db.Group))
 }
 
-// Release gives the connection of a seat back.
-func (s *Scheduler) Release(seat Reservation) {
+// Release returns the connection of a reservation to the scheduler.
+func (s *Scheduler) Release(reservation Reservation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	seat.belief.leased--
-	s.pump(s.group(seat.belief.Group))
+	reservation.databaseState.connectionsInUse--
+	s.assignReservations(s.group(reservation.databaseState.Group))
 }
--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -15,8 +15,9 @@
 
 const ratings = model.GroupID("ratings")
 
-// newFixture returns a scheduler of one instance in the zone lanier, before a
-// primary a and two replicas b and c, of which b is in the same zone.
+// newFixture returns the scheduler of the only instance, in zone lanier, for a
+// group of primary a and replicas b and c. Replica b is in the same zone as the
+// instance.
 func newFixture(t *testing.T) (*Scheduler, *lease.Table) {
 	t.Helper()
 	leases := lease.NewTable()
@@ -33,95 +34,98 @@
 	return s, leases
 }
 
-// samplesAt returns samples with one position, covering all before now.
+// samplesAt returns position samples with a single sample, taken now.
 func samplesAt(position model.Position) *fresh.PositionSamples {
 	samples := &fresh.PositionSamples{}
 	samples.Add(clock.Now(), position)
 	return samples
 }
 
-var newest = model.Position{Term: 1, Offset: 9}
+var newestPosition = model.Position{Term: 1, Offset: 9}
 
-// readNeed is a read that bears data of a second.
-func readNeed(rank model.Rank) Requirements {
+// readRequirements returns the requirements of a read that accepts data up to one
+// second old.
+func readRequirements(rank model.Rank) Requirements {
 	return Requirements{
 		Group: ratings, Rank: rank, ArrivedAt: clock.Now(),
-		AsOf: clock.Now().Add(-time.Second), Samples: samplesAt(newest),
+		AsOf: clock.Now().Add(-time.Second), Samples: samplesAt(newestPosition),
 	}
 }
 
-func mustAcquire(t *testing.T, s *Scheduler, need Requirements) Reservation {
+func mustAcquire(t *testing.T, s *Scheduler, requirements Requirements) Reservation {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
-	seat, err := s.Acquire(ctx, need)
+	reservation, err := s.Acquire(ctx, requirements)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return seat
+	return reservation
 }
 
-// isRefused reports whether a need gets no seat now.
-func isRefused(t *testing.T, s *Scheduler, need Requirements) bool {
+// cannotAcquire reports whether no reservation is available now. A reservation that is
+// available is released again.
+func cannotAcquire(t *testing.T, s *Scheduler, requirements Requirements) bool {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	seat, err := s.Acquire(ctx, need)
+	reservation, err := s.Acquire(ctx, requirements)
 	if err == nil {
-		s.FinishStatement(seat, Result{Outcome: OutcomeNotSent})
-		s.Release(seat)
+		s.FinishStatement(reservation, Result{Outcome: OutcomeNotSent})
+		s.Release(reservation)
 	}
 	return err != nil
 }
 
-func TestReadsGoToAFreshReplicaOfTheOwnZone(t *testing.T) {
+func TestReadsPreferFreshReplicaInSameZone(t *testing.T) {
 	s, _ := newFixture(t)
-	seat := mustAcquire(t, s, readNeed(1))
-	if diff := cmp.Diff([]any{model.DatabaseID("b"), false, newest}, []any{seat.Database.ID, seat.IsPrimary, seat.MinPosition}); diff != "" {
+	reservation := mustAcquire(t, s, readRequirements(1))
+	if diff := cmp.Diff([]any{model.DatabaseID("b"), false, newestPosition}, []any{reservation.Database.ID, reservation.IsPrimary, reservation.MinPosition}); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestChoiceOfADatabase(t *testing.T) {
+func TestChooseDatabase(t *testing.T) {
 	cases := []struct {
 		name string
-		// learn changes what is believed before the choice.
-		learn func(s *Scheduler, need *Requirements)
-		want  model.DatabaseID
+		// prepare changes the scheduler's state or the requirements before the
+		// database is chosen.
+		prepare func(s *Scheduler, requirements *Requirements)
+		want    model.DatabaseID
 	}{
-		{"writes go to the primary", func(_ *Scheduler, n *Requirements) { n.RequiresPrimary = true }, "a"},
-		{"without a sample only the primary will do", func(_ *Scheduler, n *Requirements) { n.Samples = &fresh.PositionSamples{} }, "a"},
-		{"what was tried in vain is avoided", func(_ *Scheduler, n *Requirements) { n.ExcludedDatabases = []model.DatabaseID{"b"} }, "c"},
-		{"a replica that lags is passed over", func(s *Scheduler, _ *Requirements) {
-			b := s.byID["b"]
-			b.lag, b.lagged = time.Hour, clock.Now()
+		{"writes go to the primary", func(_ *Scheduler, r *Requirements) { r.RequiresPrimary = true }, "a"},
+		{"reads go to the primary without a position sample", func(_ *Scheduler, r *Requirements) { r.Samples = &fresh.PositionSamples{} }, "a"},
+		{"an excluded database is skipped", func(_ *Scheduler, r *Requirements) { r.ExcludedDatabases = []model.DatabaseID{"b"} }, "c"},
+		{"a lagging replica is skipped", func(s *Scheduler, _ *Requirements) {
+			db := s.byID["b"]
+			db.lag, db.behindAt = time.Hour, clock.Now()
 		}, "c"},
-		{"a replica that lagged long ago is tried", func(s *Scheduler, n *Requirements) {
-			b := s.byID["b"]
-			b.lag, b.lagged = 10*time.Millisecond, clock.Now().Add(-time.Hour)
-			n.MinPosition, n.MinPositionAsOf = newest, clock.Now().Add(-time.Second)
+		{"a replica that lagged long ago is tried again", func(s *Scheduler, r *Requirements) {
+			db := s.byID["b"]
+			db.lag, db.behindAt = 10*time.Millisecond, clock.Now().Add(-time.Hour)
+			r.MinPosition, r.MinPositionAsOf = newestPosition, clock.Now().Add(-time.Second)
 		}, "b"},
-		{"a replica that is known to have the position does not lag", func(s *Scheduler, _ *Requirements) {
-			b := s.byID["b"]
-			b.lag, b.lagged, b.applied = time.Hour, clock.Now(), newest
+		{"the lag estimate is ignored when the replica has the position", func(s *Scheduler, _ *Requirements) {
+			db := s.byID["b"]
+			db.lag, db.behindAt, db.applied = time.Hour, clock.Now(), newestPosition
 		}, "b"},
-		{"an unreachable replica is passed over", func(s *Scheduler, _ *Requirements) { s.RecordProbe("b", false) }, "c"},
-		{"a silent replica is passed over", func(s *Scheduler, _ *Requirements) {
-			b := s.byID["b"]
-			b.owed = clock.Now().Add(-2 * silentAfter)
+		{"an unreachable replica is skipped", func(s *Scheduler, _ *Requirements) { s.RecordProbe("b", false) }, "c"},
+		{"an unresponsive replica is skipped", func(s *Scheduler, _ *Requirements) {
+			db := s.byID["b"]
+			db.unansweredSince = clock.Now().Add(-2 * unresponsiveAfter)
 		}, "c"},
-		{"a leaving replica gets nothing", func(s *Scheduler, _ *Requirements) { s.byID["b"].Leaving = true }, "c"},
-		{"a replica that is clearly slower is passed over", func(s *Scheduler, _ *Requirements) {
-			b := s.byID["b"]
-			b.latency, b.learnt = time.Second, clock.Now()
+		{"a draining replica is skipped", func(s *Scheduler, _ *Requirements) { s.byID["b"].Leaving = true }, "c"},
+		{"a much slower replica is skipped", func(s *Scheduler, _ *Requirements) {
+			db := s.byID["b"]
+			db.latency, db.latencyUpdatedAt = time.Second, clock.Now()
 		}, "c"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s, _ := newFixture(t)
-			need := readNeed(1)
-			c.learn(s, &need)
-			if diff := cmp.Diff(c.want, mustAcquire(t, s, need).Database.ID); diff != "" {
+			requirements := readRequirements(1)
+			c.prepare(s, &requirements)
+			if diff := cmp.Diff(c.want, mustAcquire(t, s, requirements).Database.ID); diff != "" {
 				t.Error(diff)
 			}
 		})
@@ -130,51 +134,51 @@
 
 func TestUrgentWorkGoesFirst(t *testing.T) {
 	s, _ := newFixture(t)
-	write := func(rank model.Rank) Requirements {
+	writeRequirements := func(rank model.Rank) Requirements {
 		return Requirements{Group: ratings, Rank: rank, ArrivedAt: clock.Now(), RequiresPrimary: true}
 	}
-	var held []Reservation
-	for !isRefused(t, s, write(1)) {
-		held = append(held, mustAcquire(t, s, write(1)))
-		if len(held) > 10 {
-			t.Fatal("a database of one slot takes any number of statements")
+	var reservations []Reservation
+	for !cannotAcquire(t, s, writeRequirements(1)) {
+		reservations = append(reservations, mustAcquire(t, s, writeRequirements(1)))
+		if len(reservations) > 10 {
+			t.Fatal("the number of statements in flight to a database with one slot is not limited")
 		}
 	}
 	order := make(chan model.Rank, 3)
 	for _, rank := range []model.Rank{2, 1} {
 		go func() {
-			seat := mustAcquire(t, s, write(rank))
+			reservation := mustAcquire(t, s, writeRequirements(rank))
 			order <- rank
-			s.FinishStatement(seat, Result{Outcome: OutcomeAnswered})
-			s.Release(seat)
+			s.FinishStatement(reservation, Result{Outcome: OutcomeAnswered})
+			s.Release(reservation)
 		}()
 		for s.QueueLength(ratings) < 3-int(rank) {
 			time.Sleep(time.Millisecond)
 		}
 	}
-	// The most urgent rank has room that the others do not.
-	if isRefused(t, s, write(0)) {
-		t.Error("urgent work has to wait behind other work")
+	// The most urgent rank may have one more statement in flight than the others.
+	if cannotAcquire(t, s, writeRequirements(0)) {
+		t.Error("a statement of the most urgent rank waits behind less urgent ones")
 	}
-	s.FinishStatement(held[0], Result{Outcome: OutcomeAnswered})
-	s.Release(held[0])
+	s.FinishStatement(reservations[0], Result{Outcome: OutcomeAnswered})
+	s.Release(reservations[0])
 	if diff := cmp.Diff([]model.Rank{1, 2}, []model.Rank{<-order, <-order}); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestNothingGoesToThePrimaryWhileItIsReplaced(t *testing.T) {
+func TestPrimaryIsUnavailableDuringFailover(t *testing.T) {
 	s, leases := newFixture(t)
-	need := Requirements{Group: ratings, ArrivedAt: clock.Now(), RequiresPrimary: true}
+	requirements := Requirements{Group: ratings, ArrivedAt: clock.Now(), RequiresPrimary: true}
 	leases.Update(lease.View{
 		Version: 2, ReadStartedAt: clock.Now(), IsMember: true,
 		Rows: map[model.GroupID]lease.GroupRow{ratings: {Epoch: 2, Phase: lease.PhaseChanging, Primary: "a"}},
 	})
-	if !isRefused(t, s, need) {
-		t.Fatal("work went to a primary that is being replaced")
+	if !cannotAcquire(t, s, requirements) {
+		t.Fatal("a reservation was made on a primary that is being replaced")
 	}
-	seats := make(chan Reservation)
-	go func() { seats <- mustAcquire(t, s, need) }()
+	reservations := make(chan Reservation)
+	go func() { reservations <- mustAcquire(t, s, requirements) }()
 	for s.QueueLength(ratings) == 0 {
 		time.Sleep(time.Millisecond)
 	}
@@ -183,144 +187,146 @@
 		Rows: map[model.GroupID]lease.GroupRow{ratings: {Epoch: 3, Primary: "c"}},
 	})
 	s.Reschedule()
-	seat := <-seats
-	if diff := cmp.Diff([]any{model.DatabaseID("c"), uint64(3)}, []any{seat.Database.ID, seat.Grant.Epoch}); diff != "" {
+	reservation := <-reservations
+	if diff := cmp.Diff([]any{model.DatabaseID("c"), uint64(3)}, []any{reservation.Database.ID, reservation.Grant.Epoch}); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// A database that takes no further connection gets no work beyond the
-// connections that there are, and the share of an instance is never passed.
+// An instance never uses more than its share of a database's connections. A
+// database that has rejected a connection gets no statement that would need
+// another one.
 func TestConnectionsAreBounded(t *testing.T) {
 	s, _ := newFixture(t)
 	s.SetDatabases([]Database{{ID: "a", Group: ratings, Slots: 100, MaxConnections: 9}}, 4)
-	need := Requirements{Group: ratings, ArrivedAt: clock.Now(), RequiresPrimary: true}
-	first, second := mustAcquire(t, s, need), mustAcquire(t, s, need)
-	if !isRefused(t, s, need) {
-		t.Error("a quarter of 8 connections is 2")
+	requirements := Requirements{Group: ratings, ArrivedAt: clock.Now(), RequiresPrimary: true}
+	first, second := mustAcquire(t, s, requirements), mustAcquire(t, s, requirements)
+	if !cannotAcquire(t, s, requirements) {
+		t.Error("a third connection was reserved, want 2: a quarter of 8")
 	}
 	s.FinishStatement(second, Result{Outcome: OutcomeConnectionLimit})
 	s.Release(second)
-	if !isRefused(t, s, need) {
-		t.Error("the database is full, and one connection is in use")
+	if !cannotAcquire(t, s, requirements) {
+		t.Error("a second connection was reserved after the database had rejected one")
 	}
 	s.FinishStatement(first, Result{Outcome: OutcomeAnswered})
 	s.Release(first)
-	mustAcquire(t, s, need)
+	mustAcquire(t, s, requirements)
 }
 
 func TestFailing(t *testing.T) {
 	s, leases := newFixture(t)
 	if diff := cmp.Diff(FailureDurationUnknown, s.FailureDuration(ratings)); diff != "" {
-		t.Errorf("never heard: %s", diff)
+		t.Errorf("before the first answer: %s", diff)
 	}
 	s.RecordProbe("a", true)
 	if diff := cmp.Diff(time.Duration(0), s.FailureDuration(ratings)); diff != "" {
-		t.Errorf("answers: %s", diff)
+		t.Errorf("after an answer: %s", diff)
 	}
-	s.byID["a"].unreachable(clock.Now().Add(-time.Minute))
-	if failing := s.FailureDuration(ratings); failing <= 0 || failing > 30*time.Second {
-		t.Errorf("failing for %v, though the primary is known for a moment only", failing)
+	s.byID["a"].recordUnreachable(clock.Now().Add(-time.Minute))
+	if duration := s.FailureDuration(ratings); duration <= 0 || duration > 30*time.Second {
+		t.Errorf("failure duration is %v, although the primary has just become known", duration)
 	}
 	leases.Update(lease.View{Version: 2, Rows: map[model.GroupID]lease.GroupRow{ratings: {Epoch: 2, Primary: "b"}}})
 	if diff := cmp.Diff(FailureDurationUnknown, s.FailureDuration(ratings)); diff != "" {
-		t.Errorf("another primary: %s", diff)
+		t.Errorf("after a failover: %s", diff)
 	}
 }
 
-// What an instance that was cut off has not heard meanwhile says nothing of the
-// primary: its silence counts from the first view after the gap.
-func TestFailingCountsFromTheEndOfAGap(t *testing.T) {
+// An instance that was partitioned cannot tell whether the primary failed in the
+// meantime: the failure duration starts at the first view after the gap.
+func TestFailingStartsAfterViewGap(t *testing.T) {
 	s, leases := newFixture(t)
 	s.RecordProbe("a", true)
-	s.byID["a"].unreachable(clock.Now().Add(-time.Minute))
+	s.byID["a"].recordUnreachable(clock.Now().Add(-time.Minute))
 	rows := leases.View().Rows
 	leases.Update(lease.View{Version: 2, ReadStartedAt: clock.Now().Add(-time.Hour), IsMember: true, Rows: rows})
 	time.Sleep(lease.Duration)
-	before := clock.Now()
-	leases.Update(lease.View{Version: 3, ReadStartedAt: before, IsMember: true, Rows: rows})
-	if failing, limit := s.FailureDuration(ratings), clock.Since(before); failing > limit {
-		t.Errorf("failing for %v, though the gap in the views ended %v ago", failing, limit)
+	gapEnd := clock.Now()
+	leases.Update(lease.View{Version: 3, ReadStartedAt: gapEnd, IsMember: true, Rows: rows})
+	if duration, limit := s.FailureDuration(ratings), clock.Since(gapEnd); duration > limit {
+		t.Errorf("failure duration is %v, although the gap in the views ended %v ago", duration, limit)
 	}
 }
 
-// A connection that broke does not keep work from its database.
-func TestBrokenConnectionBlocksNothing(t *testing.T) {
+// A lost connection alone does not block a database; a failed attempt to connect
+// does.
+func TestLostConnectionDoesNotBlockDatabase(t *testing.T) {
 	s, _ := newFixture(t)
-	need := Requirements{Group: ratings, ArrivedAt: clock.Now(), RequiresPrimary: true}
-	seat := mustAcquire(t, s, need)
-	s.FinishStatement(seat, Result{Outcome: OutcomeConnectionLost})
-	s.Release(seat)
-	if isRefused(t, s, need) {
-		t.Error("the database was blocked")
+	requirements := Requirements{Group: ratings, ArrivedAt: clock.Now(), RequiresPrimary: true}
+	reservation := mustAcquire(t, s, requirements)
+	s.FinishStatement(reservation, Result{Outcome: OutcomeConnectionLost})
+	s.Release(reservation)
+	if cannotAcquire(t, s, requirements) {
+		t.Error("the database was blocked after a lost connection")
 	}
-	seat = mustAcquire(t, s, need)
-	s.FinishStatement(seat, Result{Outcome: OutcomeUnreachable})
-	s.Release(seat)
-	if !isRefused(t, s, need) {
-		t.Error("a database that can't be reached was not blocked")
+	reservation = mustAcquire(t, s, requirements)
+	s.FinishStatement(reservation, Result{Outcome: OutcomeUnreachable})
+	s.Release(reservation)
+	if !cannotAcquire(t, s, requirements) {
+		t.Error("an unreachable database was not blocked")
 	}
 }
 
-// A primary that owes an answer is asked on a new connection before it counts as
-// silent, and one that answers there is not silent.
+// A primary with an overdue answer is probed on a new connection before it counts as
+// unresponsive, and does not count as unresponsive if it answers the probe.
 func TestSilenceIsDoubtedFirst(t *testing.T) {
 	s, _ := newFixture(t)
-	need := Requirements{Group: ratings, ArrivedAt: clock.Now(), RequiresPrimary: true}
-	mustAcquire(t, s, need)
+	requirements := Requirements{Group: ratings, ArrivedAt: clock.Now(), RequiresPrimary: true}
+	mustAcquire(t, s, requirements)
 	s.RecordProbe("a", true)
-	nobody := func(model.GroupID) bool { return false }
-	if got := s.PrimariesToProbe(time.Hour, nobody); len(got) != 0 {
-		t.Errorf("asked at once: %v", got)
+	observesNone := func(model.GroupID) bool { return false }
+	if got := s.PrimariesToProbe(time.Hour, observesNone); len(got) != 0 {
+		t.Errorf("probed at once: %v", got)
 	}
-	s.byID["a"].owed = clock.Now().Add(-2 * silentAfter)
-	if got := s.PrimariesToProbe(time.Hour, nobody); len(got) != 1 {
-		t.Errorf("a primary that owes an answer is not asked")
+	s.byID["a"].unansweredSince = clock.Now().Add(-2 * unresponsiveAfter)
+	if got := s.PrimariesToProbe(time.Hour, observesNone); len(got) != 1 {
+		t.Errorf("a primary with an overdue answer is not probed")
 	}
 	s.RecordProbe("a", true)
-	if failing := s.FailureDuration(ratings); failing != 0 || len(s.PrimariesToProbe(time.Hour, nobody)) != 0 {
-		t.Errorf("it answered, and fails for %v", failing)
+	if duration := s.FailureDuration(ratings); duration != 0 || len(s.PrimariesToProbe(time.Hour, observesNone)) != 0 {
+		t.Errorf("failure duration after an answered probe is %v, want 0 and no further probe", duration)
 	}
 }
 
-// Only a witness asks a primary for which it has no work, but whoever has seen it
-// fail asks on until it answers.
-func TestWitnessesAskAnIdlePrimary(t *testing.T) {
+// Only an observer probes a primary to which it sends no statements, but an instance
+// that has seen it fail keeps probing until it answers.
+func TestObserversProbeIdlePrimary(t *testing.T) {
 	for name, c := range map[string]struct {
-		isWitness bool
-		learn     func(s *Scheduler)
-		asked     bool
-		failing   bool
+		isObserver bool
+		prepare    func(s *Scheduler)
+		probed     bool
+		failing    bool
 	}{
-		"a witness":                       {true, func(*Scheduler) {}, true, false},
-		"no witness":                      {false, func(*Scheduler) {}, false, false},
-		"no witness, and it failed":       {false, func(s *Scheduler) { s.RecordProbe("a", false) }, true, true},
-		"no witness, and it came back":    {false, func(s *Scheduler) { s.RecordProbe("a", false); s.RecordProbe("a", true) }, false, false},
-		"a witness that has just asked":   {true, func(s *Scheduler) { s.RecordProbe("a", true) }, false, false},
-		"heard too long ago to tell more": {false, func(s *Scheduler) { s.byID["a"].heard = clock.Now().Add(-heardFor) }, false, false},
+		"observer":                             {true, func(*Scheduler) {}, true, false},
+		"not an observer":                      {false, func(*Scheduler) {}, false, false},
+		"not an observer, failed":              {false, func(s *Scheduler) { s.RecordProbe("a", false) }, true, true},
+		"not an observer, recovered":           {false, func(s *Scheduler) { s.RecordProbe("a", false); s.RecordProbe("a", true) }, false, false},
+		"observer, just probed":                {true, func(s *Scheduler) { s.RecordProbe("a", true) }, false, false},
+		"not an observer, last answer too old": {false, func(s *Scheduler) { s.byID["a"].lastAnswerAt = clock.Now().Add(-maxAnswerAge) }, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s, _ := newFixture(t)
-			c.learn(s)
-			asked := s.PrimariesToProbe(time.Second, func(model.GroupID) bool { return c.isWitness })
-			if diff := cmp.Diff([]bool{c.asked, c.failing}, []bool{len(asked) > 0, s.FailureDuration(ratings) > 0}); diff != "" {
+			c.prepare(s)
+			probed := s.PrimariesToProbe(time.Second, func(model.GroupID) bool { return c.isObserver })
+			if diff := cmp.Diff([]bool{c.probed, c.failing}, []bool{len(probed) > 0, s.FailureDuration(ratings) > 0}); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// Where there are fewer connections than instances, each may use a few, and gives
-// them back when it does not.
+// Where there are fewer connections than instances, each instance may use
+// scarceConnectionShare of them at a time.
 func TestScarceConnections(t *testing.T) {
 	s, _ := newFixture(t)
 	s.SetDatabases([]Database{{ID: "a", Group: ratings, Slots: 100, MaxConnections: 9}}, 9)
-	need := Requirements{Group: ratings, ArrivedAt: clock.Now(), RequiresPrimary: true}
-	var held []Reservation
-	for !isRefused(t, s, need) {
-		held = append(held, mustAcquire(t, s, need))
+	requirements := Requirements{Group: ratings, ArrivedAt: clock.Now(), RequiresPrimary: true}
+	var reservations []Reservation
+	for !cannotAcquire(t, s, requirements) {
+		reservations = append(reservations, mustAcquire(t, s, requirements))
 	}
-	if diff := cmp.Diff([]any{scarceShare, true}, []any{len(held), held[0].Database.HasScarceConnections}); diff != "" {
+	if diff := cmp.Diff([]any{scarceConnectionShare, true}, []any{len(reservations), reservations[0].Database.HasScarceConnections}); diff != "" {
 		t.Error(diff)
 	}
 }
