--- a/internal/core/fresh/fresh.go
+++ b/internal/core/fresh/fresh.go
@@ -1,20 +1,20 @@
-// Package fresh tells which position of a group's log a read must reach to be
-// no older than its staleness bound.
+// Package fresh determines the position of a group's log that a database must have
+// reached to serve a read within its staleness bound.
 //
 // # What flows in and out
 //
-// Samples flow in: at some time the primary's log reached some position, as an
-// answer said whose request was sent after that time. Positions flow out: every
-// commit that was acknowledged before a moment is at or below the position of
-// any sample taken after it.
+// Inputs are position samples: an answer of the primary reports a position of its log,
+// and the sample's time is one before the request was sent. Outputs are positions:
+// every commit that was acknowledged before a moment is at or below the position of
+// any sample taken after that moment.
 //
-// The lowest position that still satisfies a bound is given out, since it is
-// the one that most replicas have.
+// The lowest position that satisfies a staleness bound is returned, since it is the
+// one that the most replicas have reached.
 //
 // # Usage
 //
 //	samples.Add(sent, position)
-//	position, known := samples.Since(arrived.Add(-bound))
+//	sample, found := samples.LowestCovering(arrived.Add(-bound))
 package fresh
 
 import (
@@ -26,12 +26,12 @@
 )
 
 const (
-	// spacing is the least time between two kept samples. Reads that bear
-	// seconds of age need no finer steps.
-	spacing = 40 * time.Millisecond
-	// kept is the number of samples that are kept: about five seconds of them,
-	// twice the longest bound in use.
-	kept = 128
+	// minSpacing is the minimum time between two kept samples. Staleness bounds are of
+	// the order of seconds and need no finer steps.
+	minSpacing = 40 * time.Millisecond
+	// maxSamples is the maximum number of samples kept: about five seconds of them,
+	// twice the longest staleness bound in use.
+	maxSamples = 128
 )
 
 // PositionSample says that every commit acknowledged before At is at or below Position.
@@ -40,22 +40,23 @@
 	Position model.Position
 }
 
-// PositionSamples are those of one group, ordered by time. The zero value is ready; it
-// may be used from many goroutines.
+// PositionSamples holds the samples of one group, ordered by time. The zero value is
+// ready to use. It is safe for concurrent use.
 type PositionSamples struct {
 	mu      sync.Mutex
 	samples []PositionSample
 }
 
-// AddSpaced takes in a sample where it is newer than what is known by the spacing.
+// AddSpaced adds a sample if it is newer than the newest one by at least minSpacing.
 func (s *PositionSamples) AddSpaced(sample PositionSample) {
-	if newest, found := s.Newest(); !found || sample.At.Sub(newest.At) >= spacing {
+	if newest, found := s.Newest(); !found || sample.At.Sub(newest.At) >= minSpacing {
 		s.Add(sample.At, sample.Position)
 	}
 }
 
-// Add takes in a sample. Samples that are older than the newest kept one, or
-// that follow it closely, are dropped, unless their position is higher.
+// Add adds a sample. It ignores a sample without a position and one that is not newer
+// than the newest. The new sample replaces the newest if it follows the sample before
+// that by less than minSpacing.
 func (s *PositionSamples) Add(at time.Time, position model.Position) {
 	if position.IsZero() {
 		return
@@ -68,22 +69,22 @@
 			return
 		}
 		if position.Less(newest.Position) {
-			// A higher position covers the later time as well.
+			// The higher position of the newest sample covers the later time as well.
 			position = newest.Position
 		}
-		if last > 0 && at.Sub(s.samples[last-1].At) < spacing {
+		if last > 0 && at.Sub(s.samples[last-1].At) < minSpacing {
 			s.samples[last] = PositionSample{At: at, Position: position}
 			return
 		}
 	}
 	s.samples = append(s.samples, PositionSample{At: at, Position: position})
-	if extra := len(s.samples) - kept; extra > 0 {
+	if extra := len(s.samples) - maxSamples; extra > 0 {
 		s.samples = append(s.samples[:0], s.samples[extra:]...)
 	}
 }
 
-// LowestCovering returns the lowest known position that covers all commits acknowledged
-// before moment, and whether there is one.
+// LowestCovering returns the sample with the lowest position that covers all commits
+// acknowledged before moment, and whether there is one.
 func (s *PositionSamples) LowestCovering(moment time.Time) (PositionSample, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,7 +105,7 @@
 	return s.samples[len(s.samples)-1], true
 }
 
-// Reset forgets all samples: the log that they spoke of has been replaced.
+// Reset removes all samples, for when the log that they refer to has been replaced.
 func (s *PositionSamples) Reset() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/core/fresh/fresh_test.go
+++ b/internal/core/fresh/fresh_test.go
@@ -18,13 +18,13 @@
 	return model.Position{Term: model.Term(term), Offset: uint64(offset)}
 }
 
-func TestSince(t *testing.T) {
+func TestLowestCovering(t *testing.T) {
 	var samples PositionSamples
 	for _, s := range []PositionSample{
 		{at(0), position(1, 10)},
 		{at(100), position(1, 20)},
 		{at(90), position(1, 19)},  // older than the newest one
-		{at(200), position(1, 15)}, // a database that holds less than is known
+		{at(200), position(1, 15)}, // a database that is behind the newest position
 		{at(300), position(2, 16)}, // a new term
 		{at(400), position(0, 0)},  // no position
 	} {
@@ -45,14 +45,14 @@
 	for _, c := range cases {
 		got, found := samples.LowestCovering(at(c.moment))
 		if diff := cmp.Diff([]any{c.want, c.found}, []any{got.Position, found}); diff != "" {
-			t.Errorf("since %d: %s", c.moment, diff)
+			t.Errorf("lowest position that covers moment %d: %s", c.moment, diff)
 		}
 	}
 }
 
-// Whatever is added, a sample that is given out covers every position that was
-// added for an earlier time.
-func TestSinceCoversAllEarlierPositions(t *testing.T) {
+// The returned sample covers every position that was added for a time before the given
+// moment.
+func TestSampleCoversAllEarlierPositions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var samples PositionSamples
 		var added []PositionSample
@@ -68,13 +68,13 @@
 		got, found := samples.LowestCovering(moment)
 		for _, s := range added {
 			if found && s.At.Before(moment) && got.Position.Less(s.Position) {
-				t.Fatalf("%v was known before %v, and %v is given out", s, moment, got)
+				t.Fatalf("sample %v was added before moment %v, but the returned sample %v does not cover it", s, moment, got)
 			}
 		}
 	})
 }
 
-func TestOfferKeepsTheSpacing(t *testing.T) {
+func TestAddSpacedKeepsMinSpacing(t *testing.T) {
 	var samples PositionSamples
 	samples.AddSpaced(PositionSample{at(0), position(1, 1)})
 	samples.AddSpaced(PositionSample{at(10), position(1, 2)})
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -1,29 +1,29 @@
-// Package lease tells who may be taken as the primary of a group, and until
-// when.
+// Package lease determines which database may be used as the primary of a group, and
+// until when.
 //
 // # What flows in and out
 //
-// Views of the table of groups flow in: rows of the platform's store, with the
-// time before which the read of them began. A Grant flows out for a group whose
-// row is stable, and a Verdict on what was done under it.
+// Inputs are views of the table of groups: rows of the platform's store, with the
+// time at which the read of them started. Outputs are a Grant for a group whose row
+// is stable, and the Validity of an answer that was obtained under the grant.
 //
 // # Why it is safe
 //
 // A primary is replaced in three steps: the group's row is marked as changing,
-// Length passes after the store's answer, and only then another database is
-// promoted. A view that began at time b and shows the row stable was read before
-// the mark, or the mark was made after b; either way no promotion took effect
-// before b + Length. So what the primary did before b + Length, it did as the
-// primary. A view of the same epoch that began later than an answer proves the
-// same of that answer, however old it is.
+// Duration passes after the store's answer, and only then another database is
+// promoted. If a view whose read started at time b shows the row as stable, the row
+// was marked after b, if at all, so that no promotion took effect before
+// b + Duration. Everything that the primary did before b + Duration, it therefore
+// did as the primary. A view of the same epoch whose read started after an answer
+// confirms that answer in the same way, however old the answer is.
 //
 // # Usage
 //
 //	table := lease.NewTable()
-//	table.Learn(view)
+//	table.Update(view)
 //	grant, ok := table.Grant(group)
 //	...
-//	verdict := table.Judge(grant, answered)
+//	validity := table.Validate(grant, answeredAt)
 package lease
 
 import (
@@ -34,23 +34,23 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// Duration is how long after its beginning a view proves the primaries that it
-// shows. It is a part of the gap of each failover, and the time for which the
-// store may be slow without a pause in service.
+// Duration is how long a view confirms the primaries that it shows, from the start of
+// its read. Every failover includes a pause of this length. The store may be slow for
+// this long without an interruption of service.
 const Duration = 900 * time.Millisecond
 
-// Phase tells what happens to a group's primary.
+// Phase is the state of a group's primary.
 type Phase int
 
 // The values of Phase.
 const (
-	// PhaseStable: Row.Primary is the primary.
+	// PhaseStable: GroupRow.Primary is the primary.
 	PhaseStable Phase = iota
-	// PhaseChanging: the primary is being replaced; there is none to use.
+	// PhaseChanging: the primary is being replaced; the group has no usable primary.
 	PhaseChanging
 )
 
-// String names p for log lines.
+// String returns the name of p for log lines.
 func (p Phase) String() string { return [...]string{"stable", "changing"}[p] }
 
 // GroupRow is a group's entry in the table of groups.
@@ -59,44 +59,48 @@
 	// Epoch counts the changes of the row.
 	Epoch uint64
 	Phase Phase
-	// Primary is the present primary, or the one that is being replaced.
+	// Primary is the current primary, or the one that is being replaced.
 	Primary model.DatabaseID
-	// Term is the least term in which Primary leads.
+	// Term is the lowest term in which Primary is the primary.
 	Term model.Term
-	// Coordinator is the instance that wrote the row, Reason why.
+	// Coordinator is the instance that wrote the row. Reason is the reason for the
+	// change.
 	Coordinator model.InstanceID
 	Reason      string
-	// Version is the store's for the row's last change, as the store tells it.
+	// Version is the version that the store assigned to the last change of the row.
 	Version uint64
 }
 
-// CoordinatorLease tells which instance may change primaries. Like a primary, a holder acts
-// only under a view that proves it, and a new one waits Length before it acts.
+// CoordinatorLease names the instance that may change primaries. As with a primary, a
+// holder acts only while a view confirms it, and a new holder waits for Duration
+// before it acts.
 type CoordinatorLease struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads the tag.
-	// Holder is one start of an instance, HolderName what the instance is called.
+	// Holder identifies one start of an instance, HolderName the instance itself.
 	Holder, HolderName model.InstanceID
-	// FencingToken rises with each change of the holder.
+	// FencingToken increases with each change of the holder.
 	FencingToken uint64
-	// Challenger is an instance that does not hear the holder. The holder takes
-	// the challenge away; one that stands shows that there is no holder.
+	// Challenger is an instance that receives no messages from the holder. A live
+	// holder removes the challenge; a challenge that remains shows that there is no
+	// live holder.
 	Challenger model.InstanceID
-	// Version is the store's for the last change.
+	// Version is the version that the store assigned to the last change.
 	Version uint64
 }
 
-// View is the table of groups as of one moment.
+// View is the table of groups as of one version.
 type View struct {
-	// Version orders views: the store's counter when the table was read.
+	// Version orders views. It is the value of the store's counter when the table was
+	// read.
 	Version uint64
-	// ReadStartedAt is a time, on this instance's clock, before which the read of the
-	// table had not begun.
+	// ReadStartedAt is a lower bound, on this instance's clock, of the time at which
+	// the read of the table started.
 	ReadStartedAt    time.Time
 	Rows             map[model.GroupID]GroupRow
 	CoordinatorLease CoordinatorLease
-	// IsMember says that this instance is listed among those that use leases. A
-	// view without it proves nothing: whoever changes a primary asks the
-	// members only whether they have seen the change.
+	// IsMember is true if this instance is listed among those that use leases. A view
+	// without this instance confirms nothing, since the coordinator that replaces a
+	// primary asks only the members whether they have seen the change.
 	IsMember bool
 }
 
@@ -107,40 +111,41 @@
 	Epoch   uint64
 }
 
-// Validity tells whether the database of a Grant was the primary.
+// Validity is the result of checking whether the database of a Grant was the primary.
 type Validity int
 
-// The values of Verdict.
+// The values of Validity.
 const (
-	// ValidityPending: a newer view has to tell.
+	// ValidityPending: a newer view is needed to decide.
 	ValidityPending Validity = iota
-	// ValidityConfirmed: it was the primary when it answered.
+	// ValidityConfirmed: the database was the primary when it answered.
 	ValidityConfirmed
-	// ValidityReplaced: its row has changed since; nothing is known.
+	// ValidityReplaced: the group's row has changed since the grant; it is unknown
+	// whether the database was the primary when it answered.
 	ValidityReplaced
 )
 
-// String names v for log lines.
+// String returns the name of v for log lines.
 func (v Validity) String() string { return [...]string{"pending", "primary", "replaced"}[v] }
 
-// Table holds the newest view. NewTable makes one; it may be used from many
-// goroutines.
+// Table holds the newest view. Use NewTable to create one. It is safe for concurrent
+// use.
 type Table struct {
 	mu   sync.Mutex
 	view View
-	// learned is since when views have shown each group's present epoch without a
-	// gap between them.
-	learned map[model.GroupID]time.Time
-	// changed is closed when the view changes, and replaced then.
+	// epochSeenSince is the time since which views without a gap between them have
+	// shown the current epoch of each group.
+	epochSeenSince map[model.GroupID]time.Time
+	// changed is closed and replaced whenever the view changes.
 	changed chan struct{}
 }
 
 // NewTable returns a table without a view.
 func NewTable() *Table {
-	return &Table{learned: map[model.GroupID]time.Time{}, changed: make(chan struct{})}
+	return &Table{epochSeenSince: map[model.GroupID]time.Time{}, changed: make(chan struct{})}
 }
 
-// Update takes in a view and reports whether it tells anything new.
+// Update replaces the view if the given one is newer, and reports whether it is.
 func (t *Table) Update(view View) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,15 +153,15 @@
 		return false
 	}
 	if view.ReadStartedAt.Before(t.view.ReadStartedAt) {
-		// A newer version can't be of an older moment; the bound known before
-		// holds for it as well.
+		// A newer version was not read earlier than an older one, so that the lower
+		// bound of the previous view holds for it as well.
 		view.ReadStartedAt = t.view.ReadStartedAt
 	}
 	now := clock.Now()
-	wasCutOff := !now.Before(t.view.ReadStartedAt.Add(Duration))
+	wasPartitioned := !now.Before(t.view.ReadStartedAt.Add(Duration))
 	for group, row := range view.Rows {
-		if known, found := t.view.Rows[group]; !found || known.Epoch != row.Epoch || wasCutOff {
-			t.learned[group] = now
+		if known, found := t.view.Rows[group]; !found || known.Epoch != row.Epoch || wasPartitioned {
+			t.epochSeenSince[group] = now
 		}
 	}
 	t.view = view
@@ -165,14 +170,14 @@
 	return true
 }
 
-// View returns the newest view; its rows must not be changed.
+// View returns the newest view. Its rows must not be modified.
 func (t *Table) View() View {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.view
 }
 
-// Row returns a group's row as last seen.
+// Row returns a group's row in the newest view, and whether there is one.
 func (t *Table) Row(group model.GroupID) (GroupRow, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,17 +185,18 @@
 	return row, found
 }
 
-// EpochSeenSince returns since when views have shown a group's present epoch without a
-// gap between them: what an instance without views has not heard of a primary
-// tells nothing, since it was cut off itself.
+// EpochSeenSince returns the time since which views without a gap between them have
+// shown the current epoch of a group. An instance without current views was
+// partitioned itself, so that missing answers from that time say nothing about the
+// primary.
 func (t *Table) EpochSeenSince(group model.GroupID) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.learned[group]
+	return t.epochSeenSince[group]
 }
 
-// Grant returns the primary that the newest view names, whether or not its
-// proof has run out: Judge decides once the answer is there.
+// Grant returns the primary that the newest view names, and whether there is one. The
+// view may have expired: Validate checks the grant once the answer has arrived.
 func (t *Table) Grant(group model.GroupID) (Grant, bool) {
 	row, found := t.Row(group)
 	if !found || row.Phase != PhaseStable {
@@ -199,41 +205,42 @@
 	return Grant{Group: group, Primary: row.Primary, Epoch: row.Epoch}, true
 }
 
-// IsConfirmed reports whether the newest view proves its primaries at now.
+// IsConfirmed reports whether the newest view confirms its primaries at time now.
 func (t *Table) IsConfirmed(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.view.IsMember && now.Before(t.view.ReadStartedAt.Add(Duration))
 }
 
-// Validate tells whether the primary of grant was the primary until answered.
-func (t *Table) Validate(grant Grant, answered time.Time) Validity {
-	verdict, _ := t.judge(grant, answered)
-	return verdict
+// Validate returns whether the database of grant was the primary until answeredAt.
+func (t *Table) Validate(grant Grant, answeredAt time.Time) Validity {
+	validity, _ := t.validate(grant, answeredAt)
+	return validity
 }
 
-// judge is Judge; the channel is closed when the verdict may have changed.
-func (t *Table) judge(grant Grant, answered time.Time) (Validity, <-chan struct{}) {
+// validate does the work of Validate. The channel is closed when the result may have
+// changed.
+func (t *Table) validate(grant Grant, answeredAt time.Time) (Validity, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	row, found := t.view.Rows[grant.Group]
 	switch {
 	case !found || row.Epoch != grant.Epoch || row.Phase != PhaseStable:
 		return ValidityReplaced, t.changed
-	case t.view.IsMember && answered.Before(t.view.ReadStartedAt.Add(Duration)):
+	case t.view.IsMember && answeredAt.Before(t.view.ReadStartedAt.Add(Duration)):
 		return ValidityConfirmed, t.changed
 	default:
 		return ValidityPending, t.changed
 	}
 }
 
-// AwaitValidity judges like Judge and waits for views while the verdict is pending,
-// until done is closed.
-func (t *Table) AwaitValidity(grant Grant, answered time.Time, done <-chan struct{}) Validity {
+// AwaitValidity is like Validate, but waits for newer views while the result is
+// ValidityPending, until done is closed.
+func (t *Table) AwaitValidity(grant Grant, answeredAt time.Time, done <-chan struct{}) Validity {
 	for {
-		verdict, changed := t.judge(grant, answered)
-		if verdict != ValidityPending {
-			return verdict
+		validity, changed := t.validate(grant, answeredAt)
+		if validity != ValidityPending {
+			return validity
 		}
 		select {
 		case <-changed:
--- a/internal/core/lease/lease_test.go
+++ b/internal/core/lease/lease_test.go
@@ -13,13 +13,13 @@
 
 func at(d time.Duration) time.Time { return origin.Add(d) }
 
-func viewOf(version uint64, began time.Duration, row GroupRow) View {
-	return View{Version: version, ReadStartedAt: at(began), IsMember: true, Rows: map[model.GroupID]GroupRow{"ratings": row}}
+func viewOf(version uint64, readStart time.Duration, row GroupRow) View {
+	return View{Version: version, ReadStartedAt: at(readStart), IsMember: true, Rows: map[model.GroupID]GroupRow{"ratings": row}}
 }
 
 var grant = Grant{Group: "ratings", Primary: "a", Epoch: 3}
 
-func TestJudge(t *testing.T) {
+func TestValidate(t *testing.T) {
 	stable := GroupRow{Epoch: 3, Phase: PhaseStable, Primary: "a"}
 	cases := []struct {
 		name     string
@@ -28,32 +28,32 @@
 		want     Validity
 	}{
 		{"no view", nil, 0, ValidityReplaced},
-		{"answered inside the lease", []View{viewOf(1, 0, stable)}, Duration - 1, ValidityConfirmed},
-		{"answered as the lease ends", []View{viewOf(1, 0, stable)}, Duration, ValidityPending},
+		{"answered before the lease expires", []View{viewOf(1, 0, stable)}, Duration - 1, ValidityConfirmed},
+		{"answered when the lease expires", []View{viewOf(1, 0, stable)}, Duration, ValidityPending},
 		{"a later view of the same epoch", []View{viewOf(1, 0, stable), viewOf(2, Duration, stable)}, Duration + 1, ValidityConfirmed},
-		{"the same version seen later", []View{viewOf(1, 0, stable), viewOf(1, Duration, stable)}, Duration + 1, ValidityConfirmed},
+		{"the same version read later", []View{viewOf(1, 0, stable), viewOf(1, Duration, stable)}, Duration + 1, ValidityConfirmed},
 		{
 			"the primary is being replaced",
 			[]View{viewOf(1, 0, stable), viewOf(2, 1, GroupRow{Epoch: 4, Phase: PhaseChanging, Primary: "a"})},
 			0, ValidityReplaced,
 		},
 		{
-			"the same primary again, of another epoch",
+			"the same primary in another epoch",
 			[]View{viewOf(1, 0, stable), viewOf(5, 1, GroupRow{Epoch: 5, Phase: PhaseStable, Primary: "a"})},
 			0, ValidityReplaced,
 		},
 		{
-			"an older version does not count",
+			"an older version is ignored",
 			[]View{viewOf(2, 0, GroupRow{Epoch: 4, Phase: PhaseChanging}), viewOf(1, time.Hour, stable)},
 			0, ValidityReplaced,
 		},
 		{
-			"a newer version whose bound is looser",
+			"a newer version with an earlier lower bound of its read",
 			[]View{viewOf(1, Duration, stable), viewOf(2, 0, stable)},
 			Duration + 1, ValidityConfirmed,
 		},
 		{
-			"this instance is no member",
+			"this instance is not a member",
 			[]View{{Version: 1, ReadStartedAt: at(0), Rows: map[model.GroupID]GroupRow{"ratings": stable}}},
 			0, ValidityPending,
 		},
@@ -71,8 +71,8 @@
 	}
 }
 
-// A verdict that is pending waits for the view that tells.
-func TestAwait(t *testing.T) {
+// AwaitValidity waits for the view that decides a pending validity.
+func TestAwaitValidity(t *testing.T) {
 	stable := GroupRow{Epoch: 3, Phase: PhaseStable, Primary: "a"}
 	for name, c := range map[string]struct {
 		next View
@@ -84,10 +84,10 @@
 		t.Run(name, func(t *testing.T) {
 			table := NewTable()
 			table.Update(viewOf(1, 0, stable))
-			verdicts := make(chan Validity, 1)
-			go func() { verdicts <- table.AwaitValidity(grant, at(Duration), nil) }()
+			validities := make(chan Validity, 1)
+			go func() { validities <- table.AwaitValidity(grant, at(Duration), nil) }()
 			table.Update(c.next)
-			if diff := cmp.Diff(c.want, <-verdicts); diff != "" {
+			if diff := cmp.Diff(c.want, <-validities); diff != "" {
 				t.Error(diff)
 			}
 		})
@@ -101,11 +101,11 @@
 	}
 }
 
-func TestGrantNamesNoPrimaryWhileItChanges(t *testing.T) {
+func TestNoGrantDuringFailover(t *testing.T) {
 	table := NewTable()
 	table.Update(viewOf(1, 0, GroupRow{Epoch: 4, Phase: PhaseChanging, Primary: "a"}))
 	if got, found := table.Grant("ratings"); found {
-		t.Errorf("granted %+v", got)
+		t.Errorf("got grant %+v while the primary is being replaced", got)
 	}
 	table.Update(viewOf(2, 0, GroupRow{Epoch: 5, Phase: PhaseStable, Primary: "b"}))
 	got, _ := table.Grant("ratings")
--- a/internal/core/succession/succession.go
+++ b/internal/core/succession/succession.go
@@ -1,21 +1,21 @@
-// Package succession decides when a group needs another primary, and which
-// database that is.
+// Package succession decides when a group needs a failover, and which database becomes
+// the new primary.
 //
 // # What flows in and out
 //
-// Evidence flows in: what the directory says of the primary, and for how long
-// each live instance has had no answer of it. A reason flows out where the
-// primary has to be replaced. Candidates flow in with how far their logs reach;
-// the one to promote flows out.
+// Evidence about the primary flows in: its entry in the directory, and how many live
+// instances it has not answered for some time. The reason for a failover flows out,
+// if one is needed. Candidates with the ends of their logs flow in; the database to
+// promote flows out.
 //
-// One instance without answers proves only that its own path is broken. A change
-// for silence therefore takes a majority of the instances that could use the
-// primary: those that were heard and have contact with the store.
+// If a single instance gets no answers, only its own network path may be broken. A
+// failover of an unresponsive primary therefore requires a majority of the instances
+// that could use the primary: those whose messages arrive and that reach the store.
 //
 // # Usage
 //
-//	if reason, needed := succession.Judge(evidence); needed { ... }
-//	chosen, found := succession.Choose(candidates, acknowledged)
+//	if reason, needed := succession.FailoverReason(evidence); needed { ... }
+//	chosen, found := succession.ChooseCandidate(candidates, acknowledged)
 package succession
 
 import (
@@ -24,25 +24,25 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// SilenceThreshold is how long instances must have been without an answer before they
-// count against a primary. It is longer than all but the slowest statements, and
-// than a reset of all connections lasts.
+// SilenceThreshold is how long an instance must have been without an answer before it
+// counts against the primary. It is longer than all but the slowest statements take,
+// and longer than a reset of all connections takes.
 const SilenceThreshold = 500 * time.Millisecond
 
-// Evidence is what is known of a group's primary.
+// Evidence is what is known about a group's primary.
 type Evidence struct {
-	// PrimaryListed says that the primary's entry exists, and PrimaryLeaving that it says it
-	// leaves.
+	// PrimaryListed is true if the directory has an entry for the primary,
+	// PrimaryLeaving if that entry marks it as leaving.
 	PrimaryListed, PrimaryLeaving bool
-	// Observers is the number of instances that were heard and know whether the
-	// primary answers them, and UnansweredObservers that of those which it has not answered
-	// for SilenceThreshold.
+	// Observers is the number of instances whose messages arrive and that know whether
+	// the primary answers them. UnansweredObservers is the number of those that it has
+	// not answered for SilenceThreshold.
 	Observers, UnansweredObservers int
-	// Replacements is the number of the group's other databases that stay.
+	// Replacements is the number of the group's other databases that are not leaving.
 	Replacements int
 }
 
-// FailoverReason tells why a primary has to be replaced, and whether it has.
+// FailoverReason returns whether the primary has to be replaced, and the reason.
 func FailoverReason(e Evidence) (reason string, needed bool) {
 	if e.Replacements == 0 {
 		return "", false
@@ -62,16 +62,17 @@
 // Candidate is a database that could be promoted.
 type Candidate struct {
 	ID model.DatabaseID
-	// ReceivedPosition is how far its log reaches.
+	// ReceivedPosition is the end of its log.
 	ReceivedPosition model.Position
 	Leaving          bool
-	// IsPrimary says that it has been promoted already.
+	// IsPrimary is true if the database has been promoted already.
 	IsPrimary bool
 }
 
-// ChooseCandidate returns the candidate with the longest log; of equal ones that which
-// leads. Databases that leave are taken only where no other is there. Acknowledged is a position that the log
-// must hold, or zero.
+// ChooseCandidate returns the candidate with the highest received position, and
+// whether there is one. Of candidates with equal positions it prefers one that is
+// already primary. It returns a leaving database only if there is no other candidate.
+// The log of a candidate must hold the position acknowledged, unless that is zero.
 func ChooseCandidate(candidates []Candidate, acknowledged model.Position) (model.DatabaseID, bool) {
 	var best *Candidate
 	for i := range candidates {
