--- a/internal/core/clock/clock.go
+++ b/internal/core/clock/clock.go
@@ -1,18 +1,18 @@
-// Package clock tells the time by which leases, ages and time-outs are judged.
+// Package clock provides the time by which leases, ages and timeouts are measured.
 //
 // # What flows in and out
 //
-// Nothing flows in. Now gives the time since the machine booted, as a
-// time.Time that serves for differences only: it goes on while the machine is
-// suspended and ignores changes of the time of day. Go's monotonic clock stands
-// still during a suspension, so that a lease judged by it would outlive its
-// length.
+// The package has no inputs. Now returns the time since the machine booted, as a
+// time.Time that is meaningful for differences only: it advances while the machine is
+// suspended and ignores changes of the time of day. Go's monotonic clock stops during
+// a suspension, so that a lease measured by it would be used for longer than its
+// duration.
 //
 // # Usage
 //
-//	began := clock.Now()
+//	start := clock.Now()
 //	...
-//	age := clock.Since(began)
+//	age := clock.Since(start)
 package clock
 
 import (
@@ -21,16 +21,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since boot, suspensions included.
+// Now returns the time since boot, including suspensions.
 func Now() time.Time {
-	var since unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &since); err != nil {
-		// The clock is part of every kernel since 2.6.39; without it no age
-		// could be trusted.
+	var uptime unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &uptime); err != nil {
+		// Every Linux kernel since 2.6.39 has this clock. Without it no age could be
+		// measured reliably.
 		panic(err)
 	}
-	return time.Unix(since.Sec, since.Nsec)
+	return time.Unix(uptime.Sec, uptime.Nsec)
 }
 
-// Since returns the time that has passed since began, which Now has given.
-func Since(began time.Time) time.Duration { return Now().Sub(began) }
+// Since returns the time that has passed since start, a value that Now returned.
+func Since(start time.Time) time.Duration { return Now().Sub(start) }
--- a/internal/core/model/model.go
+++ b/internal/core/model/model.go
@@ -1,11 +1,11 @@
-// Package model holds the vocabulary that every other package shares:
-// identifiers, log positions, session tokens, ranks and outcomes.
+// Package model defines the types that every other package shares: identifiers, log
+// positions, session tokens, ranks, kinds of access and roles.
 //
 // # What flows in and out
 //
-// Nothing flows: the package has values only. It imports no other package of
-// the project, so that the decisions (internal/core), the wires
-// (internal/edge) and the stand-ins may all use the same words.
+// The package defines values only. It imports no other package of the project, so
+// that the decisions (internal/core), the protocol adapters (internal/edge) and the
+// simulated databases and platform (internal/standin) can all use the same types.
 //
 // # Usage
 //
@@ -23,21 +23,21 @@
 // -----------------------------------------------------------------------------
 // Identifiers.
 
-// InstanceID names one running process of eelgrassfold, unique for one start
-// of it: a restarted process has another.
+// InstanceID identifies one running process of eelgrassfold. A restarted process has
+// another ID.
 type InstanceID string
 
 // ZoneID names an availability zone.
 type ZoneID string
 
-// GroupID names a group of databases that replicate one log. Callers give it
-// as the database name when they connect.
+// GroupID names a group of databases that replicate one log. Callers send it as the
+// database name when they connect.
 type GroupID string
 
 // DatabaseID names one database of a group.
 type DatabaseID string
 
-// CallerID names who a session works for: the user name of its connection.
+// CallerID identifies the caller of a session: the user name of its connection.
 type CallerID string
 
 // SessionID numbers a caller's connection on one instance.
@@ -47,15 +47,16 @@
 // transaction, or a whole transaction.
 type RequestID uint64
 
-// Attempt numbers the tries of one request, from 1.
+// Attempt numbers the attempts of one request, from 1.
 type Attempt uint32
 
-// Term numbers the reigns of primaries in a group. A higher term replaces a
-// lower one.
+// Term numbers the successive primaries of a group. A primary of a higher term
+// replaces one of a lower term.
 type Term uint64
 
-// Nonce tells whose change a row or a database holds, so that a lost answer
-// can be settled by reading.
+// Nonce identifies the author of a change in a row or a database. An instance whose
+// request was not answered reads the nonce to determine whether its change took
+// effect.
 type Nonce string
 
 // -----------------------------------------------------------------------------
@@ -76,7 +77,7 @@
 	return p.Offset < q.Offset
 }
 
-// IsZero reports whether p is the place before the first entry.
+// IsZero reports whether p is the position before the first entry.
 func (p Position) IsZero() bool { return p == Position{} }
 
 // String formats p as "term:offset", the form that databases report.
@@ -92,9 +93,9 @@
 	return p
 }
 
-// PositionError reports text that is not a position.
+// PositionError is the error for a text that is not a position.
 type PositionError struct {
-	// Text is what was read.
+	// Text is the text that could not be parsed.
 	Text string
 }
 
@@ -103,18 +104,18 @@
 	return fmt.Sprintf("%q is not a position of the form term:offset", e.Text)
 }
 
-// ParsePosition reads the form that Position.String writes. Its error is a
+// ParsePosition parses the form that Position.String returns. Its error is a
 // *PositionError.
 func ParsePosition(text string) (Position, error) {
-	head, tail, found := strings.Cut(text, ":")
+	termText, offsetText, found := strings.Cut(text, ":")
 	if !found {
 		return Position{}, &PositionError{Text: text}
 	}
-	term, err := strconv.ParseUint(head, 10, 64)
+	term, err := strconv.ParseUint(termText, 10, 64)
 	if err != nil {
 		return Position{}, &PositionError{Text: text}
 	}
-	offset, err := strconv.ParseUint(tail, 10, 64)
+	offset, err := strconv.ParseUint(offsetText, 10, 64)
 	if err != nil {
 		return Position{}, &PositionError{Text: text}
 	}
@@ -124,8 +125,8 @@
 // -----------------------------------------------------------------------------
 // Session tokens.
 
-// Token is what a caller carries from one instance to another to go on seeing
-// its own writes. Its text form is "group/term:offset".
+// Token is a session token. A caller presents it to another instance to continue to
+// read its own writes. Its text form is "group/term:offset".
 type Token struct {
 	Group    GroupID
 	Position Position
@@ -134,9 +135,9 @@
 // String formats t as "group/term:offset".
 func (t Token) String() string { return string(t.Group) + "/" + t.Position.String() }
 
-// TokenError reports text that is not a session token.
+// TokenError is the error for a text that is not a session token.
 type TokenError struct {
-	// Text is what was read.
+	// Text is the text that could not be parsed.
 	Text string
 }
 
@@ -145,40 +146,39 @@
 	return fmt.Sprintf("%q is not a session token of the form group/term:offset", e.Text)
 }
 
-// ParseToken reads the form that Token.String writes. Its error is a
-// *TokenError.
+// ParseToken parses the form that Token.String returns. Its error is a *TokenError.
 func ParseToken(text string) (Token, error) {
-	cut := strings.LastIndexByte(text, '/')
-	if cut <= 0 {
+	separator := strings.LastIndexByte(text, '/')
+	if separator <= 0 {
 		return Token{}, &TokenError{Text: text}
 	}
-	position, err := ParsePosition(text[cut+1:])
+	position, err := ParsePosition(text[separator+1:])
 	if err != nil {
 		return Token{}, &TokenError{Text: text}
 	}
-	return Token{Group: GroupID(text[:cut]), Position: position}, nil
+	return Token{Group: GroupID(text[:separator]), Position: position}, nil
 }
 
 // -----------------------------------------------------------------------------
 // Ranks and access.
 
-// Rank orders work by urgency: 0 is the most urgent. The manifest gives each
-// rank its name.
+// Rank is the priority class of a request: 0 is the most urgent. The manifest gives
+// each rank a name.
 type Rank int
 
-// Access tells what a kind of work does to the databases.
+// Access is the kind of access that a request needs to a database.
 type Access int
 
 // The values of Access.
 const (
-	// AccessWrite goes to the primary, and its commit is acknowledged under
-	// proof.
+	// AccessWrite requires the primary. Its commit is acknowledged only once the
+	// primary is confirmed or the commit's position is durable.
 	AccessWrite Access = iota
-	// AccessRead may go to any database that is fresh enough.
+	// AccessRead is served by any database that is fresh enough.
 	AccessRead
 )
 
-// String names a in the words of the manifest.
+// String returns the name of a in the manifest.
 func (a Access) String() string {
 	if a == AccessRead {
 		return "read"
@@ -186,7 +186,7 @@
 	return "write"
 }
 
-// Role tells what a database says that it is.
+// Role is the replication role that a database reports.
 type Role int
 
 // The values of Role.
@@ -197,7 +197,7 @@
 	RolePrimary
 )
 
-// String names r in the words that databases report.
+// String returns the name of r as databases report it.
 func (r Role) String() string {
 	if r == RolePrimary {
 		return "primary"
--- a/internal/core/model/rendezvous_test.go
+++ b/internal/core/model/rendezvous_test.go
@@ -6,9 +6,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The places of instances are all different, and without one of them the others
-// keep their order.
-func TestPlace(t *testing.T) {
+// The ranks of instances are all different, and the others keep their order when one
+// instance is removed.
+func TestRendezvousRank(t *testing.T) {
 	all := []InstanceID{"i1", "i2", "i3", "i4"}
 	order := func(ids []InstanceID) []InstanceID {
 		sorted := make([]InstanceID, len(ids))
@@ -17,15 +17,15 @@
 		}
 		return sorted
 	}
-	whole := order(all)
-	without := order([]InstanceID{"i1", "i2", "i4"})
-	var rest []InstanceID
-	for _, id := range whole {
+	orderOfAll := order(all)
+	orderWithout := order([]InstanceID{"i1", "i2", "i4"})
+	var wantOrder []InstanceID
+	for _, id := range orderOfAll {
 		if id != "i3" {
-			rest = append(rest, id)
+			wantOrder = append(wantOrder, id)
 		}
 	}
-	if diff := cmp.Diff(rest, without); diff != "" {
+	if diff := cmp.Diff(wantOrder, orderWithout); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -1,10 +1,11 @@
-// Package route holds the configuration that routes callers' work: which group
-// a name stands for, and what its reads and writes are owed.
+// Package route holds the configuration by which callers' statements are routed: the
+// group to which a route name refers, and the consistency, timeout and rank of its
+// statements.
 //
 // # What flows in and out
 //
-// Nothing flows: the package has values only. They are decoded once, where the
-// configuration comes from, and never changed after that.
+// The package defines values only. They are decoded by the package that reads the
+// configuration and are not modified afterwards.
 //
 // # Usage
 //
@@ -17,7 +18,7 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// Consistency tells what reads of a route may miss.
+// Consistency defines which commits the reads of a route may miss.
 type Consistency int
 
 // The values of Consistency.
@@ -25,45 +26,48 @@
 	// ConsistencyPrimary: a read misses no commit that was acknowledged before
 	// it began.
 	ConsistencyPrimary Consistency = iota
-	// ConsistencyBounded: a read misses no commit that was acknowledged longer
-	// than Route.Staleness before it began.
+	// ConsistencyBounded: a read misses no commit that was acknowledged more than
+	// Route.MaxStaleness before it began.
 	ConsistencyBounded
-	// ConsistencyReadYourWrites: as ConsistencyBounded, and no commit of its own session.
+	// ConsistencyReadYourWrites: as ConsistencyBounded, and a read misses no commit of
+	// its own session.
 	ConsistencyReadYourWrites
 )
 
-// String names c for log lines.
+// String returns the name of c for log lines.
 func (c Consistency) String() string { return [...]string{"primary", "bounded", "own"}[c] }
 
-// Route is what a name that callers connect to stands for.
+// Route describes how statements are handled for one route name to which callers
+// connect.
 type Route struct {
 	Name        string
 	Group       model.GroupID
 	Consistency Consistency
-	// MaxStaleness is the greatest age of what a read may show; see Consistency.
+	// MaxStaleness is the maximum age of the data that a read returns; see Consistency.
 	MaxStaleness time.Duration
-	// Timeout bounds one statement, LatencyTarget is the aim for a whole operation.
+	// Timeout is the limit for one statement, LatencyTarget the target for a whole
+	// operation.
 	Timeout, LatencyTarget time.Duration
 	Rank                   model.Rank
 }
 
-// Group is what the configuration says of a group of databases.
+// Group is the configuration of a group of databases.
 type Group struct {
 	Name model.GroupID
-	// MaxConnections is the number of connections that each database takes from
-	// all instances together.
+	// MaxConnections is the maximum number of connections to each database from all
+	// instances together.
 	MaxConnections int
-	// SynchronousReplication says that the databases acknowledge a commit only once a
+	// SynchronousReplication is true if the databases acknowledge a commit only once a
 	// replica has received it.
 	SynchronousReplication bool
 }
 
-// Configuration is one version of all routes.
+// Configuration is one version of all routes and groups.
 type Configuration struct {
 	Version uint64
 	Routes  map[string]Route
 	Groups  map[model.GroupID]Group
-	// IdleTransactionTimeout is how long a transaction may rest before it is rolled
-	// back; zero sets no limit.
+	// IdleTransactionTimeout is how long a transaction may be idle before it is rolled
+	// back; zero means no limit.
 	IdleTransactionTimeout time.Duration
 }
--- a/internal/core/statement/statement.go
+++ b/internal/core/statement/statement.go
@@ -1,16 +1,16 @@
-// Package statement holds what callers ask for and what databases answer, in
-// the words of no protocol.
+// Package statement defines the statements of callers and the answers of databases,
+// independently of any protocol.
 //
 // # What flows in and out
 //
-// Nothing flows: the package has values only. A codec of a caller's protocol
-// makes statements and writes answers; a codec of a database's protocol writes
-// statements and makes answers. The session between them decides by a type
+// The package defines values only. A codec of a caller's protocol decodes statements
+// and encodes answers; a codec of a database's protocol encodes statements and
+// decodes answers. The session between them distinguishes statements by a type
 // switch.
 //
 // # Usage
 //
-//	switch s := asked.(type) {
+//	switch s := request.Statement.(type) {
 //	case statement.Begin:
 //		...
 //	}
@@ -21,16 +21,16 @@
 // -----------------------------------------------------------------------------
 // Statements.
 
-// Statement is what a caller, or the proxy itself, wants of a database.
+// Statement is a statement that a caller, or the proxy itself, sends to a database.
 type Statement interface{ isStatement() }
 
-// Begin opens a transaction. One that is ReadOnly may run at a replica.
+// Begin starts a transaction. A ReadOnly transaction may run at a replica.
 type Begin struct{ ReadOnly bool }
 
-// Commit ends a transaction and keeps what it wrote.
+// Commit ends a transaction and makes its writes permanent.
 type Commit struct{}
 
-// Rollback ends a transaction and drops what it wrote.
+// Rollback ends a transaction and discards its writes.
 type Rollback struct{}
 
 // Read reads items. Text is the statement as the caller wrote it.
@@ -39,33 +39,34 @@
 // Write changes items. Text is the statement as the caller wrote it.
 type Write struct{ Text string }
 
-// Set gives a session value.
+// Set assigns a value to a session variable.
 type Set struct{ Name, Value string }
 
-// Prepare names a statement of a shape for later use by Execute.
+// Prepare names a statement template for later use by Execute.
 type Prepare struct {
 	Name     string
 	Access   model.Access
 	Template string
 }
 
-// Execute runs a prepared statement. Arguments are passed on as they are.
+// Execute runs a prepared statement. Arguments are forwarded unchanged.
 type Execute struct{ Name, Arguments string }
 
-// Deallocate forgets the name of a prepared statement.
+// Deallocate removes a prepared statement.
 type Deallocate struct{ Name string }
 
-// Discard clears the values and prepared statements of a connection to a
+// Discard clears the session variables and prepared statements of a connection to a
 // database. Only the proxy uses it.
 type Discard struct{}
 
-// QueryStatus asks a database for its Standing. Only the proxy uses it.
+// QueryStatus asks a database for its ServerStatus. Only the proxy uses it.
 type QueryStatus struct{}
 
-// StepDown makes a primary of a lower term a replica. Only the proxy uses it.
+// StepDown demotes a primary of a term lower than Term to a replica. Only the proxy
+// uses it.
 type StepDown struct{ Term model.Term }
 
-// Malformed is a statement that the caller's codec could not read.
+// Malformed is a statement that the caller's codec could not parse.
 type Malformed struct{}
 
 func (Begin) isStatement()       {}
@@ -82,53 +83,53 @@
 func (StepDown) isStatement()    {}
 func (Malformed) isStatement()   {}
 
-// Request is one statement on its way to a database.
+// Request is one statement to be sent to a database.
 type Request struct {
-	// ID is the request's id as the caller gave it; it is empty for the proxy's
+	// ID is the ID that the caller gave to the request. It is empty for the proxy's
 	// own statements.
 	ID        string
 	Statement Statement
 	// MinPosition is the position that the database's log must have reached; zero
-	// asks for nothing.
+	// means no requirement.
 	MinPosition model.Position
 }
 
 // -----------------------------------------------------------------------------
 // Answers.
 
-// TransactionState tells where a session stands after an answer.
+// TransactionState is the state of a session's transaction after an answer.
 type TransactionState int
 
-// The values of State.
+// The values of TransactionState.
 const (
 	// TransactionStateIdle: no transaction is open.
 	TransactionStateIdle TransactionState = iota
 	// TransactionStateOpen: a transaction is open.
 	TransactionStateOpen
-	// TransactionStateFailed: a transaction has failed and waits for its end.
+	// TransactionStateFailed: a transaction has failed and has not been ended yet.
 	TransactionStateFailed
 )
 
-// Answer is what came back for one statement.
+// Answer is the response to one statement.
 type Answer struct {
-	// Rows are passed on as they came.
+	// Rows are forwarded unchanged.
 	Rows []string
-	// Signature is the database's receipt; it is empty for an answer of the
-	// proxy itself.
+	// Signature is the database's receipt. It is empty for an answer of the proxy
+	// itself.
 	Signature string
-	// Failure is nil for a success.
+	// Failure is nil on success.
 	Failure          *FailureError
 	TransactionState TransactionState
-	// Position is how far the database's log reached.
+	// Position is the end of the database's log.
 	Position model.Position
 }
 
-// FailureError is an answer that is no success. It implements error.
+// FailureError is the error of an answer.
 type FailureError struct {
 	Code Code
-	// Message goes to the caller beside the code.
+	// Message is sent to the caller with the code.
 	Message string
-	// RawCode is the code as the database wrote it, where Code is CodeUnrecognized.
+	// RawCode is the code as the database sent it, if Code is CodeUnrecognized.
 	RawCode string
 }
 
@@ -140,43 +141,43 @@
 	return f.Code.String() + ": " + f.Message
 }
 
-// Code tells what a failure promises.
+// Code classifies a failure by what it guarantees about the statement.
 type Code int
 
-// The values of Code. The first group promises that nothing is kept.
+// The values of Code. The first group guarantees that no write was kept.
 const (
-	// CodeBusy: it did not run, for lack of room.
+	// CodeBusy: the statement did not run, since the database had no free slot.
 	CodeBusy Code = iota
 	// CodeAborted: the transaction was rolled back.
 	CodeAborted
-	// CodeBehind: the database's log lacks the position asked for.
+	// CodeBehind: the database's log lacks the minimum position.
 	CodeBehind
-	// CodeNotPrimary: the database is no primary.
+	// CodeNotPrimary: the database is not a primary.
 	CodeNotPrimary
 	// CodeWrongDatabase: another database answers at this address.
 	CodeWrongDatabase
-	// CodeConnectionLimit: the database takes no further connection.
+	// CodeConnectionLimit: the database accepts no further connection.
 	CodeConnectionLimit
 
-	// CodePreparedStatementNotFound: no prepared statement has that name; it did not run.
+	// CodePreparedStatementNotFound: no prepared statement has that name; nothing ran.
 	CodePreparedStatementNotFound
-	// CodeMalformed: the statement could not be read, or does not fit the
+	// CodeMalformed: the statement could not be parsed, or is not allowed in the
 	// session's state; it did not run.
 	CodeMalformed
 	// CodeGroupNotFound: no group has that name.
 	CodeGroupNotFound
 
-	// CodeExecutionFailed: it ran and failed.
+	// CodeExecutionFailed: the statement ran and failed.
 	CodeExecutionFailed
-	// CodeTimeout: it may have run, and took too long.
+	// CodeTimeout: the statement timed out; it may have run.
 	CodeTimeout
-	// CodeOutcomeUnknown: it can't be known whether it was committed.
+	// CodeOutcomeUnknown: it cannot be determined whether the statement was committed.
 	CodeOutcomeUnknown
-	// CodeUnrecognized: a code of the database that has no meaning here.
+	// CodeUnrecognized: the database sent a code that is not known here.
 	CodeUnrecognized
 )
 
-// String names c for log lines.
+// String returns the name of c for log lines.
 func (c Code) String() string {
 	return [...]string{
 		"busy", "aborted", "behind", "read-only", "wrong-database", "connection-limit",
@@ -184,18 +185,20 @@
 	}[c]
 }
 
-// GuaranteesNotExecuted reports whether the code says that the statement did not run.
+// GuaranteesNotExecuted reports whether the code guarantees that the statement did not
+// run.
 func (c Code) GuaranteesNotExecuted() bool {
 	return c <= CodeConnectionLimit && c != CodeAborted || c == CodePreparedStatementNotFound
 }
 
-// ServerStatus is what a database says of itself.
+// ServerStatus is the status that a database reports.
 type ServerStatus struct {
 	Role model.Role
-	// Term is the newest that the database has accepted.
+	// Term is the newest term that the database has accepted.
 	Term model.Term
-	// ReceivedPosition is how far its log reaches.
+	// ReceivedPosition is the end of its log.
 	ReceivedPosition model.Position
-	// SlotsInUse is the number of slots in use, ConnectionsInUse that of its connections.
+	// SlotsInUse and ConnectionsInUse are the numbers of its slots and connections in
+	// use.
 	SlotsInUse, ConnectionsInUse int
 }
