--- a/internal/core/message/action_caller.go
+++ b/internal/core/message/action_caller.go
@@ -11,130 +11,133 @@
 	Request  model.RequestID
 	Attempt  model.Attempt
 	Database model.DatabaseID
-	// Access tells what the work may do: with AccessRead the database is told
-	// to refuse writes.
+	// Access is the kind of access that the request needs. With AccessRead the
+	// database is set to reject writes.
 	Access model.Access
-	// HoldUntilDurable says that no row may go to the caller before the position of the
-	// answer is proven: it is at or below the last Proven of the group in the
-	// same term, or the edge sends ResultHeld and waits for Release. Answers of
-	// a primary are gated always.
+	// HoldUntilDurable is true if no row may be sent to the caller before the position
+	// of the answer is durable. The position is durable if it is at or below the last
+	// SetDurablePosition of the group in the same term. Otherwise the adapter posts
+	// ResultHeld and waits for ReleaseResult. Answers of a primary are always held
+	// until they are durable.
 	HoldUntilDurable bool
-	// Term is sent along; a database in another term refuses the work.
+	// Term is sent with the request; a database in another term rejects the request.
 	Term model.Term
-	// IdempotencyKey is the idempotency key, sent along with writes.
+	// IdempotencyKey is sent with writes.
 	IdempotencyKey string
-	// MinPosition is the oldest position whose state the caller may see. The
-	// edge compares the answer's own position before the first row.
+	// MinPosition is the oldest position whose state the caller may see. The adapter
+	// compares it with the position of the answer before it forwards the first row.
 	MinPosition model.Position
-	// Token, where it is set, is given to the caller with the answer: a barrier
-	// has shown how far the session's earlier writes reach.
+	// Token, if it is set, is sent to the caller with the answer: a position barrier
+	// has determined the position of the session's earlier writes.
 	Token model.Token
-	// Deadline is when the caller's deadline ends.
+	// Deadline is the end of the caller's deadline.
 	Deadline time.Time
-	// SilenceTimeout is the time after which a silent connection is checked by
-	// asking the same database on a new one.
+	// SilenceTimeout is the time after which an unresponsive connection is checked by
+	// probing the same database on a new one.
 	SilenceTimeout time.Duration
 }
 
-// ReleaseResult lets a held answer go to the caller: its position is proven.
+// ReleaseResult releases a held answer to the caller, since its position is durable.
 type ReleaseResult struct {
 	Request model.RequestID
 	Attempt model.Attempt
 }
 
-// SetDurablePosition tells the caller edge up to which position a group's log is proven to
-// survive a promotion. It replaces what was told before, and holds for
-// positions of the same term only.
+// SetDurablePosition gives the caller adapter the position up to which a group's log is
+// durable, so that it survives any promotion. It replaces the previous position of the
+// group and applies to positions of the same term only.
 type SetDurablePosition struct {
 	Group    model.GroupID
 	Position model.Position
 }
 
-// AcknowledgeCommit lets the answer of a commit go to the caller, with the session's
-// new token. Where the connection was lost with the answer, the edge tells the
-// caller that the work is committed and its answer is lost.
+// AcknowledgeCommit releases the answer of a commit to the caller, with the session's
+// new token. If the answer was lost with its connection, the adapter reports to the
+// caller that the transaction is committed and its answer was lost.
 type AcknowledgeCommit struct {
 	Request model.RequestID
 	Attempt model.Attempt
 	Token   model.Token
 }
 
-// RefuseRequest ends a request that did not run: the caller gets the error "not run"
-// (a SQLSTATE by Why).
+// RefuseRequest ends a request that did not run: the caller gets the error "not run",
+// with a SQLSTATE by Reason.
 type RefuseRequest struct {
 	Request model.RequestID
 	Reason  RefusalReason
-	// RetryAfter hints when to come again; zero where there is no telling.
+	// RetryAfter is the suggested time until a retry; zero if it is unknown.
 	RetryAfter time.Duration
-	// Detail goes into the error's detail field.
+	// Detail is sent in the detail field of the error.
 	Detail string
 }
 
-// RefusalReason tells why a request was not run.
+// RefusalReason is the reason why a request was not run.
 type RefusalReason int
 
 // The values of RefusalReason.
 const (
-	// RefuseOverload: the queue is full, or the request can't be in time.
+	// RefuseOverload: the queue is full, or the request cannot be answered in time.
 	RefuseOverload RefusalReason = iota
-	// RefuseNoPrimary: no primary is proven inside the deadline.
+	// RefuseNoPrimary: no primary was confirmed before the deadline.
 	RefuseNoPrimary
-	// RefuseNoFreshDatabase: no database is fresh enough inside the deadline.
+	// RefuseNoFreshDatabase: no database was fresh enough before the deadline.
 	RefuseNoFreshDatabase
 	// RefuseUnknownGroup: the manifest has no such group.
 	RefuseUnknownGroup
-	// RefuseUnknownKind: the manifest has no such kind of work.
+	// RefuseUnknownKind: the manifest has no such request kind.
 	RefuseUnknownKind
-	// RefuseDraining: the instance is shutting down.
+	// RefuseDraining: the instance is draining.
 	RefuseDraining
-	// RefuseNotCommitted: a lost commit is proven not to have happened, and the
-	// work may not be repeated.
+	// RefuseNotCommitted: an in-doubt commit was resolved as not committed, and the
+	// request is not retryable.
 	RefuseNotCommitted
-	// RefuseDeadline: the deadline ended before the work was sent.
+	// RefuseDeadline: the deadline passed before the request was sent.
 	RefuseDeadline
-	// RefuseCanceled: the caller withdrew it before it was sent.
+	// RefuseCanceled: the caller canceled the request before it was sent.
 	RefuseCanceled
-	// RefuseDuplicateKey: the caller's own key was committed or settled before.
+	// RefuseDuplicateKey: the caller's own idempotency key has already been committed
+	// or resolved.
 	RefuseDuplicateKey
 )
 
-// String names w for log lines.
-func (w RefusalReason) String() string {
+// String returns the name of r for log lines.
+func (r RefusalReason) String() string {
 	return [...]string{
 		"overload", "no-primary", "stale", "unknown-group", "unknown-kind",
 		"draining", "settled", "deadline", "canceled", "duplicate",
-	}[w]
+	}[r]
 }
 
-// AbortRequest ends a request whose attempt is running or was lost.
+// AbortRequest ends a request whose attempt is running or whose answer was lost.
 type AbortRequest struct {
 	Request model.RequestID
 	Attempt model.Attempt
-	// OutcomeUnknown says that it can't be known whether the work was committed
-	// (SQLSTATE 08007). Without it nothing was committed (SQLSTATE 40001 or
-	// 57014), but a part of the answer may have gone to the caller.
+	// OutcomeUnknown is true if it cannot be determined whether the request was
+	// committed (SQLSTATE 08007). Otherwise nothing was committed (SQLSTATE 40001 or
+	// 57014), but a part of the answer may have been sent to the caller.
 	OutcomeUnknown bool
-	// Reason is a short reason for the error's detail field.
+	// Reason is a short reason for the detail field of the error.
 	Reason string
 }
 
-// CancelStatement asks the edge to cancel the running statement of an attempt at its
-// database; the attempt still ends by an AttemptEnded.
+// CancelStatement cancels the running statement of an attempt at its database. The
+// attempt still ends with an AttemptEnded.
 type CancelStatement struct {
 	Request model.RequestID
 	Attempt model.Attempt
 }
 
-// CloseConnection asks the edge to close the connection of an attempt at once, since its
-// database has been replaced; the attempt still ends by an AttemptEnded with
-// OutcomeConnectionLost. It may cross an AttemptEnded on its way and is then of no effect.
+// CloseConnection closes the connection of an attempt at once, since its database has
+// been replaced as the primary. The attempt still ends with an AttemptEnded with
+// OutcomeConnectionLost. If an AttemptEnded has already been posted, CloseConnection
+// has no effect.
 type CloseConnection struct {
 	Request model.RequestID
 	Attempt model.Attempt
 }
 
-// Drain tells the caller edge to accept no further connection and to close
-// each one when it is idle.
+// Drain makes the caller adapter accept no further connections and close each
+// connection once it is idle.
 type Drain struct{}
 
 func (Dispatch) isAction()           {}
--- a/internal/core/message/action_database.go
+++ b/internal/core/message/action_database.go
@@ -14,7 +14,7 @@
 	Timeout       time.Duration
 }
 
-// AwaitPosition asks a database to answer with its status as soon as its log has
+// AwaitPosition asks a database to respond with its status as soon as its log has
 // received Position, or its term has changed, or Timeout has passed.
 type AwaitPosition struct {
 	Database      model.DatabaseID
@@ -23,8 +23,8 @@
 	Timeout       time.Duration
 }
 
-// Fence raises a database's term: it then refuses commits and streams of lower
-// terms.
+// Fence raises a database's term. The database then rejects commits and replication
+// streams of lower terms.
 type Fence struct {
 	Database      model.DatabaseID
 	CorrelationID uint64
@@ -42,8 +42,8 @@
 	Timeout       time.Duration
 }
 
-// Follow tells a database to follow Source in Term; it drops what its log
-// holds beyond the common prefix.
+// Follow makes a database follow Source in Term. The database discards the entries of
+// its log after the common prefix.
 type Follow struct {
 	Database      model.DatabaseID
 	CorrelationID uint64
@@ -53,8 +53,8 @@
 	Timeout       time.Duration
 }
 
-// ResolveInDoubt asks the primary of Term whether Key was committed, and if not, to
-// log that it never will be.
+// ResolveInDoubt asks the primary of Term whether IdempotencyKey was committed. If not,
+// the primary logs that it never will be.
 type ResolveInDoubt struct {
 	Database       model.DatabaseID
 	CorrelationID  uint64
@@ -63,9 +63,9 @@
 	Timeout        time.Duration
 }
 
-// SetDatabases tells the database edge which databases exist, with their
-// addresses and the number of connections that this instance may open to each.
-// It replaces what was told before; connections to others are closed when idle.
+// SetDatabases gives the database adapter the list of databases, with their addresses
+// and the number of connections that this instance may open to each. It replaces the
+// previous list; connections to databases not listed are closed once they are idle.
 type SetDatabases struct{ Databases []DatabaseTarget }
 
 // DatabaseTarget is one database of SetDatabases.
@@ -74,7 +74,7 @@
 	Group       model.GroupID
 	Address     netip.AddrPort
 	Connections int
-	// Leaving says that idle connections shall be closed and none opened.
+	// Leaving is true if idle connections are to be closed and none opened.
 	Leaving bool
 }
 
--- a/internal/core/message/action_peer.go
+++ b/internal/core/message/action_peer.go
@@ -6,16 +6,16 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// SendPeer sends a message to a peer. It may be lost; nothing depends on its
-// arrival.
+// SendPeer sends a message to a peer. Delivery is not guaranteed, and correctness does
+// not depend on it.
 type SendPeer struct {
 	To   model.InstanceID
 	Body PeerMessage
 }
 
-// SetPeers tells the peer edge which links to keep. It replaces what was told
-// before. An entry without an Instance is a seed of the settings, whose name
-// is learnt when the link stands.
+// SetPeers gives the peer adapter the list of links to maintain. It replaces the
+// previous list. An entry without an Instance is a seed address from the settings; the
+// peer's name becomes known when the link is established.
 type SetPeers struct{ Peers []PeerTarget }
 
 // PeerTarget is one link of SetPeers.
--- a/internal/core/message/action_platform.go
+++ b/internal/core/message/action_platform.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// ReadRow asks for one row of the table service.
+// ReadRow reads one row of the table service.
 type ReadRow struct {
 	CorrelationID uint64
 	Table         string
@@ -10,8 +10,8 @@
 	Timeout       time.Duration
 }
 
-// ScanRows asks for the rows of a table whose keys begin with Prefix, in the
-// order of their keys.
+// ScanRows reads the rows of a table whose keys start with Prefix, in the order of
+// their keys.
 type ScanRows struct {
 	CorrelationID uint64
 	Table         string
@@ -19,23 +19,23 @@
 	Timeout       time.Duration
 }
 
-// WriteRows changes rows in one transaction: each row must be at the version
-// that it carries (empty: must not exist), or nothing is changed.
+// WriteRows changes rows in one transaction. Nothing is changed unless each row is at
+// the version given in Rows; an empty version means that the row must not exist.
 type WriteRows struct {
 	CorrelationID uint64
 	Rows          []Row
 	Timeout       time.Duration
 }
 
-// ReadObject asks for an object.
+// ReadObject reads an object.
 type ReadObject struct {
 	CorrelationID uint64
 	Name          string
 	Timeout       time.Duration
 }
 
-// WriteObject stores an object. Names are digests of the bodies, so writing
-// twice is harmless.
+// WriteObject stores an object. The name is a digest of the body, so that storing an
+// object twice is harmless.
 type WriteObject struct {
 	CorrelationID uint64
 	Name          string
@@ -43,7 +43,8 @@
 	Timeout       time.Duration
 }
 
-// ListInstances asks for the lagging list of instances.
+// ListInstances reads the platform's list of instances, which lags behind the actual
+// state.
 type ListInstances struct {
 	CorrelationID uint64
 	Timeout       time.Duration
--- a/internal/core/message/event_caller.go
+++ b/internal/core/message/event_caller.go
@@ -9,131 +9,132 @@
 // -----------------------------------------------------------------------------
 // Sessions.
 
-// SessionOpened tells that a caller has connected and is authenticated.
+// SessionOpened reports that a caller has connected and is authenticated.
 type SessionOpened struct {
 	Session model.SessionID
 	Group   model.GroupID
 	Caller  model.CallerID
-	// TokenPosition is the position of the token that the caller handed back, or
-	// zero where it handed none.
+	// TokenPosition is the position of the token that the caller presented, or zero if
+	// it presented none.
 	TokenPosition model.Position
-	// Roaming says that the caller spreads one session over several
-	// connections: each read then needs a token of its own or waits for a
-	// position barrier.
+	// Roaming is true for a multi-connection session: each read then needs its own
+	// token or waits for a position barrier.
 	Roaming bool
 }
 
-// SessionClosed tells that the caller's connection is gone. All requests of
-// the session have ended for the caller; their outcome no longer matters to it.
+// SessionClosed reports that the caller's connection is closed. All requests of the
+// session have ended for the caller; their outcomes are no longer sent to it.
 type SessionClosed struct{ Session model.SessionID }
 
 // -----------------------------------------------------------------------------
 // Requests.
 
-// RequestArrived tells that a caller wants a unit of work done: a statement
-// outside a transaction, or a transaction from its BEGIN on.
+// RequestArrived reports a new request of a caller: a statement outside a transaction,
+// or a transaction from its BEGIN on.
 type RequestArrived struct {
 	Request model.RequestID
 	Session model.SessionID
-	// Kind names the kind of work, or is empty.
+	// Kind is the name of the request kind, or empty.
 	Kind string
-	// IdempotencyKey is the idempotency key under which the databases log the commit;
-	// it is unique over all instances and restarts.
+	// IdempotencyKey is the key under which the databases log the commit. It is unique
+	// across all instances and restarts.
 	IdempotencyKey string
-	// CallerSuppliedKey says that the caller chose Key itself.
+	// CallerSuppliedKey is true if the caller supplied IdempotencyKey.
 	CallerSuppliedKey bool
-	// Transaction says that the request keeps its backend connection from
-	// BEGIN to COMMIT or ROLLBACK.
+	// Transaction is true if the request keeps its backend connection from BEGIN to
+	// COMMIT or ROLLBACK.
 	Transaction bool
-	// TokenPosition is that of a token named by the statement itself, or zero.
+	// TokenPosition is the position of a token given in the statement itself, or zero.
 	TokenPosition model.Position
-	// Deadline is the caller's own limit, or zero for that of the kind.
+	// Deadline is the caller's own limit, or zero for the limit of the request kind.
 	Deadline time.Duration
 }
 
-// RequestCanceled tells that the caller has withdrawn the request, by
-// CancelRequest or by closing its connection.
+// RequestCanceled reports that the caller has canceled the request, by a CancelRequest
+// or by closing its connection.
 type RequestCanceled struct{ Request model.RequestID }
 
-// ResultHeld tells that an answer of the primary waits at the edge, since its
-// position is not known to be proven yet. The core answers by Release or
-// Abandon.
+// ResultHeld reports that the adapter holds an answer of the primary, since its
+// position is not known to be durable yet. The core responds with ReleaseResult or
+// AbortRequest.
 type ResultHeld struct {
 	Request  model.RequestID
 	Attempt  model.Attempt
 	Position model.Position
 }
 
-// AttemptEnded tells how a dispatched attempt ended.
+// AttemptEnded reports the outcome of a dispatched attempt.
 type AttemptEnded struct {
 	Request model.RequestID
 	Attempt model.Attempt
 	Outcome Outcome
 	// Elapsed is the time since the statement was sent to the database.
 	Elapsed time.Duration
-	// ConnectTime is the part of it that went into opening a connection.
+	// ConnectTime is the part of Elapsed that was spent opening a connection.
 	ConnectTime time.Duration
 }
 
-// Outcome is how an attempt ended, as seen at the edge.
-type Outcome interface{ isAnswer() }
+// Outcome is the outcome of an attempt as observed by the caller adapter.
+type Outcome interface{ isOutcome() }
 
-// OutcomeCommitted means that the database reports a commit at Position. The answer is
-// held at the edge until Acknowledge.
+// OutcomeCommitted means that the database reports a commit at Position. The adapter
+// holds the answer until AcknowledgeCommit.
 type OutcomeCommitted struct{ Position model.Position }
 
-// OutcomeRead means that rows of a state at Position went to the caller, whole.
+// OutcomeRead means that all rows of the state at Position were sent to the caller.
 type OutcomeRead struct{ Position model.Position }
 
 // OutcomeBehind means that the database's state at Position is older than Dispatch
-// allowed. Nothing went to the caller.
+// allowed. Nothing was sent to the caller.
 type OutcomeBehind struct{ Position model.Position }
 
-// OutcomeDatabaseError means that the database answered with an error, and it is certain that
-// nothing was committed. The error went to the caller, whole.
+// OutcomeDatabaseError means that the database answered with an error, and it is
+// certain that nothing was committed. The whole error was sent to the caller.
 type OutcomeDatabaseError struct{ SQLState string }
 
-// OutcomeNotStarted means that the work was not started, with proof: it was never sent, or
-// the database said so. Nothing went to the caller.
+// OutcomeNotStarted means that the request has certainly not started: it was never
+// sent, or the database reported that. Nothing was sent to the caller.
 type OutcomeNotStarted struct{ Reason NotStartedReason }
 
-// OutcomeConnectionLost means that the connection broke, went silent or timed out after the work
-// was sent.
+// OutcomeConnectionLost means that the connection broke, became unresponsive or timed
+// out after the request was sent.
 type OutcomeConnectionLost struct {
-	// MayHaveCommitted says that a commit may have happened: an autocommit
-	// statement or a COMMIT was sent. Without it nothing was committed.
+	// MayHaveCommitted is true if an autocommit statement or a COMMIT was sent, so
+	// that a commit may have happened. Otherwise nothing was committed.
 	MayHaveCommitted bool
-	// PartlySent says that a part of the answer has gone to the caller.
+	// PartlySent is true if a part of the answer has been sent to the caller.
 	PartlySent bool
-	// Unresponsive says that the connection was closed as mute, not broken.
+	// Unresponsive is true if the connection was not broken, but was closed because no
+	// answer arrived on it.
 	Unresponsive bool
 }
 
-// NotStartedReason tells why work was not started.
+// NotStartedReason is the reason why a request was not started.
 type NotStartedReason int
 
 // The values of NotStartedReason.
 const (
 	// NotStartedUnreachable: no connection could be opened.
 	NotStartedUnreachable NotStartedReason = iota
-	// NotStartedWrongTerm: the database is in another term than Dispatch names.
+	// NotStartedWrongTerm: the database is in a term other than that in Dispatch.
 	NotStartedWrongTerm
-	// NotStartedReadOnly: the database is no primary.
+	// NotStartedReadOnly: the database is not a primary.
 	NotStartedReadOnly
 	// NotStartedTooManyConnections: the database accepts no further connection.
 	NotStartedTooManyConnections
-	// NotStartedDuplicateKey: the key has been committed or settled before.
+	// NotStartedDuplicateKey: the idempotency key has already been committed or
+	// resolved.
 	NotStartedDuplicateKey
-	// NotStartedBrokenConnection: the pooled connection was found broken before the work
-	// was sent.
+	// NotStartedBrokenConnection: the pooled connection was found to be broken before
+	// the request was sent.
 	NotStartedBrokenConnection
 	// NotStartedShuttingDown: the database is shutting down.
 	NotStartedShuttingDown
 )
 
-// String names w for log lines.
-func (w NotStartedReason) String() string {
-	return [...]string{"unreachable", "term", "read-only", "full", "duplicate", "stale", "leaving"}[w]
+// String returns the name of r for log lines.
+func (r NotStartedReason) String() string {
+	return [...]string{"unreachable", "term", "read-only", "full", "duplicate", "stale", "leaving"}[r]
 }
 
 func (SessionOpened) isEvent()   {}
@@ -143,9 +144,9 @@
 func (ResultHeld) isEvent()      {}
 func (AttemptEnded) isEvent()    {}
 
-func (OutcomeCommitted) isAnswer()      {}
-func (OutcomeRead) isAnswer()           {}
-func (OutcomeBehind) isAnswer()         {}
-func (OutcomeDatabaseError) isAnswer()  {}
-func (OutcomeNotStarted) isAnswer()     {}
-func (OutcomeConnectionLost) isAnswer() {}
+func (OutcomeCommitted) isOutcome()      {}
+func (OutcomeRead) isOutcome()           {}
+func (OutcomeBehind) isOutcome()         {}
+func (OutcomeDatabaseError) isOutcome()  {}
+func (OutcomeNotStarted) isOutcome()     {}
+func (OutcomeConnectionLost) isOutcome() {}
--- a/internal/core/message/event_database.go
+++ b/internal/core/message/event_database.go
@@ -6,74 +6,75 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// DatabaseStatus is what a database says of itself.
+// DatabaseStatus is the status that a database reports.
 type DatabaseStatus struct {
 	Role model.Role
-	// Term is the highest term that the database has accepted, by fence,
-	// promotion or following.
+	// Term is the highest term that the database has accepted, by Fence, Promote or
+	// Follow.
 	Term model.Term
-	// Nonce is that of the fence or promotion of Term.
+	// Nonce is the nonce of the Fence or Promote of Term.
 	Nonce model.Nonce
-	// Received is the last position durable in the database's log. It counts
-	// for the proof of a commit.
+	// Received is the last position that is persisted in the database's log. It
+	// counts toward the majority that makes a commit durable.
 	Received model.Position
 	// Applied is the last position visible to reads.
 	Applied model.Position
 	// Source is the database whose log a replica follows.
 	Source model.DatabaseID
-	// Streaming says that the replica's stream from Source is alive.
+	// Streaming is true if the replica is receiving the log of Source.
 	Streaming bool
-	// Leaving says that the database is shutting down.
+	// Leaving is true if the database is shutting down.
 	Leaving bool
-	// Slots and SlotsInUse are the statements it can run and is running.
+	// Slots is the number of statements that the database can run at once, SlotsInUse
+	// the number that it is running.
 	Slots, SlotsInUse int
 }
 
-// ControlAnswered carries the answer to a control question: Probe, Await,
+// ControlAnswered carries the response to a control request: Probe, AwaitPosition,
 // Fence, Promote or Follow.
 type ControlAnswered struct {
 	Database model.DatabaseID
-	// CorrelationID repeats the number of the question.
+	// CorrelationID is the correlation ID of the request.
 	CorrelationID uint64
-	// SentAt is when the question was sent, on this instance's clock.
+	// SentAt is when the request was sent, on this instance's clock.
 	SentAt time.Time
-	// Status holds the database's state after the question took effect. It
-	// is valid where Err is ControlOK or ControlConflict.
+	// Status is the database's status after the request took effect. It is valid if
+	// Err is ControlOK or ControlConflict.
 	Status DatabaseStatus
 	Err    ControlErr
 }
 
-// InDoubtResolved carries the answer to Settle.
+// InDoubtResolved carries the response to ResolveInDoubt.
 type InDoubtResolved struct {
 	Database       model.DatabaseID
 	CorrelationID  uint64
 	IdempotencyKey string
-	// Committed says that the key was committed, at Position. Without it the
-	// database has logged, at Position, that the key never will be. Both
-	// count only once Position is proven.
+	// Committed is true if the key was committed at Position. Otherwise the database
+	// has logged at Position that the key never will be committed. Either result is
+	// final only once Position is durable.
 	Committed bool
 	Position  model.Position
 	Err       ControlErr
 }
 
-// ControlErr tells how a control question failed.
+// ControlErr is the result of a control request.
 type ControlErr int
 
 // The values of ControlErr.
 const (
-	// ControlOK: it was answered.
+	// ControlOK: the request was answered.
 	ControlOK ControlErr = iota
-	// ControlUnreachable: no connection, or it broke.
+	// ControlUnreachable: there was no connection, or it broke.
 	ControlUnreachable
-	// ControlTimeout: no answer in time.
+	// ControlTimeout: no response arrived in time.
 	ControlTimeout
 	// ControlConflict: the database is in a later term or holds another nonce.
 	ControlConflict
-	// ControlRefused: the database answered with another error.
+	// ControlRefused: the database responded with another error.
 	ControlRefused
 )
 
-// String names e for log lines.
+// String returns the name of e for log lines.
 func (e ControlErr) String() string {
 	return [...]string{"ok", "unreachable", "timeout", "conflict", "refused"}[e]
 }
--- a/internal/core/message/event_fleet.go
+++ b/internal/core/message/event_fleet.go
@@ -8,76 +8,78 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// GossipState tells a peer what the sender knows: newer configuration, databases
-// and primaries spread so to instances that the store does not answer. Ages are
-// as of Sent. The fields go over the wire without their names.
+// GossipState carries the sender's knowledge to a peer, so that newer configurations,
+// lists of databases and primaries reach instances that cannot reach the store. Ages
+// are as of SenderClock. The fields are encoded without their names, so that their
+// order is the wire format.
 type GossipState struct {
 	_msgpack    struct{} `msgpack:",as_array"` //nolint:unused // The codec reads the tag.
 	Instance    model.InstanceID
 	Zone        model.ZoneID
 	PeerAddress netip.AddrPort
-	// SenderClock is the sender's clock. EchoedClock is the newest SenderClock that it has heard of
-	// the receiver: what the sender knew after that, it knew after the receiver
-	// had said it, by the receiver's own clock.
+	// SenderClock is the sender's clock. EchoedClock is the newest SenderClock that the
+	// sender has received from the receiver: anything that the sender learned after
+	// that is newer than EchoedClock by the receiver's own clock.
 	SenderClock, EchoedClock time.Duration
-	// ReceiverIsMember says that the receiver is a member in the sender's View.
+	// ReceiverIsMember is true if the receiver is a member in the sender's view.
 	ReceiverIsMember bool
-	// Leaving announces that the sender takes no further work; StoreReachable that the
-	// store has answered its last call.
+	// Leaving is true if the sender is draining, StoreReachable if the store has
+	// answered the sender's last request.
 	Leaving, StoreReachable bool
-	// ConfigurationVersion is the version in force, DatabasesVersion that of the list of
-	// databases.
+	// ConfigurationVersion is the version of the configuration in force,
+	// DatabasesVersion that of the list of databases.
 	ConfigurationVersion, DatabasesVersion uint64
-	// ViewVersion is the version of the table of groups, ViewAge how long before Sent
-	// the read of it began.
+	// ViewVersion is the version of the sender's view of the table of groups, ViewAge
+	// the time from the start of its read to SenderClock.
 	ViewVersion      uint64
 	ViewAge          time.Duration
 	CoordinatorLease lease.CoordinatorLease
-	// HolderAlive says that the sender has lately heard the holder of the duty.
+	// HolderAlive is true if the sender has recently received a message from the holder
+	// of the coordinator lease.
 	HolderAlive bool
 	Groups      []GroupGossip
-	// ConfigurationAge and DatabasesAge are how long before Sent the sender's
-	// Configuration and Databases were known to be the newest.
+	// ConfigurationAge and DatabasesAge are how long before SenderClock the sender's
+	// configuration and list of databases were last known to be the newest.
 	ConfigurationAge, DatabasesAge time.Duration
-	// ZoneSize is the number of instances in the sender's availability zone, and
-	// FleetSize that in all of them, where the sender links the zones.
+	// ZoneSize is the number of instances in the sender's availability zone. FleetSize
+	// is the number in all zones; it is set if the sender links to other zones.
 	ZoneSize, FleetSize int
-	// MinViewVersion is the oldest View among the members of the sender's availability
-	// zone; zero where one of them was not heard. MinViewMembersHash tells which members
-	// these are, by their names.
+	// MinViewVersion is the lowest view version among the members in the sender's
+	// availability zone; zero if no message has arrived from one of them.
+	// MinViewMembersHash is a hash of the names of these members.
 	MinViewVersion, MinViewMembersHash uint64
 }
 
-// GroupGossip is what a Bulletin says of one group.
+// GroupGossip is the part of a GossipState about one group.
 type GroupGossip struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads the tag.
 	Group    model.GroupID
 	Row      lease.GroupRow
-	// UnansweredFor is for how long the sender has had no answer of the primary
-	// although it asked; zero means that the primary answers, and less that the
-	// sender does not know.
+	// UnansweredFor is how long the sender has had no answer from the primary although
+	// it sent requests. Zero means that the primary answers; a negative value means
+	// that the sender does not know.
 	UnansweredFor time.Duration
 	// SampledPosition is a position of the primary's log that covers all commits
-	// acknowledged earlier than SampleAge before Sent; zero where there is none.
+	// acknowledged more than SampleAge before SenderClock; zero if there is none.
 	SampledPosition model.Position
 	SampleAge       time.Duration
-	// Observers is the number of instances in the sender's availability zone,
-	// itself included, that know whether the primary answers, and UnansweredObservers that of
-	// those which it does not.
+	// Observers is the number of instances in the sender's availability zone, including
+	// the sender, that know whether the primary answers them. UnansweredObservers is
+	// the number of those that it does not answer.
 	Observers, UnansweredObservers int
 }
 
-// GossipStateRequest asks a peer for a Bulletin that echoes Sent, to renew the
-// sender's view of the table of groups.
+// GossipStateRequest asks a peer for a GossipState that echoes SenderClock, to renew
+// the sender's view of the table of groups.
 type GossipStateRequest struct {
 	SenderClock time.Duration `msgpack:"sent"`
 }
 
-// PrimarySurveyRequest asks a peer to ask all databases of a group who leads it, after it
-// has heard this.
+// PrimarySurveyRequest asks a peer to survey a group: to ask all databases of the group
+// for its primary, after the peer has received this message.
 type PrimarySurveyRequest struct {
 	Group model.GroupID `msgpack:"grp"`
-	// SenderClock is the sender's clock; the answer names it.
+	// SenderClock is the sender's clock; the response repeats it.
 	SenderClock time.Duration `msgpack:"sent"`
 }
 
@@ -85,12 +87,12 @@
 type PrimarySurveyResponse struct {
 	Group       model.GroupID `msgpack:"grp"`
 	SenderClock time.Duration `msgpack:"sent"`
-	// Primary leads the group alone, where Proved is set.
+	// Primary is the only primary of the group if Confirmed is true.
 	Primary   model.DatabaseID `msgpack:"db"`
 	Confirmed bool             `msgpack:"ok"`
 }
 
-// DatabasesOffer passes on the databases' entries as the store held them.
+// DatabasesOffer forwards the databases' entries as they were in the store.
 type DatabasesOffer struct {
 	Version uint64          `msgpack:"ver"`
 	Entries []DatabaseEntry `msgpack:"rows"`
--- a/internal/core/message/event_operator.go
+++ b/internal/core/message/event_operator.go
@@ -4,102 +4,101 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// DrainRequested tells that an operator or a signal wants the instance to finish
-// its work and leave.
+// DrainRequested reports that an operator or a signal has requested the instance to
+// drain and terminate.
 type DrainRequested struct{}
 
-// ManifestSubmitted carries a manifest that an operator wants accepted,
-// against the number that was reviewed.
+// ManifestSubmitted carries a manifest that an operator has submitted.
 type ManifestSubmitted struct {
 	CorrelationID uint64
 	Body          []byte
-	// ExpectedNumber is the number of the manifest that the change was reviewed
-	// against; 0 where there was none.
+	// ExpectedNumber is the number of the manifest against which the change was
+	// reviewed; 0 if there was none.
 	ExpectedNumber uint64
-	// Submitter names the submitter, for the record.
+	// Submitter is the name of the submitter, stored with the manifest.
 	Submitter string
 }
 
-// ReportRequested asks for a report on a matter of ReportTopic.
+// ReportRequested asks for a report.
 type ReportRequested struct {
 	CorrelationID uint64
 	Topic         ReportTopic
-	// Group limits the report to a group, or is empty.
+	// Group limits the report to one group. If it is empty, the report covers all.
 	Group string
 }
 
-// ReportTopic names a report.
+// ReportTopic is the topic of a report.
 type ReportTopic int
 
 // The values of ReportTopic.
 const (
 	// TopicStatus: groups, databases, ranks, peers.
 	TopicStatus ReportTopic = iota
-	// TopicLogbook: the promotions that are known.
+	// TopicLogbook: the promotion records that are known.
 	TopicLogbook
 	// TopicManifest: the manifest in force.
 	TopicManifest
 )
 
-// ReportAnswered answers ReportRequested. Body is a JSON document whose type stands in
-// package report/status.
+// ReportAnswered is the response to ReportRequested. Body is encoded as a JSON document;
+// its type is defined in package report/status.
 type ReportAnswered struct {
 	CorrelationID uint64
 	Body          any
 }
 
-// ManifestDecided answers ManifestSubmitted.
+// ManifestDecided is the response to ManifestSubmitted.
 type ManifestDecided struct {
 	CorrelationID uint64
-	// Number is that of the manifest now accepted.
+	// Number is the number of the manifest that is accepted now.
 	Number uint64
 	Err    SubmitErr
-	// Detail explains the error, with both numbers in a conflict.
+	// Detail explains the error. In a conflict it gives both numbers.
 	Detail string
 }
 
-// SubmitErr tells how a submission failed.
+// SubmitErr is the result of a submission.
 type SubmitErr int
 
 // The values of SubmitErr.
 const (
-	// SubmitOK: it is accepted and will come into force everywhere.
+	// SubmitOK: the manifest is accepted and will come into force on all instances.
 	SubmitOK SubmitErr = iota
-	// SubmitInvalid: the document has faults.
+	// SubmitInvalid: the document is not valid.
 	SubmitInvalid
-	// SubmitConflict: another number than expected is accepted; nothing
-	// changed.
+	// SubmitConflict: the accepted manifest has another number than expected; nothing
+	// was changed.
 	SubmitConflict
-	// SubmitUnavailable: the platform was not reached; nothing changed.
+	// SubmitUnavailable: the platform was not reached; nothing was changed.
 	SubmitUnavailable
-	// SubmitUnknown: the platform's answer was lost and could not be settled
-	// in time.
+	// SubmitUnknown: the platform's response was lost, and the result could not be
+	// determined in time.
 	SubmitUnknown
 )
 
-// String names e for answers and log lines.
+// String returns the name of e for responses and log lines.
 func (e SubmitErr) String() string {
 	return [...]string{"ok", "invalid", "conflict", "unavailable", "unknown"}[e]
 }
 
-// LogEvent writes one numbered line to the log and counts it.
+// LogEvent writes a log line for an event of the catalogue and counts it.
 type LogEvent struct {
 	Event  event.Event
 	Fields []event.Field
 }
 
-// IncrementCounter adds one to a counter: Key in the map Name.
+// IncrementCounter adds one to the counter with key Key in the map Name.
 type IncrementCounter struct{ Name, Key string }
 
-// Readiness tells the operators' edge whether the instance can take callers. It
-// is sent when it changes.
+// Readiness reports to the operator adapter whether the instance can accept callers. It
+// is sent whenever that changes.
 type Readiness struct {
 	Ready bool
-	// Reason tells what is missing.
+	// Reason is the reason why the instance is not ready.
 	Reason string
 }
 
-// Terminate tells the process that the instance is drained and may end.
+// Terminate reports to the process that the instance is drained and may exit.
 type Terminate struct{}
 
 func (DrainRequested) isEvent()    {}
--- a/internal/core/message/event_peer.go
+++ b/internal/core/message/event_peer.go
@@ -7,29 +7,30 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// PeerMessageReceived carries a message of an authenticated peer.
+// PeerMessageReceived carries a message from an authenticated peer.
 type PeerMessageReceived struct {
 	From model.InstanceID
 	Body PeerMessage
 }
 
-// PeerConnected tells that a link to an authenticated peer stands, whoever made it.
-// A seed's name is learnt so.
+// PeerConnected reports that a link to an authenticated peer is established, no matter
+// which side dialed. The name of a peer that was dialed by its seed address becomes
+// known by this event.
 type PeerConnected struct{ Peer model.InstanceID }
 
-// PeerDisconnected tells that the link to a peer broke or could not be made. It says
-// nothing of the peer's health: only heartbeats do.
+// PeerDisconnected reports that the link to a peer broke or could not be established.
+// It does not show whether the peer is alive: only heartbeats do.
 type PeerDisconnected struct {
 	Peer    model.InstanceID
 	Address netip.AddrPort
 }
 
-// PeerMessage is what instances say to each other. The files peer_*.go hold
-// the variants, one family a file; each has a number on the wire, given by the
-// table in edge/peer.
+// PeerMessage is a message between instances. The files event_peer.go and
+// event_fleet.go define the variants. The table in edge/peer gives each variant its
+// number on the wire.
 type PeerMessage interface{ isPeerMessage() }
 
-// Heartbeat proves that an instance is alive and introduces it.
+// Heartbeat shows that an instance is alive and describes it.
 type Heartbeat struct {
 	Instance    model.InstanceID `msgpack:"id"`
 	Zone        model.ZoneID     `msgpack:"zone"`
@@ -38,10 +39,10 @@
 	Sequence uint64 `msgpack:"seq"`
 	// Manifest is the number of the manifest in force at the sender.
 	Manifest uint64 `msgpack:"man"`
-	// Leaving announces that the sender takes no further work.
+	// Leaving is true if the sender is draining.
 	Leaving bool `msgpack:"leave"`
-	// Known lists other live instances that the sender has heard itself, so
-	// that a new instance needs one seed only.
+	// Known lists other live instances from which the sender itself has received
+	// messages, so that a new instance needs only one seed address.
 	Known []KnownPeer `msgpack:"known"`
 }
 
@@ -51,42 +52,42 @@
 	PeerAddress netip.AddrPort   `msgpack:"peer"`
 }
 
-// ManifestOffer passes on a manifest that the platform has accepted.
+// ManifestOffer forwards a manifest that the platform has accepted.
 type ManifestOffer struct {
 	Number uint64 `msgpack:"num"`
 	Digest string `msgpack:"sum"`
 	Body   []byte `msgpack:"body"`
 }
 
-// ManifestRequest asks a peer for the manifest in force there.
+// ManifestRequest asks a peer for its manifest in force, if that is newer.
 type ManifestRequest struct {
 	NewerThan uint64 `msgpack:"above"`
 }
 
-// GroupUpdate passes on a group's row as the platform last held it, and records
-// of its logbook. It is a hint: only databases prove a term.
+// GroupUpdate forwards a group's row as it last was on the platform, and records of the
+// group's logbook. It is a hint: only databases confirm a term.
 type GroupUpdate struct {
 	Group  model.GroupID `msgpack:"grp"`
 	Row    []byte        `msgpack:"row"`
 	Record []byte        `msgpack:"rec"`
 }
 
-// DatabaseLeaving passes on that a database is shutting down.
+// DatabaseLeaving reports to a peer whether a database is shutting down.
 type DatabaseLeaving struct {
 	Database model.DatabaseID `msgpack:"db"`
 	Leaving  bool             `msgpack:"leave"`
 }
 
-// LeaseRequest tells the arbiter of a group what the sender wants and which leases it
-// holds. Each LeaseRequest replaces the one before, so that a lost one does no harm.
-// See core/rank.
+// LeaseRequest reports to the arbiter of a group the sender's slot demands and the
+// leases that it holds. Each LeaseRequest replaces the previous one, so that a lost one
+// does no harm. See core/rank.
 type LeaseRequest struct {
 	Group model.GroupID `msgpack:"grp"`
-	// Sequence counts the sender's demands for this group.
+	// Sequence counts the sender's lease requests for this group.
 	Sequence uint64 `msgpack:"seq"`
-	// LastGrantSeen is the sequence of the newest Permit that the sender has heard
-	// from this arbiter. A lease granted up to LastGrantSeen that is not in Held has
-	// been given back.
+	// LastGrantSeen is the sequence of the newest LeaseGrant that the sender has
+	// received from this arbiter. A lease that was granted up to LastGrantSeen and is
+	// not in HeldLeases has been returned.
 	LastGrantSeen uint64       `msgpack:"seen"`
 	Demands       []SlotDemand `msgpack:"wants"`
 	HeldLeases    []HeldLease  `msgpack:"held"`
@@ -94,20 +95,21 @@
 	Limits []SlotLimit `msgpack:"lim"`
 }
 
-// SlotDemand is the demand of one rank on any one of a set of databases.
+// SlotDemand is the demand of the requests of one rank for slots at any of a set of
+// databases.
 type SlotDemand struct {
 	Databases []model.DatabaseID `msgpack:"dbs"`
 	Rank      model.Rank         `msgpack:"rank"`
-	// PastTarget says that they can no longer be answered inside their target; they
-	// are served after those of the same rank that can.
+	// PastTarget is true if the requests can no longer be answered within their latency
+	// target. They are served after those of the same rank that can.
 	PastTarget bool `msgpack:"late"`
-	// Waiting counts the requests that wait for a slot.
+	// Waiting is the number of requests that wait for a slot.
 	Waiting int `msgpack:"wait"`
-	// TimeToDeadline is the time until the earliest deadline among those waiting.
+	// TimeToDeadline is the time until the earliest deadline of the waiting requests.
 	TimeToDeadline time.Duration `msgpack:"slack"`
 }
 
-// HeldLease is one lease in a Demand.
+// HeldLease is one lease in a LeaseRequest.
 type HeldLease struct {
 	ID       uint64           `msgpack:"id"`
 	Database model.DatabaseID `msgpack:"db"`
@@ -120,27 +122,29 @@
 	Slots    int              `msgpack:"n"`
 }
 
-// LeaseGrant tells an instance which leases it has, from the arbiter of the group.
-// Each LeaseGrant replaces the one before and renews the leases that it lists.
+// LeaseGrant is sent by the arbiter of a group and lists the leases of the receiving
+// instance. Each LeaseGrant replaces the previous one and renews the leases that it
+// lists.
 type LeaseGrant struct {
 	Group model.GroupID `msgpack:"grp"`
-	// Sequence counts the arbiter's permits to this instance.
+	// Sequence counts the arbiter's lease grants to this instance.
 	Sequence uint64 `msgpack:"seq"`
-	// LastRequestSeen is the sequence of the newest Demand that the arbiter has heard
-	// from this instance.
+	// LastRequestSeen is the sequence of the newest LeaseRequest that the arbiter has
+	// received from this instance.
 	LastRequestSeen uint64  `msgpack:"seen"`
 	Leases          []Lease `msgpack:"leases"`
-	// ValidFor is how long the leases hold from the arrival of the permit.
+	// ValidFor is how long the leases are valid after the arrival of the LeaseGrant.
 	ValidFor time.Duration `msgpack:"valid"`
 }
 
-// Lease lets an instance use one slot of a database for one rank, for one
-// request after another.
+// Lease allows an instance to use one slot of a database for the requests of one rank,
+// one request at a time.
 type Lease struct {
 	ID       uint64           `msgpack:"id"`
 	Database model.DatabaseID `msgpack:"db"`
 	Rank     model.Rank       `msgpack:"rank"`
-	// Recalled asks for the lease back after the request that uses it.
+	// Recalled is true if the instance is to return the lease after the request that is
+	// using it.
 	Recalled bool `msgpack:"back"`
 }
 
--- a/internal/core/message/event_platform.go
+++ b/internal/core/message/event_platform.go
@@ -6,9 +6,9 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// Row is one row of the platform's table service. The platform gives each row
-// a version, an opaque text that changes with each change of the row; a row
-// that does not exist has the empty version.
+// Row is one row of the platform's table service. The platform gives each row a version,
+// an opaque text that changes with every change of the row. A row that does not exist
+// has an empty version.
 type Row struct {
 	Table   string
 	Key     string
@@ -16,22 +16,23 @@
 	Body    []byte
 }
 
-// RowsRead answers ReadRow (one row) and ScanRows (any number, by key).
+// RowsRead is the response to ReadRow, with one row, or to ScanRows, with any number of
+// rows ordered by key.
 type RowsRead struct {
 	CorrelationID uint64
 	Rows          []Row
 	Err           PlatformErr
 }
 
-// RowsWritten answers WriteRows. Rows holds the new versions in the order of
-// the question, or, with PlatformConflict, the rows as they stand.
+// RowsWritten is the response to WriteRows. Rows holds the new versions in the order of
+// the request, or, with PlatformConflict, the current rows.
 type RowsWritten struct {
 	CorrelationID uint64
 	Rows          []Row
 	Err           PlatformErr
 }
 
-// ObjectRead answers ReadObject.
+// ObjectRead is the response to ReadObject.
 type ObjectRead struct {
 	CorrelationID uint64
 	Name          string
@@ -39,52 +40,50 @@
 	Err           PlatformErr
 }
 
-// ObjectWritten answers WriteObject.
+// ObjectWritten is the response to WriteObject.
 type ObjectWritten struct {
 	CorrelationID uint64
 	Name          string
 	Err           PlatformErr
 }
 
-// InstancesListed answers ListInstances.
+// InstancesListed is the response to ListInstances.
 type InstancesListed struct {
 	CorrelationID uint64
 	Instances     []ListedInstance
 	Err           PlatformErr
 }
 
-// ListedInstance is one entry of the platform's lagging list.
+// ListedInstance is one entry of the platform's list of instances.
 type ListedInstance struct {
 	Instance model.InstanceID
 	Zone     model.ZoneID
-	// PeerAddress is the address at which the instance speaks to its peers.
+	// PeerAddress is the address at which the instance accepts links from its peers.
 	PeerAddress netip.AddrPort
-	// Leaving says that the platform is about to take the instance away.
+	// Leaving is true if the platform is about to remove the instance.
 	Leaving bool
 }
 
-// PlatformErr tells how a question to the platform failed.
+// PlatformErr is the result of a request to the platform.
 type PlatformErr int
 
 // The values of PlatformErr.
 const (
-	// PlatformOK: it was answered.
+	// PlatformOK: the request was answered.
 	PlatformOK PlatformErr = iota
-	// PlatformConflict: a row was not at the expected version; nothing
-	// changed.
+	// PlatformConflict: a row was not at the expected version; nothing was changed.
 	PlatformConflict
-	// PlatformNotFound: there is no such row or object.
+	// PlatformNotFound: the row or object does not exist.
 	PlatformNotFound
-	// PlatformUnreachable: the platform was not reached; nothing changed.
+	// PlatformUnreachable: the platform was not reached; nothing was changed.
 	PlatformUnreachable
-	// PlatformUnknown: there was no answer; a change may have happened.
+	// PlatformUnknown: no response arrived; a change may have taken effect.
 	PlatformUnknown
-	// PlatformRefused: the platform answered with another error; nothing
-	// changed.
+	// PlatformRefused: the platform responded with another error; nothing was changed.
 	PlatformRefused
 )
 
-// String names e for log lines.
+// String returns the name of e for log lines.
 func (e PlatformErr) String() string {
 	return [...]string{"ok", "conflict", "missing", "unsent", "unknown", "refused"}[e]
 }
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -1,24 +1,31 @@
-// Package message defines what flows between the core's decisions and the
-// wires around it.
+// Package message defines the messages between the core, which makes the decisions,
+// and the protocol adapters around it (internal/edge).
 //
 // # What flows in and out
 //
-// Events flow into the core: arrivals from callers, answers of databases and
-// of the platform, words from peers and operators. Actions flow out: what the
-// wires shall do. Both are sealed interfaces, and every consumer decides by a
-// type switch. A message carries headers, outcomes, terms and positions, never
-// the bytes of a row: rows pass from a database's connection to the caller's
-// without a detour through the core.
+// Events flow into the core: requests of callers, responses of databases and of the
+// platform, messages of peers and operators. Actions flow out: what the adapters are
+// to do. Both are sealed interfaces, and every consumer distinguishes them by a type
+// switch. A message carries headers, outcomes, terms and positions, but never the
+// bytes of a row: rows pass from a database's connection to the caller's connection
+// without going through the core.
 //
-//	callers ─┐                               ┌─> callers    (Dispatch, Release, Acknowledge, Refuse, Abandon)
-//	databases┼─> []Event ─> engine.Step ─> []Action ─┼─> databases  (Probe, Await, Fence, Promote, Follow, Settle)
-//	platform ┤                               ├─> platform   (AskPlatform)
-//	peers ───┤                               ├─> peers      (SendPeer)
-//	operators┘                               └─> logs       (Note)
+//	callers ───┐                                       ┌─> callers
+//	databases ─┤                                       ├─> databases
+//	platform ──┼─> []Event ─> engine.Step ─> []Action ─┼─> platform
+//	peers ─────┤                                       ├─> peers
+//	operators ─┘                                       └─> logs
 //
-// The reason for the split: the same core runs under the real wires, under a
-// table test on virtual time, and under any other bench, which needs these
-// messages alone.
+// The main actions are, by destination:
+//   - callers: Dispatch, ReleaseResult, AcknowledgeCommit, RefuseRequest, AbortRequest
+//   - databases: Probe, AwaitPosition, Fence, Promote, Follow, ResolveInDoubt
+//   - platform: ReadRow, ScanRows, WriteRows, ReadObject, WriteObject, ListInstances
+//   - peers: SendPeer
+//   - logs: LogEvent
+//
+// The core is separated from the adapters so that the same core runs with the real
+// adapters, in table tests on virtual time, and in any other test environment. Such an
+// environment needs nothing but these messages.
 //
 // # Usage
 //
@@ -31,14 +38,15 @@
 //	}
 package message
 
-// Event is anything that the core learns. The files event_*.go hold the
-// variants, one family a file.
+// Event is an input of the core. The files event_*.go define the variants, one family
+// per file.
 type Event interface{ isEvent() }
 
-// Action is anything that the core wants done. The files action_*.go hold the
-// variants, one family a file.
+// Action is an output of the core, to be carried out by an adapter. The files
+// action_*.go define most variants, one family per file; event_operator.go defines
+// those for operators and logs.
 type Action interface{ isAction() }
 
-// Sink takes events for the core. Post never blocks for long and may be called
-// from any goroutine.
+// Sink accepts events for the core. Post does not block for long and is safe for
+// concurrent use.
 type Sink interface{ Post(event Event) }
