--- a/internal/core/fresh/fresh.go
+++ b/internal/core/fresh/fresh.go
@@ -34,7 +34,8 @@
 	maxSamples = 128
 )
 
-// PositionSample says that every commit acknowledged before At is at or below Position.
+// PositionSample means that every commit acknowledged before At is at or below
+// Position.
 type PositionSample struct {
 	At       time.Time
 	Position model.Position
--- a/internal/core/model/model.go
+++ b/internal/core/model/model.go
@@ -43,7 +43,7 @@
 // SessionID numbers a caller's connection on one instance.
 type SessionID uint64
 
-// RequestID numbers a unit of work on one instance: a statement outside a
+// RequestID numbers a request on one instance: a statement outside a
 // transaction, or a whole transaction.
 type RequestID uint64
 
