--- a/internal/core/rank/decision_test.go
+++ b/internal/core/rank/decision_test.go
@@ -19,23 +19,29 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// TestDecisions runs the scripts of testdata on virtual time and compares what
-// was decided with the golden files. A script has one call a line:
+// TestDecisions runs the scripts of testdata on virtual time and compares the
+// decisions of the instances with the golden files. A script has one call a line:
 //
 //	at 20ms                          sets the time
 //	start i j                        starts instances that know each other
-//	peers i j                        tells i that it and j are alive
-//	i offer 7 rank=1 deadline=500ms  offers work; also caller=, kind=, times=
-//	i grant a b                      grants with these candidates
-//	i finish 7 took=20ms             ends work well; fail ends it badly
-//	i requeue 7                      puts failed work back
-//	i expired, i retry, i connections, i withdraw 7, i notes
-//	pass                             delivers what the instances sent
-//	drop                             loses it
+//	peers i j                        tells i that i and j are live
+//	i offer 7 rank=1 deadline=500ms  enqueues a request; also caller=, kind=, times=
+//	i grant a b                      assigns slots with these candidates
+//	i finish 7 took=20ms             finishes a request; fail finishes it as failed
+//	i requeue 7                      puts a failed request back into the queue
+//	i expired                        takes the expired requests
+//	i retry                          takes a retry from the budget
+//	i connections                    asks for the limit of connections
+//	i withdraw 7                     cancels a waiting request
+//	i notes                          takes the log events
+//	pass                             delivers the messages of the instances
+//	drop                             drops these messages
+//
+// Lines that start with # are comments.
 func TestDecisions(t *testing.T) {
 	scripts, err := filepath.Glob("testdata/*.script")
 	if err != nil || len(scripts) == 0 {
-		t.Fatal("no scripts", err)
+		t.Fatal("no scripts in testdata", err)
 	}
 	for _, script := range scripts {
 		t.Run(filepath.Base(script), func(t *testing.T) {
@@ -43,7 +49,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got := (&scriptRun{t: t, now: start, instances: map[string]*Scheduler{}, databases: map[string][]model.DatabaseID{}}).run(string(lines))
+			got := (&scriptRun{
+				t: t, now: start, instances: map[string]*Scheduler{},
+				candidates: map[string][]model.DatabaseID{},
+			}).run(string(lines))
 			golden := strings.TrimSuffix(script, ".script") + ".golden"
 			if *update {
 				if err := os.WriteFile(golden, []byte(got), 0o600); err != nil {
@@ -61,188 +70,189 @@
 	}
 }
 
-// scriptRun is the state of a script.
+// scriptRun is the state of a running script.
 type scriptRun struct {
 	t         *testing.T
 	now       time.Time
 	instances map[string]*Scheduler
 	outbox    []envelope
-	// databases are the candidates last named for each instance.
-	databases map[string][]model.DatabaseID
+	// candidates holds the candidates last named for each instance.
+	candidates map[string][]model.DatabaseID
 }
 
 type envelope struct {
-	from string
-	sent message.SendPeer
+	from     string
+	outgoing message.SendPeer
 }
 
-func (p *scriptRun) run(script string) string {
+func (r *scriptRun) run(script string) string {
 	var out strings.Builder
-	for _, text := range strings.Split(strings.TrimSpace(script), "\n") {
-		words := strings.Fields(text)
+	for _, line := range strings.Split(strings.TrimSpace(script), "\n") {
+		words := strings.Fields(line)
 		if len(words) == 0 || words[0] == "#" {
-			fmt.Fprintln(&out, text)
+			fmt.Fprintln(&out, line)
 			continue
 		}
-		fmt.Fprintf(&out, "%-44s %s\n", text, p.line(words))
+		fmt.Fprintf(&out, "%-44s %s\n", line, r.runLine(words))
 	}
 	return out.String()
 }
 
-// line runs one line and returns what came of it.
-func (p *scriptRun) line(words []string) string {
+// runLine runs one line and returns its result.
+func (r *scriptRun) runLine(words []string) string {
 	switch words[0] {
 	case "at":
-		p.now = after(p.span(words[1]))
+		r.now = after(r.duration(words[1]))
 	case "start":
 		for _, name := range words[1:] {
-			p.instances[name] = NewScheduler(model.InstanceID(name))
-			p.instances[name].Configure(p.now, testManifest())
+			r.instances[name] = NewScheduler(model.InstanceID(name))
+			r.instances[name].Configure(r.now, testManifest())
 		}
 		for _, name := range words[1:] {
-			p.instances[name].SetPeers(p.now, ids(words[1:]))
+			r.instances[name].SetPeers(r.now, instanceIDs(words[1:]))
 		}
 	case "peers":
-		p.instances[words[1]].SetPeers(p.now, ids(words[1:]))
+		r.instances[words[1]].SetPeers(r.now, instanceIDs(words[1:]))
 	case "pass":
-		return p.pass()
+		return r.deliverMessages()
 	case "drop":
-		p.outbox = nil
+		r.outbox = nil
 	default:
-		return p.call(p.instances[words[0]], words)
+		return r.call(r.instances[words[0]], words)
 	}
 	return ""
 }
 
-func ids(names []string) []model.InstanceID {
-	var all []model.InstanceID
+func instanceIDs(names []string) []model.InstanceID {
+	var instances []model.InstanceID
 	for _, name := range names {
-		all = append(all, model.InstanceID(name))
+		instances = append(instances, model.InstanceID(name))
 	}
-	return all
+	return instances
 }
 
-func (p *scriptRun) span(text string) time.Duration {
-	span, err := time.ParseDuration(text)
+func (r *scriptRun) duration(text string) time.Duration {
+	duration, err := time.ParseDuration(text)
 	if err != nil {
-		p.t.Fatal(err)
+		r.t.Fatal(err)
 	}
-	return span
+	return duration
 }
 
-// pass delivers messages until nobody has more to say.
-func (p *scriptRun) pass() string {
+// deliverMessages delivers messages until the instances send no more.
+func (r *scriptRun) deliverMessages() string {
 	var out []string
-	for len(p.outbox) > 0 {
-		outbox := p.outbox
-		p.outbox = nil
-		for _, s := range outbox {
-			out = append(out, fmt.Sprintf("%s>%s %s", s.from, s.sent.To, strings.TrimPrefix(fmt.Sprintf("%T", s.sent.Body), "message.")))
-			to := string(s.sent.To)
-			p.instances[to].HandlePeerMessage(p.now, model.InstanceID(s.from), s.sent.Body)
-			out = append(out, p.grant(to)...)
+	for len(r.outbox) > 0 {
+		outbox := r.outbox
+		r.outbox = nil
+		for _, envelope := range outbox {
+			out = append(out, fmt.Sprintf("%s>%s %s", envelope.from, envelope.outgoing.To,
+				strings.TrimPrefix(fmt.Sprintf("%T", envelope.outgoing.Body), "message.")))
+			to := string(envelope.outgoing.To)
+			r.instances[to].HandlePeerMessage(r.now, model.InstanceID(envelope.from), envelope.outgoing.Body)
+			out = append(out, r.grant(to)...)
 		}
 	}
 	return strings.Join(out, ", ")
 }
 
-// grant lets an instance grant and speak.
-func (p *scriptRun) grant(name string) []string {
+// grant assigns slots on one instance and collects the messages that it sends.
+func (r *scriptRun) grant(name string) []string {
 	var out []string
-	for _, grant := range p.instances[name].AssignSlots(p.now, on(p.databases[name]...)) {
+	for _, grant := range r.instances[name].AssignSlots(r.now, candidatesOf(r.candidates[name]...)) {
 		out = append(out, fmt.Sprintf("%s runs %d on %s", name, grant.Request, grant.Database))
 	}
-	p.gather(name)
+	r.collectMessages(name)
 	return out
 }
 
-func (p *scriptRun) gather(name string) {
-	for _, sent := range p.instances[name].TakeMessages(p.now) {
-		p.outbox = append(p.outbox, envelope{from: name, sent: sent})
+func (r *scriptRun) collectMessages(name string) {
+	for _, outgoing := range r.instances[name].TakeMessages(r.now) {
+		r.outbox = append(r.outbox, envelope{from: name, outgoing: outgoing})
 	}
 }
 
-// call runs one call of an instance.
-func (p *scriptRun) call(s *Scheduler, words []string) string {
+// call runs one call of an instance and returns its result.
+func (r *scriptRun) call(s *Scheduler, words []string) string {
 	switch words[1] {
 	case "offer":
-		return p.offer(s, words)
+		return r.enqueue(s, words)
 	case "grant":
-		var databases []model.DatabaseID
+		var candidates []model.DatabaseID
 		for _, name := range words[2:] {
-			databases = append(databases, model.DatabaseID(name))
+			candidates = append(candidates, model.DatabaseID(name))
 		}
-		p.databases[words[0]] = databases
-		return strings.Join(p.grant(words[0]), ", ")
+		r.candidates[words[0]] = candidates
+		return strings.Join(r.grant(words[0]), ", ")
 	case "finish":
-		ending := SlotCompletion{Elapsed: 10 * ms}
+		completion := SlotCompletion{Elapsed: 10 * ms}
 		if len(words) > 3 {
-			ending.Elapsed = p.span(strings.TrimPrefix(words[3], "took="))
+			completion.Elapsed = r.duration(strings.TrimPrefix(words[3], "took="))
 		}
-		s.Finish(p.now, p.id(words[2]), ending)
+		s.Finish(r.now, r.requestID(words[2]), completion)
 	case "fail":
-		s.Finish(p.now, p.id(words[2]), SlotCompletion{Failed: true})
+		s.Finish(r.now, r.requestID(words[2]), SlotCompletion{Failed: true})
 	case "requeue":
-		s.Requeue(p.now, p.id(words[2]), SlotCompletion{Failed: true})
+		s.Requeue(r.now, r.requestID(words[2]), SlotCompletion{Failed: true})
 	case "withdraw":
-		return fmt.Sprint(s.Cancel(p.id(words[2])))
+		return fmt.Sprint(s.Cancel(r.requestID(words[2])))
 	case "expired":
-		return fmt.Sprint(s.TakeExpired(p.now))
+		return fmt.Sprint(s.TakeExpired(r.now))
 	case "retry":
-		return fmt.Sprint(s.TakeRetry(p.now, "g"))
+		return fmt.Sprint(s.TakeRetry(r.now, "g"))
 	case "connections":
 		return strconv.Itoa(s.Connections("a"))
 	case "notes":
 		var out []string
-		for _, note := range s.TakeLogEvents() {
-			out = append(out, note.Event.Name)
+		for _, logged := range s.TakeLogEvents() {
+			out = append(out, logged.Event.Name)
 		}
 		slices.Sort(out)
 		return strings.Join(slices.Compact(out), ", ")
 	default:
-		p.t.Fatalf("no call %q", words[1])
+		r.t.Fatalf("unknown call %q", words[1])
 	}
 	return ""
 }
 
-func (p *scriptRun) id(text string) model.RequestID {
-	id, err := strconv.ParseUint(text, 10, 64)
+func (r *scriptRun) requestID(text string) model.RequestID {
+	requestID, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		p.t.Fatal(err)
+		r.t.Fatal(err)
 	}
-	return model.RequestID(id)
+	return model.RequestID(requestID)
 }
 
-// offer offers one work, or several of following numbers.
-func (p *scriptRun) offer(s *Scheduler, words []string) string {
-	w := work(p.id(words[2]), 0, time.Second)
-	w.Arrived, w.Deadline = p.now, p.now.Add(time.Second)
-	times := 1
+// enqueue enqueues one request, or several with consecutive IDs.
+func (r *scriptRun) enqueue(s *Scheduler, words []string) string {
+	request := work(r.requestID(words[2]), 0, time.Second)
+	request.Arrived, request.Deadline = r.now, r.now.Add(time.Second)
+	count := 1
 	for _, word := range words[3:] {
 		name, value, _ := strings.Cut(word, "=")
 		switch name {
 		case "rank":
-			w = work(w.Request, model.Rank(p.id(value)), 0)
-			w.Arrived, w.Deadline = p.now, p.now.Add(time.Second)
+			request = work(request.Request, model.Rank(r.requestID(value)), 0)
+			request.Arrived, request.Deadline = r.now, r.now.Add(time.Second)
 		case "deadline":
-			w.Deadline = p.now.Add(p.span(value))
+			request.Deadline = r.now.Add(r.duration(value))
 		case "caller":
-			w.Caller = model.CallerID(value)
+			request.Caller = model.CallerID(value)
 		case "kind":
-			w.Kind = value
+			request.Kind = value
 		case "times":
-			times = int(p.id(value))
+			count = int(r.requestID(value))
 		}
 	}
-	taken, why := 0, ""
-	for range times {
-		refusal, ok := s.Enqueue(p.now, w)
+	admitted, rejection := 0, ""
+	for range count {
+		refusal, ok := s.Enqueue(r.now, request)
 		if ok {
-			taken++
+			admitted++
 		} else {
-			why = fmt.Sprintf(", then %s: %s, again in %s", refusal.Reason, refusal.Detail, refusal.RetryAfter)
+			rejection = fmt.Sprintf(", then %s: %s, again in %s", refusal.Reason, refusal.Detail, refusal.RetryAfter)
 		}
-		w.Request++
+		request.Request++
 	}
-	return fmt.Sprintf("%d taken in%s", taken, why)
+	return fmt.Sprintf("%d taken in%s", admitted, rejection)
 }
--- a/internal/core/rank/group.go
+++ b/internal/core/rank/group.go
@@ -9,36 +9,39 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// Bounds on the work of one Grant, so that its cost does not grow with the
-// number of waiting requests.
+// Bounds on the effort of one AssignSlots, so that its cost does not grow with
+// the number of waiting requests.
 const (
-	// looksPerPick bounds the heads whose candidates are asked for in vain
-	// before the next rank has its turn.
-	looksPerPick = 8
-	// rechecksPerGrant bounds the waiting requests of one rank whose set of
-	// databases is looked at again.
-	rechecksPerGrant = 16
+	// checksPerPick bounds the requests of one rank whose candidates turn out
+	// to have changed when a slot is assigned; after that, the next rank has
+	// its turn.
+	checksPerPick = 8
+	// rechecksPerAssign bounds the waiting requests of one rank whose
+	// candidates are looked up again.
+	rechecksPerAssign = 16
 )
 
-// callerShare is the share of a rank's slot-time above which a caller gives way
-// to others that wait.
-const callerShare = 0.5
+// maxCallerShare is the share of a rank's slot-time above which a caller's
+// requests are passed over in favor of other callers' waiting requests.
+const maxCallerShare = 0.5
 
-// Callers beyond pruneCount are forgotten pruneAge after their last slot.
+// Once a queue has the state of pruneCount callers, prune drops those that have
+// not used a slot for pruneAge.
 const (
 	pruneCount = 1024
-	pruneAge   = 5 * window
+	pruneAge   = 5 * usageWindow
 )
 
 // group is the state of one group of databases.
 type group struct {
-	id        model.GroupID
-	databases []*database
-	queues    []*queue
-	leasing   *leasing
-	retries   retries
-	// faded is when the drains of all queues were last brought up to date.
-	faded time.Time
+	id          model.GroupID
+	databases   []*database
+	queues      []*queue
+	leasing     *leasing
+	retryBudget retryBudget
+	// decayedAt is the time up to which recentUse of all queues has been
+	// decayed.
+	decayedAt time.Time
 }
 
 // database is the state of one database.
@@ -46,71 +49,74 @@
 	id    model.DatabaseID
 	group *group
 	bit   uint64
-	// ledger and meter are this instance's use, fleet and fleetMeter that of
-	// all, as the arbiter sees it.
-	ledger     ledger
+	// rankUsage and meter account for this instance's use of the database;
+	// fleetUsage and fleetMeter account for the leases of all instances while
+	// this instance is the arbiter.
+	rankUsage  rankUsage
 	meter      meter
-	fleet      ledger
+	fleetUsage rankUsage
 	fleetMeter meter
 	limiter    limiter
 }
 
-// caller is what the scheduler knows of one caller in one rank.
+// caller is the state of one caller in one rank: the slot-time that it used and
+// the number of its waiting requests.
 type caller struct {
 	usage   usage
 	waiting int
 }
 
-// queue is the waiting work of one rank in one group.
+// queue holds the waiting requests of one rank in one group.
 type queue struct {
-	rank    model.Rank
-	lanes   []*lane
-	fresh   []*item
-	recheck []*item
-	callers map[model.CallerID]*caller
-	// pruneAt is the number of callers at which old ones are forgotten.
+	rank            model.Rank
+	candidateQueues []*candidateQueue
+	unclassified    []*item
+	recheck         []*item
+	callers         map[model.CallerID]*caller
+	// pruneAt is the number of callers at which the next prune takes place.
 	pruneAt int
 	usage   usage
 	waiting int
 	bytes   int
-	backlog [accesses][classes]backlog
-	// drain is the slot-time used lately, in slot-seconds, as of group.faded.
-	drain [accesses][classes]float64
-	count counters
+	backlog [accessCount][classCount]backlog
+	// recentUse is the recently used slot-time, in slot-seconds, decayed up to
+	// group.decayedAt.
+	recentUse [accessCount][classCount]float64
+	count     counters
 }
 
-func newQueue(r model.Rank, width time.Duration) *queue {
+func newQueue(r model.Rank, bucketWidth time.Duration) *queue {
 	q := &queue{rank: r, callers: map[model.CallerID]*caller{}, pruneAt: pruneCount}
-	q.count.refused = map[message.RefusalReason]uint64{}
+	q.count.rejected = map[message.RefusalReason]uint64{}
 	for a := range q.backlog {
 		for c := range q.backlog[a] {
-			q.backlog[a][c].width = width
+			q.backlog[a][c].bucketWidth = bucketWidth
 		}
 	}
 	return q
 }
 
-// fadeStep is the least time between two fadings.
-const fadeStep = time.Millisecond
+// minDecayInterval is the minimum time between two runs of decayUse.
+const minDecayInterval = time.Millisecond
 
-// fade brings the drains of all queues up to date.
-func (g *group) fade(now time.Time) {
-	elapsed := now.Sub(g.faded)
-	if elapsed < fadeStep {
+// decayUse decays recentUse of all queues up to now.
+func (g *group) decayUse(now time.Time) {
+	elapsed := now.Sub(g.decayedAt)
+	if elapsed < minDecayInterval {
 		return
 	}
-	g.faded = now
-	left := decay(elapsed)
+	g.decayedAt = now
+	factor := decayFactor(elapsed)
 	for _, q := range g.queues {
-		for a := range q.drain {
-			for c := range q.drain[a] {
-				q.drain[a][c] *= left
+		for a := range q.recentUse {
+			for c := range q.recentUse[a] {
+				q.recentUse[a][c] *= factor
 			}
 		}
 	}
 }
 
-// maskOf returns the set of the group's databases that the list names.
+// maskOf returns the set of those databases of the group that are in list.
 func (g *group) maskOf(list []model.DatabaseID) uint64 {
 	mask := uint64(0)
 	for _, id := range list {
@@ -123,36 +129,37 @@
 	return mask
 }
 
-// lane returns the lane of a class and a set of databases.
-func (q *queue) lane(mask uint64, c class) *lane {
-	for _, known := range q.lanes {
-		if known.mask == mask && known.class == c {
-			return known
+// candidateQueue returns the candidate queue for a set of databases and a
+// class, and creates it if there is none.
+func (q *queue) candidateQueue(mask uint64, c class) *candidateQueue {
+	for _, existing := range q.candidateQueues {
+		if existing.mask == mask && existing.class == c {
+			return existing
 		}
 	}
-	added := newLane(mask, c)
-	q.lanes = append(q.lanes, added)
+	added := newCandidateQueue(mask, c)
+	q.candidateQueues = append(q.candidateQueues, added)
 	return added
 }
 
-// caller returns the state of a caller.
+// caller returns the state of a caller, and creates it if there is none.
 func (q *queue) caller(id model.CallerID) *caller {
-	known := q.callers[id]
-	if known == nil {
-		known = &caller{}
-		q.callers[id] = known
+	existing := q.callers[id]
+	if existing == nil {
+		existing = &caller{}
+		q.callers[id] = existing
 	}
-	return known
+	return existing
 }
 
-// prune forgets the callers that have not been seen for long, once there are
-// many.
+// prune drops the state of callers that have no waiting request and have not
+// used a slot for pruneAge, once there are pruneAt callers.
 func (q *queue) prune(now time.Time) {
 	if len(q.callers) < q.pruneAt {
 		return
 	}
-	for id, known := range q.callers {
-		if known.waiting == 0 && now.Sub(known.usage.since) > pruneAge {
+	for id, state := range q.callers {
+		if state.waiting == 0 && now.Sub(state.usage.updatedAt) > pruneAge {
 			delete(q.callers, id)
 		}
 	}
@@ -160,13 +167,13 @@
 }
 
 // -----------------------------------------------------------------------------
-// Entering and leaving the queue.
+// Adding items to the queue and removing them.
 
-// enter takes an item in; it waits to be classified.
-func (s *Scheduler) enter(now time.Time, q *queue, it *item) {
+// addItem adds an item to the queue. The next AssignSlots classifies it.
+func (s *Scheduler) addItem(now time.Time, q *queue, it *item) {
 	q.prune(now)
 	it.waiting = true
-	q.fresh = append(q.fresh, it)
+	q.unclassified = append(q.unclassified, it)
 	q.waiting++
 	q.bytes += it.work.Bytes
 	q.caller(it.work.Caller).waiting++
@@ -175,11 +182,12 @@
 	heap.Push(&s.expiry, it)
 }
 
-// leave takes a waiting item out, to run or for good.
-func (s *Scheduler) leave(q *queue, it *item) {
+// removeItem removes a waiting item from the queue, because it starts or is
+// given up.
+func (s *Scheduler) removeItem(q *queue, it *item) {
 	it.waiting = false
-	if it.line != nil {
-		it.line.lane.remove(it)
+	if it.callerQueue != nil {
+		it.callerQueue.candidateQueue.remove(it)
 	}
 	q.waiting--
 	q.bytes -= it.work.Bytes
@@ -190,149 +198,156 @@
 }
 
 // -----------------------------------------------------------------------------
-// Classification by set of databases.
-
-// classify puts fresh items into their lanes, and looks again at a bounded
-// number of those that waited before; as many as looked were looked at in this
-// step already.
-func (g *group) classify(q *queue, candidates Candidates, looked int) {
-	again := min(rechecksPerGrant, max(0, len(q.recheck)-looked))
-	for _, it := range q.fresh {
+// Classification by set of candidate databases.
+
+// classify puts unclassified items into their candidate queues, and looks up
+// the candidates of a bounded number of other waiting items again.
+// alreadyRechecked is the number of items that this AssignSlots has looked up
+// before.
+func (g *group) classify(q *queue, candidates Candidates, alreadyRechecked int) {
+	rechecks := min(rechecksPerAssign, max(0, len(q.recheck)-alreadyRechecked))
+	for _, it := range q.unclassified {
 		if it.waiting {
-			g.place(q, it, g.maskOf(candidates(it.work)))
+			g.placeItem(q, it, g.maskOf(candidates(it.work)))
 			q.recheck = append(q.recheck, it)
 		}
 	}
-	clear(q.fresh)
-	q.fresh = q.fresh[:0]
-	for i := range again {
+	clear(q.unclassified)
+	q.unclassified = q.unclassified[:0]
+	for i := range rechecks {
 		it := q.recheck[i]
 		if !it.waiting {
 			continue
 		}
-		g.place(q, it, g.maskOf(candidates(it.work)))
+		g.placeItem(q, it, g.maskOf(candidates(it.work)))
 		q.recheck = append(q.recheck, it)
 	}
-	q.recheck = slices.Delete(q.recheck, 0, again)
+	q.recheck = slices.Delete(q.recheck, 0, rechecks)
 }
 
-// place puts an item into the lane of mask.
-func (g *group) place(q *queue, it *item, mask uint64) {
-	if it.line != nil {
+// placeItem moves an item into the candidate queue of mask.
+func (g *group) placeItem(q *queue, it *item, mask uint64) {
+	if it.callerQueue != nil {
 		if it.mask == mask {
 			return
 		}
-		it.line.lane.remove(it)
+		it.callerQueue.candidateQueue.remove(it)
 	}
 	it.mask = mask
-	q.lane(mask, it.class).add(it, q.caller(it.work.Caller))
+	q.candidateQueue(mask, it.class).add(it, q.caller(it.work.Caller))
 }
 
 // -----------------------------------------------------------------------------
-// Pairing.
+// Assignment of slots.
 
-// grantGroup pairs the waiting work of a group until nothing fits. In this step,
-// as many requests of each rank as looked were looked at before.
-func (s *Scheduler) grantGroup(now time.Time, g *group, candidates Candidates, looked int) {
+// assignGroup assigns slots to the waiting requests of a group until no further
+// one can start. alreadyRechecked is the number of items of each rank whose
+// candidates this AssignSlots has looked up again before.
+func (s *Scheduler) assignGroup(now time.Time, g *group, candidates Candidates, alreadyRechecked int) {
 	waiting := 0
 	for _, q := range g.queues {
 		if q.waiting > 0 {
-			g.classify(q, candidates, looked)
+			g.classify(q, candidates, alreadyRechecked)
 		}
 		waiting += q.waiting
 	}
 	for progress := waiting > 0; progress; {
 		progress = false
 		for _, d := range g.databases {
-			if s.grantDatabase(now, d, candidates) {
+			if s.assignOnDatabase(now, d, candidates) {
 				progress = true
 			}
 		}
 	}
 }
 
-// grantDatabase starts one work that d may serve. It reports whether it did.
-func (s *Scheduler) grantDatabase(now time.Time, d *database, candidates Candidates) bool {
+// assignOnDatabase starts one request that d may serve. It reports whether it
+// did.
+func (s *Scheduler) assignOnDatabase(now time.Time, d *database, candidates Candidates) bool {
 	if !s.isFree(d) {
 		return false
 	}
-	s.order = d.ledger.order(now, s.floors, s.order)
-	for _, r := range s.order {
-		if s.grantRank(now, d, d.group.queues[r], candidates) {
+	s.rankOrder = d.rankUsage.rankOrder(now, s.minShares, s.rankOrder)
+	for _, r := range s.rankOrder {
+		if s.assignFromRank(now, d, d.group.queues[r], candidates) {
 			return true
 		}
 	}
 	return false
 }
 
-// grantRank starts one work of a rank that d may serve. It reports whether it
-// did.
-func (s *Scheduler) grantRank(now time.Time, d *database, q *queue, candidates Candidates) bool {
-	if q.waiting == 0 || !d.group.leasing.holder.allows(s, now, d, q.rank) {
+// assignFromRank starts one request of a rank that d may serve. It reports
+// whether it did. The request may start on another database that comes earlier
+// in its candidates.
+func (s *Scheduler) assignFromRank(now time.Time, d *database, q *queue, candidates Candidates) bool {
+	if q.waiting == 0 || !d.group.leasing.leaseHolder.allows(s, now, d, q.rank) {
 		return false
 	}
-	for range looksPerPick {
-		it := s.best(now, q, d)
+	for range checksPerPick {
+		it := s.nextItem(now, q, d)
 		if it == nil {
 			return false
 		}
-		list := candidates(it.work)
-		mask := d.group.maskOf(list)
+		databases := candidates(it.work)
+		mask := d.group.maskOf(databases)
 		if mask != it.mask {
-			d.group.place(q, it, mask)
+			d.group.placeItem(q, it, mask)
 			continue
 		}
-		s.start(now, q, it, s.preferred(now, d, q.rank, list))
+		s.start(now, q, it, s.preferredDatabase(now, d, q.rank, databases))
 		return true
 	}
 	return false
 }
 
-// best returns the work that d's bit may serve next: prompt work before late
-// work, then the earliest deadline. Prompt work that has become late changes
-// its class here.
-func (s *Scheduler) best(now time.Time, q *queue, d *database) *item {
+// nextItem returns the request that d may serve next, or nil: on-time requests
+// before late ones, then the earliest deadline. On-time requests that are now
+// expected to miss their target are moved to the late class.
+func (s *Scheduler) nextItem(now time.Time, q *queue, d *database) *item {
 	for {
-		it := d.group.first(now, q, d.bit, classPrompt)
+		it := d.group.firstOfClass(now, q, d.bit, classOnTime)
 		if it == nil {
-			return d.group.first(now, q, d.bit, classLate)
+			return d.group.firstOfClass(now, q, d.bit, classLate)
 		}
-		if !it.isLate(now) {
+		if !it.willMissTarget(now) {
 			return it
 		}
 		s.demote(now, q, it)
 	}
 }
 
-// demote makes a prompt item late.
+// demote moves an item from the on-time class to the late class.
 func (s *Scheduler) demote(now time.Time, q *queue, it *item) {
 	backlogs := &q.backlog[s.access(it.work.Kind)]
 	backlogs[it.class].remove(it)
-	it.line.lane.remove(it)
+	it.callerQueue.candidateQueue.remove(it)
 	it.class = classLate
 	backlogs[it.class].add(now, it)
-	q.lane(it.mask, it.class).add(it, q.caller(it.work.Caller))
+	q.candidateQueue(it.mask, it.class).add(it, q.caller(it.work.Caller))
 }
 
-// first returns the earliest work of a class that the bit may serve.
-func (g *group) first(now time.Time, q *queue, bit uint64, c class) *item {
-	total := q.usage.at(now)
+// firstOfClass returns the next item of a class that the database with this bit
+// may serve, or nil.
+func (g *group) firstOfClass(now time.Time, q *queue, bit uint64, c class) *item {
+	total := q.usage.amountAt(now)
 	var best *item
-	for _, l := range q.lanes {
-		if l.class != c || len(l.lines) == 0 || g.usable(now, l.mask)&bit == 0 {
+	for _, cq := range q.candidateQueues {
+		if cq.class != c || len(cq.callerQueues) == 0 || g.usableMask(now, cq.mask)&bit == 0 {
 			continue
 		}
-		head := l.head(now, total)
-		if head != nil && (best == nil || head.before(best)) {
-			best = head
+		next := cq.next(now, total)
+		if next != nil && (best == nil || next.before(best)) {
+			best = next
 		}
 	}
 	return best
 }
 
-// preferred returns the first of list with a slot for the rank; d has one.
-func (s *Scheduler) preferred(now time.Time, d *database, r model.Rank, list []model.DatabaseID) *database {
-	for _, id := range list {
+// preferredDatabase returns the first candidate on which a request of the rank
+// may start. Candidates with an open circuit are passed over, except d, on
+// which the request may start.
+func (s *Scheduler) preferredDatabase(now time.Time, d *database, r model.Rank, candidates []model.DatabaseID) *database {
+	for _, id := range candidates {
 		other := s.databases[id]
 		if other == d {
 			return d
@@ -340,34 +355,36 @@
 		if other == nil || other.group != d.group || other.limiter.state != circuitClosed {
 			continue
 		}
-		if s.isFree(other) && d.group.leasing.holder.allows(s, now, other, r) {
+		if s.isFree(other) && d.group.leasing.leaseHolder.allows(s, now, other, r) {
 			return other
 		}
 	}
 	return d
 }
 
-// start lets a waiting item run on d.
+// start marks a waiting item as running on d and adds the assignment. The item
+// becomes the probe of d if the circuit is open and a probe is due.
 func (s *Scheduler) start(now time.Time, q *queue, it *item, d *database) {
-	s.leave(q, it)
+	s.removeItem(q, it)
 	it.started = now
 	it.database = d
 	s.running[it.work.Request] = it
-	if d.limiter.state != circuitClosed && d.limiter.probe == 0 && !now.Before(d.limiter.until) {
-		d.limiter.probe = it.work.Request
+	if d.limiter.state != circuitClosed && d.limiter.probeRequest == 0 && !now.Before(d.limiter.nextProbeAt) {
+		d.limiter.probeRequest = it.work.Request
 	}
-	d.ledger.start(now, q.rank)
-	d.group.leasing.holder.started(now, it)
-	s.charge(now, q, it, it.cost)
+	d.rankUsage.start(now, q.rank)
+	d.group.leasing.leaseHolder.started(now, it)
+	s.chargeSlotTime(now, q, it, it.cost)
 	q.count.running++
-	s.grants = append(s.grants, SlotAssignment{Request: it.work.Request, Database: d.id})
+	s.assignments = append(s.assignments, SlotAssignment{Request: it.work.Request, Database: d.id})
 }
 
-// charge adds slot-time to the accounts of an item's caller and rank.
-func (s *Scheduler) charge(now time.Time, q *queue, it *item, slots time.Duration) {
-	q.caller(it.work.Caller).usage.add(now, slots)
-	q.usage.add(now, slots)
-	it.database.group.fade(now)
-	drain := &q.drain[s.access(it.work.Kind)][it.class]
-	*drain = max(0, *drain+slots.Seconds())
+// chargeSlotTime adds slotTime, which may be negative, to the usage of an
+// item's caller and rank.
+func (s *Scheduler) chargeSlotTime(now time.Time, q *queue, it *item, slotTime time.Duration) {
+	q.caller(it.work.Caller).usage.add(now, slotTime)
+	q.usage.add(now, slotTime)
+	it.database.group.decayUse(now)
+	recentUse := &q.recentUse[s.access(it.work.Kind)][it.class]
+	*recentUse = max(0, *recentUse+slotTime.Seconds())
 }
--- a/internal/core/rank/lease.go
+++ b/internal/core/rank/lease.go
@@ -7,103 +7,107 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// leasing is how the instances divide the slots of one group: one of them, the
+// leasing divides the slots of one group among the instances. One of them, the
 // group's arbiter, leases the slots to the ranks that wait on all instances.
-// Nothing depends on the arbiter for safety: instances that do not hear from it
-// go on with an equal share.
+// Safety does not depend on the arbiter: an instance that gets no answer from
+// it continues with an equal share of the slots.
 type leasing struct {
-	holder holder
+	leaseHolder leaseHolder
 	// arbiter is nil while another instance is the arbiter.
 	arbiter *arbiter
 }
 
 func newLeasing() *leasing {
-	return &leasing{holder: holder{returned: map[uint64]uint64{}}}
+	return &leasing{leaseHolder: leaseHolder{returned: map[uint64]uint64{}}}
 }
 
-// elect adopts the arbiter that the live instances give.
-func (w *leasing) elect(s *Scheduler, now time.Time, g *group) {
+// updateArbiter adopts the arbiter that follows from the set of live instances.
+func (l *leasing) updateArbiter(s *Scheduler, now time.Time, g *group) {
 	id := s.peers.arbiter(g.id)
-	if id == w.holder.arbiter {
+	if id == l.leaseHolder.arbiter {
 		return
 	}
-	s.note(now, arbiterChanged(g, w.holder.arbiter, id))
-	w.holder.follow(id)
-	w.arbiter = nil
+	s.logEvent(now, arbiterChanged(g, l.leaseHolder.arbiter, id))
+	l.leaseHolder.setArbiter(id)
+	l.arbiter = nil
 	if id == s.self {
-		w.arbiter = newArbiter(s.self, now)
+		l.arbiter = newArbiter(s.self, now)
 	}
 }
 
-// hear takes in a Demand or Permit.
-func (w *leasing) hear(s *Scheduler, now time.Time, g *group, from model.InstanceID, body message.PeerMessage) {
+// receive handles a LeaseRequest or LeaseGrant. A LeaseRequest is ignored
+// unless this instance is the arbiter, a LeaseGrant unless it comes from the
+// arbiter.
+func (l *leasing) receive(s *Scheduler, now time.Time, g *group, from model.InstanceID, body message.PeerMessage) {
 	switch body := body.(type) {
 	case message.LeaseRequest:
-		if w.arbiter != nil {
-			w.arbiter.hear(s, now, g, from, &body)
+		if l.arbiter != nil {
+			l.arbiter.receive(s, now, g, from, &body)
 		}
 	case message.LeaseGrant:
-		if from == w.holder.arbiter {
-			w.holder.hear(s, now, &body)
+		if from == l.leaseHolder.arbiter {
+			l.leaseHolder.receive(s, now, &body)
 		}
 	}
 }
 
-// messages returns the demand of this instance, and the permits that it gives
-// as the arbiter.
-func (w *leasing) messages(s *Scheduler, now time.Time, g *group) []message.SendPeer {
+// messages returns the messages that are due: the lease request of this
+// instance, and the lease grants if it is the arbiter. Messages of the instance
+// to itself are handled at once.
+func (l *leasing) messages(s *Scheduler, now time.Time, g *group) []message.SendPeer {
 	var out []message.SendPeer
-	demand, due := w.holder.demand(s, now, g)
+	leaseRequest, due := l.leaseHolder.leaseRequest(s, now, g)
 	switch {
-	case due && w.arbiter != nil:
-		w.arbiter.hear(s, now, g, s.self, &demand)
-	case due && w.holder.arbiter != "":
-		out = append(out, message.SendPeer{To: w.holder.arbiter, Body: demand})
+	case due && l.arbiter != nil:
+		l.arbiter.receive(s, now, g, s.self, &leaseRequest)
+	case due && l.leaseHolder.arbiter != "":
+		out = append(out, message.SendPeer{To: l.leaseHolder.arbiter, Body: leaseRequest})
 	}
-	if w.arbiter == nil {
+	if l.arbiter == nil {
 		return out
 	}
-	w.arbiter.decide(s, now, g)
-	for _, c := range w.arbiter.clients {
-		permit, due := w.arbiter.permit(now, g, c)
+	l.arbiter.grantAndRecall(s, now, g)
+	for _, c := range l.arbiter.clients {
+		leaseGrant, due := l.arbiter.leaseGrant(now, g, c)
 		switch {
 		case due && c.id == s.self:
-			w.holder.hear(s, now, &permit)
+			l.leaseHolder.receive(s, now, &leaseGrant)
 		case due:
-			out = append(out, message.SendPeer{To: c.id, Body: permit})
+			out = append(out, message.SendPeer{To: c.id, Body: leaseGrant})
 		}
 	}
 	return out
 }
 
-// equalShare returns the slots of d that this instance may use on average when
-// all known instances use the same.
+// equalShare returns the mean number of slots of d that this instance may use
+// if all known instances use the same number.
 func (s *Scheduler) equalShare(d *database) float64 {
 	return float64(s.limitOf(d)) / float64(max(1, len(s.peers.known)))
 }
 
 // -----------------------------------------------------------------------------
-// What waits.
+// Demand of the waiting requests.
 
-// wants returns the demand of this instance on a group.
-func (g *group) wants(now time.Time) []message.SlotDemand {
-	var wants []message.SlotDemand
+// slotDemands returns the demand of this instance for slots of a group, an
+// entry for each set of databases, rank and class.
+func (g *group) slotDemands(now time.Time) []message.SlotDemand {
+	var slotDemands []message.SlotDemand
 	for _, q := range g.queues {
-		for _, l := range q.lanes {
-			mask := g.usable(now, l.mask)
-			if mask == 0 || len(l.lines) == 0 {
+		for _, cq := range q.candidateQueues {
+			mask := g.usableMask(now, cq.mask)
+			if mask == 0 || len(cq.callerQueues) == 0 {
 				continue
 			}
-			wants = append(wants, message.SlotDemand{
+			slotDemands = append(slotDemands, message.SlotDemand{
 				Databases:      g.names(mask),
 				Rank:           q.rank,
-				PastTarget:     l.class == classLate,
-				Waiting:        l.waiting,
-				TimeToDeadline: l.lines[0].items[0].work.Deadline.Sub(now),
+				PastTarget:     cq.class == classLate,
+				Waiting:        cq.waiting,
+				TimeToDeadline: cq.callerQueues[0].items[0].work.Deadline.Sub(now),
 			})
 		}
 	}
-	return wants
+	return slotDemands
 }
 
 // names returns the databases of a set.
--- a/internal/core/rank/lease_arbiter.go
+++ b/internal/core/rank/lease_arbiter.go
@@ -11,126 +11,135 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// arbiter is the state of the instance that is a group's arbiter.
+// arbiter is the state of an instance as the arbiter of a group.
 type arbiter struct {
-	since   time.Time
-	clients []*client
-	leases  []*lease
-	// number is the last lease's; its upper half tells arbiters apart.
-	number uint64
-	order  []model.Rank
+	createdAt time.Time
+	clients   []*client
+	leases    []*lease
+	// leaseID is the ID of the last lease granted. Its upper 32 bits are a hash
+	// of the instance and the time at which it became the arbiter, so that the
+	// IDs of different arbiters differ.
+	leaseID   uint64
+	rankOrder []model.Rank
 }
 
-// client is what the arbiter knows of one instance.
+// client is the arbiter's state of one instance that requests leases.
 type client struct {
-	id       model.InstanceID
-	sequence uint64
-	seen     uint64
-	heard    time.Time
-	wants    []want
-	limits   []message.SlotLimit
-	// permits counts the permits sent to the instance.
-	permits uint64
-	sent    time.Time
-	// roundTrip is the shortest time lately from a permit to the demand that has
-	// seen it: the part of a lease in which nothing can run.
+	id              model.InstanceID
+	requestSequence uint64
+	lastGrantSeen   uint64
+	lastRequestAt   time.Time
+	demands         []slotDemand
+	limits          []message.SlotLimit
+	// grantSequence is the sequence of the last grant sent to the instance.
+	grantSequence uint64
+	grantSentAt   time.Time
+	// roundTrip is the shortest recent time from a grant to the request that
+	// acknowledges it. For this part of a lease, the slot can't be used.
 	roundTrip time.Duration
-	// changed says that the instance's leases are not what it was told.
-	changed bool
+	// leasesChanged says that the instance's leases differ from the last grant
+	// sent to it.
+	leasesChanged bool
 }
 
-// want is one Want on the arbiter's clock.
-type want struct {
-	mask    uint64
-	rank    model.Rank
-	late    bool
-	waiting int
-	due     time.Time
+// slotDemand is a message.SlotDemand with its deadline on the arbiter's clock.
+type slotDemand struct {
+	mask     uint64
+	rank     model.Rank
+	late     bool
+	waiting  int
+	deadline time.Time
 }
 
-// lease is one slot given to an instance.
+// lease is one slot that is leased to an instance.
 type lease struct {
-	number   uint64
-	to       *client
-	database *database
-	rank     model.Rank
-	since    time.Time
-	expires  time.Time
-	// permit is the sequence of the first permit that lists it.
-	permit uint64
-	recall bool
+	leaseID   uint64
+	holder    *client
+	database  *database
+	rank      model.Rank
+	grantedAt time.Time
+	expiresAt time.Time
+	// firstGrant is the sequence of the first grant that lists the lease.
+	firstGrant uint64
+	recall     bool
 }
 
 func newArbiter(self model.InstanceID, now time.Time) *arbiter {
 	start := strconv.FormatInt(now.UnixNano(), 36)
-	return &arbiter{since: now, number: xxhash.Sum64String(string(self)+"/"+start) << 32}
+	return &arbiter{createdAt: now, leaseID: xxhash.Sum64String(string(self)+"/"+start) << 32}
 }
 
-// client returns the state of an instance.
+// client returns the state of an instance, and creates it if there is none.
 func (a *arbiter) client(id model.InstanceID) *client {
-	for _, p := range a.clients {
-		if p.id == id {
-			return p
+	for _, c := range a.clients {
+		if c.id == id {
+			return c
 		}
 	}
-	// Permits of a later reign count higher than those of an earlier one.
-	p := &client{id: id, permits: uint64(a.since.UnixNano())}
-	a.clients = append(a.clients, p)
-	return p
+	// Sequences start at the creation time, so that the grants of an instance
+	// that becomes the arbiter again have higher sequences than its earlier
+	// ones.
+	c := &client{id: id, grantSequence: uint64(a.createdAt.UnixNano())}
+	a.clients = append(a.clients, c)
+	return c
 }
 
 // -----------------------------------------------------------------------------
-// Demands.
+// Lease requests.
 
-// hear takes in a demand.
-func (a *arbiter) hear(s *Scheduler, now time.Time, g *group, from model.InstanceID, demand *message.LeaseRequest) {
-	p := a.client(from)
-	if demand.Sequence <= p.sequence {
+// receive handles a lease request. Requests that are not newer than the last
+// one are ignored.
+func (a *arbiter) receive(s *Scheduler, now time.Time, g *group, from model.InstanceID, request *message.LeaseRequest) {
+	c := a.client(from)
+	if request.Sequence <= c.requestSequence {
 		return
 	}
-	p.measure(now, demand.LastGrantSeen)
-	p.sequence, p.seen, p.heard = demand.Sequence, demand.LastGrantSeen, now
-	p.limits = demand.Limits
-	p.wants = p.wants[:0]
-	for _, w := range demand.Demands {
-		p.wants = append(p.wants, want{
-			mask: g.maskOf(w.Databases), rank: s.clamp(w.Rank), late: w.PastTarget, waiting: w.Waiting, due: now.Add(w.TimeToDeadline),
+	c.updateRoundTrip(now, request.LastGrantSeen)
+	c.requestSequence, c.lastGrantSeen, c.lastRequestAt = request.Sequence, request.LastGrantSeen, now
+	c.limits = request.Limits
+	c.demands = c.demands[:0]
+	for _, demand := range request.Demands {
+		c.demands = append(c.demands, slotDemand{
+			mask: g.maskOf(demand.Databases), rank: s.clampRank(demand.Rank), late: demand.PastTarget,
+			waiting: demand.Waiting, deadline: now.Add(demand.TimeToDeadline),
 		})
 	}
-	a.settle(s, now, p, demand.HeldLeases)
+	a.reconcileLeases(s, now, c, request.HeldLeases)
 }
 
-// maxRoundTrip bounds what is taken for the way there and back, and roundTripRises is the
-// inverse of the part by which it rises with each sample.
+// maxRoundTrip bounds the samples of client.roundTrip. With each sample,
+// roundTrip first rises by one part in roundTripRises, so that it follows a
+// round trip that became longer.
 const (
 	maxRoundTrip   = 10 * time.Millisecond
 	roundTripRises = 64
 )
 
-// measure takes in how long the newest permit took to be seen.
-func (p *client) measure(now time.Time, seen uint64) {
-	if seen != p.permits || p.seen == seen {
+// updateRoundTrip measures the round trip when a request acknowledges the
+// newest grant for the first time.
+func (c *client) updateRoundTrip(now time.Time, lastGrantSeen uint64) {
+	if lastGrantSeen != c.grantSequence || c.lastGrantSeen == lastGrantSeen {
 		return
 	}
-	p.roundTrip += p.roundTrip / roundTripRises
-	sample := min(now.Sub(p.sent), maxRoundTrip)
-	if p.roundTrip == 0 || sample < p.roundTrip {
-		p.roundTrip = sample
+	c.roundTrip += c.roundTrip / roundTripRises
+	sample := min(now.Sub(c.grantSentAt), maxRoundTrip)
+	if c.roundTrip == 0 || sample < c.roundTrip {
+		c.roundTrip = sample
 	}
 }
 
-// settle renews the leases that an instance still holds, frees those it gave
-// back, and adopts those it has from an earlier arbiter.
-func (a *arbiter) settle(s *Scheduler, now time.Time, p *client, held []message.HeldLease) {
+// reconcileLeases renews the leases that an instance still holds, frees those
+// that it has returned, and adopts those that an earlier arbiter granted to it.
+func (a *arbiter) reconcileLeases(s *Scheduler, now time.Time, c *client, held []message.HeldLease) {
 	kept := a.leases[:0]
 	for _, l := range a.leases {
 		switch {
-		case l.to != p:
-		case isHeld(held, l.number):
-			l.expires = now.Add(leaseValid + leaseGrace)
-		case l.permit <= p.seen:
-			l.database.fleet.stop(now, l.rank)
-			l.database.fleet.refund(l.rank, p.roundTrip)
+		case l.holder != c:
+		case isHeld(held, l.leaseID):
+			l.expiresAt = now.Add(leaseDuration + leaseGrace)
+		case l.firstGrant <= c.lastGrantSeen:
+			l.database.fleetUsage.stop(now, l.rank)
+			l.database.fleetUsage.refund(l.rank, c.roundTrip)
 			continue
 		}
 		kept = append(kept, l)
@@ -138,50 +147,50 @@
 	clear(a.leases[len(kept):])
 	a.leases = kept
 	for _, h := range held {
-		if d := s.databases[h.Database]; d != nil && !a.has(h.ID) {
-			a.add(now, &lease{number: h.ID, to: p, database: d, rank: s.clamp(h.Rank)})
+		if d := s.databases[h.Database]; d != nil && !a.hasLease(h.ID) {
+			a.addLease(now, &lease{leaseID: h.ID, holder: c, database: d, rank: s.clampRank(h.Rank)})
 		}
 	}
 }
 
-func isHeld(held []message.HeldLease, number uint64) bool {
+func isHeld(held []message.HeldLease, leaseID uint64) bool {
 	for _, h := range held {
-		if h.ID == number {
+		if h.ID == leaseID {
 			return true
 		}
 	}
 	return false
 }
 
-func (a *arbiter) has(number uint64) bool {
+func (a *arbiter) hasLease(leaseID uint64) bool {
 	for _, l := range a.leases {
-		if l.number == number {
+		if l.leaseID == leaseID {
 			return true
 		}
 	}
 	return false
 }
 
-// add counts a lease.
-func (a *arbiter) add(now time.Time, l *lease) {
-	l.since = now
-	l.expires = now.Add(leaseValid + leaseGrace)
-	l.permit = l.to.permits + 1
-	l.to.changed = true
-	l.database.fleet.start(now, l.rank)
+// addLease records a lease and counts its slot as used from now on.
+func (a *arbiter) addLease(now time.Time, l *lease) {
+	l.grantedAt = now
+	l.expiresAt = now.Add(leaseDuration + leaseGrace)
+	l.firstGrant = l.holder.grantSequence + 1
+	l.holder.leasesChanged = true
+	l.database.fleetUsage.start(now, l.rank)
 	a.leases = append(a.leases, l)
 }
 
-// expire frees the leases that were not renewed.
-func (a *arbiter) expire(now time.Time) {
+// expireLeases frees the leases that were not renewed in time.
+func (a *arbiter) expireLeases(now time.Time) {
 	kept := a.leases[:0]
 	for _, l := range a.leases {
-		if now.Before(l.expires) {
+		if now.Before(l.expiresAt) {
 			kept = append(kept, l)
 			continue
 		}
-		l.database.fleet.stop(now, l.rank)
-		l.to.changed = true
+		l.database.fleetUsage.stop(now, l.rank)
+		l.holder.leasesChanged = true
 	}
 	clear(a.leases[len(kept):])
 	a.leases = kept
@@ -190,45 +199,46 @@
 // -----------------------------------------------------------------------------
 // Decisions.
 
-// forget drops the wants of instances that are gone or no longer ask, and the
-// instances themselves once their leases have ended.
-func (a *arbiter) forget(s *Scheduler, now time.Time) {
+// removeStaleClients drops the demands of instances that are not live or have
+// sent no request for demandExpiry, and drops instances that are not live once
+// they hold no leases.
+func (a *arbiter) removeStaleClients(s *Scheduler, now time.Time) {
 	kept := a.clients[:0]
-	for _, p := range a.clients {
-		isLive := slices.Contains(s.peers.live, p.id)
-		if !isLive || now.Sub(p.heard) > wantFades {
-			p.wants = p.wants[:0]
+	for _, c := range a.clients {
+		isLive := slices.Contains(s.peers.live, c.id)
+		if !isLive || now.Sub(c.lastRequestAt) > demandExpiry {
+			c.demands = c.demands[:0]
 		}
-		if isLive || a.holds(p) {
-			kept = append(kept, p)
+		if isLive || a.holdsLeases(c) {
+			kept = append(kept, c)
 		}
 	}
 	clear(a.clients[len(kept):])
 	a.clients = kept
 }
 
-// holds reports whether an instance has leases.
-func (a *arbiter) holds(p *client) bool {
+// holdsLeases reports whether an instance holds leases.
+func (a *arbiter) holdsLeases(c *client) bool {
 	for _, l := range a.leases {
-		if l.to == p {
+		if l.holder == c {
 			return true
 		}
 	}
 	return false
 }
 
-// decide gives free slots to the demand and recalls leases to demand that has
-// a better claim.
-func (a *arbiter) decide(s *Scheduler, now time.Time, g *group) {
-	a.expire(now)
-	a.forget(s, now)
-	if !a.isWanted() || !a.isReady(s, now) {
+// grantAndRecall grants free slots to waiting requests, and recalls leases for
+// waiting requests with a better claim.
+func (a *arbiter) grantAndRecall(s *Scheduler, now time.Time, g *group) {
+	a.expireLeases(now)
+	a.removeStaleClients(s, now)
+	if !a.hasDemand() || !a.isReady(s, now) {
 		return
 	}
 	for progress := true; progress; {
 		progress = false
 		for _, d := range g.databases {
-			if a.hasFree(s, now, d) && a.grant(s, now, d) {
+			if a.hasFreeSlot(s, now, d) && a.grantSlot(s, now, d) {
 				progress = true
 			}
 		}
@@ -238,170 +248,183 @@
 	}
 }
 
-// isWanted reports whether any instance waits for a slot.
-func (a *arbiter) isWanted() bool {
+// hasDemand reports whether any instance waits for a slot.
+func (a *arbiter) hasDemand() bool {
 	for _, c := range a.clients {
-		if len(c.wants) > 0 {
+		if len(c.demands) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// isReady reports whether the arbiter knows which leases an earlier arbiter
-// gave: all live instances have spoken, or such leases have ended.
+// isReady reports whether the arbiter knows all leases that an earlier arbiter
+// granted: either every live instance has sent a request, or those leases have
+// expired.
 func (a *arbiter) isReady(s *Scheduler, now time.Time) bool {
-	if now.Sub(a.since) > leaseValid+leaseGrace {
+	if now.Sub(a.createdAt) > leaseDuration+leaseGrace {
 		return true
 	}
 	for _, id := range s.peers.live {
-		if a.client(id).heard.IsZero() {
+		if a.client(id).lastRequestAt.IsZero() {
 			return false
 		}
 	}
 	return true
 }
 
-// hasFree reports whether a slot of d may be leased. While instances are
-// unreachable, their share stays free for them.
-func (a *arbiter) hasFree(s *Scheduler, now time.Time, d *database) bool {
-	slots := float64(a.limit(s, d)+slotsAhead) * float64(len(s.peers.live)) / float64(max(1, len(s.peers.known)))
-	return d.fleetMeter.allows(now, slots, d.fleet.busy())
+// hasFreeSlot reports whether a slot of d may be leased. The share of
+// unreachable instances stays free for them.
+func (a *arbiter) hasFreeSlot(s *Scheduler, now time.Time, d *database) bool {
+	slots := float64(a.slotLimit(s, d)+inTransitRequests) * float64(len(s.peers.live)) / float64(max(1, len(s.peers.known)))
+	return d.fleetMeter.allows(now, slots, d.fleetUsage.slotsInUse())
 }
 
-// limit returns the slots of d that all may use: the mean of what the instances
-// would use, so that the bad luck of one does not slow all.
-func (a *arbiter) limit(s *Scheduler, d *database) int {
+// slotLimit returns the number of slots of d that all instances together may
+// use: the mean of the limits that they report, so that one instance that sees
+// slow answers does not lower the limit for all.
+func (a *arbiter) slotLimit(s *Scheduler, d *database) int {
 	sum := 0
-	for _, p := range a.clients {
-		sum += p.limitOf(d.id, s.limits.MaxConcurrentStatements)
+	for _, c := range a.clients {
+		sum += c.reportedLimit(d.id, s.limits.MaxConcurrentStatements)
 	}
 	count := max(1, len(a.clients))
 	return max(1, (sum+count/2)/count)
 }
 
-// limitOf returns the slots of a database that the instance would use.
-func (p *client) limitOf(id model.DatabaseID, slots int) int {
-	for _, l := range p.limits {
+// reportedLimit returns the number of slots of a database that all instances
+// together should use according to this one.
+func (c *client) reportedLimit(id model.DatabaseID, maxSlots int) int {
+	for _, l := range c.limits {
 		if l.Database == id {
-			return min(max(1, l.Slots), slots)
+			return min(max(1, l.Slots), maxSlots)
 		}
 	}
-	return slots
+	return maxSlots
 }
 
-// unmet returns how many requests of a want have no lease on its way.
-func (a *arbiter) unmet(p *client, w *want) int {
-	n := w.waiting
+// unmetRequests returns the number of waiting requests of a demand for which no
+// granted lease is on its way to the instance.
+func (a *arbiter) unmetRequests(c *client, demand *slotDemand) int {
+	n := demand.waiting
 	for _, l := range a.leases {
-		if l.to == p && l.rank == w.rank && l.permit > p.seen && l.database.bit&w.mask != 0 {
+		if l.holder == c && l.rank == demand.rank && l.firstGrant > c.lastGrantSeen && l.database.bit&demand.mask != 0 {
 			n--
 		}
 	}
 	return n
 }
 
-// claim is a want that has a claim on a slot of a database.
+// claim is the claim of one demand on a slot of a database.
 type claim struct {
-	from  *client
-	want  *want
-	unmet int
-	due   time.Time
-	// full says that the instance has all the slots of the database that one
-	// instance may use: it can only change one rank for another.
-	full bool
+	requester     *client
+	slotDemand    *slotDemand
+	unmetRequests int
+	deadline      time.Time
+	// atSlotLimit says that the instance holds all the slots of the database
+	// that one instance may use: it can get a slot for one rank only by
+	// returning a slot of another.
+	atSlotLimit bool
 }
 
-// before reports whether c is served before other: prompt work before late
+// before reports whether c is served before other: on-time work before late
 // work, then the earliest deadline.
 func (c *claim) before(other *claim) bool {
-	if c.want.late != other.want.late {
-		return other.want.late
+	if c.slotDemand.late != other.slotDemand.late {
+		return other.slotDemand.late
 	}
-	return c.due.Before(other.due)
+	return c.deadline.Before(other.deadline)
 }
 
-// claimOf returns the best claim of a rank on d: the earliest deadline. For a
-// loan, it is one of an instance that is not full.
-func (a *arbiter) claimOf(s *Scheduler, d *database, r model.Rank, loan bool) (claim, bool) {
+// bestClaim returns the claim of a rank on d that is served first, and whether
+// there is one. With needsExtraSlot, instances that are at their slot limit are
+// passed over.
+func (a *arbiter) bestClaim(s *Scheduler, d *database, r model.Rank, needsExtraSlot bool) (claim, bool) {
 	best, found := claim{}, false
-	for _, p := range a.clients {
-		full := a.heldBy(p, d) >= s.perInstance(d)
-		if full && loan {
+	for _, c := range a.clients {
+		atSlotLimit := a.leaseCount(c, d) >= s.perInstance(d)
+		if atSlotLimit && needsExtraSlot {
 			continue
 		}
-		for i := range p.wants {
-			w := &p.wants[i]
-			if w.rank != r || w.mask&d.bit == 0 {
+		for i := range c.demands {
+			demand := &c.demands[i]
+			if demand.rank != r || demand.mask&d.bit == 0 {
 				continue
 			}
-			n := a.unmet(p, w)
-			// What was leased already took the earliest deadlines of the want.
-			c := claim{from: p, want: w, unmet: n, due: w.due.Add(time.Duration(w.waiting-n) * defaultCost), full: full}
-			if n > 0 && (!found || c.before(&best)) {
-				best, found = c, true
+			unmet := a.unmetRequests(c, demand)
+			// The leases on their way are used for the earliest deadlines of
+			// the demand, so the deadline of the next request is estimated.
+			candidate := claim{
+				requester: c, slotDemand: demand, unmetRequests: unmet,
+				deadline:    demand.deadline.Add(time.Duration(demand.waiting-unmet) * defaultCost),
+				atSlotLimit: atSlotLimit,
+			}
+			if unmet > 0 && (!found || candidate.before(&best)) {
+				best, found = candidate, true
 			}
 		}
 	}
 	return best, found
 }
 
-// heldBy counts the leases of an instance on d.
-func (a *arbiter) heldBy(p *client, d *database) int {
+// leaseCount returns the number of leases that an instance holds on d.
+func (a *arbiter) leaseCount(c *client, d *database) int {
 	n := 0
 	for _, l := range a.leases {
-		if l.to == p && l.database == d {
+		if l.holder == c && l.database == d {
 			n++
 		}
 	}
 	return n
 }
 
-// grant leases one free slot of d to the best claim. It reports whether there
-// was one.
-func (a *arbiter) grant(s *Scheduler, now time.Time, d *database) bool {
-	a.order = d.fleet.order(now, s.floors, a.order)
-	for _, r := range a.order {
-		best, found := a.claimOf(s, d, r, true)
+// grantSlot leases one free slot of d to the best claim of the first rank that
+// has one. It reports whether there was a claim.
+func (a *arbiter) grantSlot(s *Scheduler, now time.Time, d *database) bool {
+	a.rankOrder = d.fleetUsage.rankOrder(now, s.minShares, a.rankOrder)
+	for _, r := range a.rankOrder {
+		best, found := a.bestClaim(s, d, r, true)
 		if !found {
 			continue
 		}
-		a.number++
-		granted := &lease{number: a.number, to: best.from, database: d, rank: r}
-		a.add(now, granted)
-		s.noteGranted(now, granted)
+		a.leaseID++
+		granted := &lease{leaseID: a.leaseID, holder: best.requester, database: d, rank: r}
+		a.addLease(now, granted)
+		s.logLeaseGranted(now, granted)
 		return true
 	}
 	return false
 }
 
-// recall asks for leases on d back that have a worse claim than what waits.
+// recall recalls leases on d whose claim is worse than that of waiting
+// requests.
 func (a *arbiter) recall(s *Scheduler, now time.Time, d *database) {
-	a.order = d.fleet.order(now, s.floors, a.order)
-	coming := a.recalled(d)
-	for place, r := range a.order {
-		best, found := a.claimOf(s, d, r, false)
+	a.rankOrder = d.fleetUsage.rankOrder(now, s.minShares, a.rankOrder)
+	pendingReturns := a.recalledCount(d)
+	for rankIndex, r := range a.rankOrder {
+		best, found := a.bestClaim(s, d, r, false)
 		if !found {
 			continue
 		}
-		for n := best.unmet; n > 0; n-- {
-			if coming > 0 {
-				coming--
+		for n := best.unmetRequests; n > 0; n-- {
+			if pendingReturns > 0 {
+				pendingReturns--
 				continue
 			}
-			victim := a.victim(now, d, place, best)
+			victim := a.victim(now, d, rankIndex, best)
 			if victim == nil {
 				break
 			}
 			victim.recall = true
-			victim.to.changed = true
-			s.noteRecalled(now, victim, best)
+			victim.holder.leasesChanged = true
+			s.logLeaseRecalled(now, victim, best)
 		}
 	}
 }
 
-// recalled counts the leases on d that are on their way back.
-func (a *arbiter) recalled(d *database) int {
+// recalledCount returns the number of leases on d that are recalled and not yet
+// returned.
+func (a *arbiter) recalledCount(d *database) int {
 	n := 0
 	for _, l := range a.leases {
 		if l.database == d && l.recall {
@@ -411,75 +434,81 @@
 	return n
 }
 
-// victim returns the lease that gives way to a claim of the rank at a place of
-// the order: one of a later rank at once, one of the same rank after its
-// quantum.
-func (a *arbiter) victim(now time.Time, d *database, place int, c claim) *lease {
+// victim returns the lease to recall for a claim whose rank is at rankIndex of
+// the rank order, or nil. A lease of a rank later in the order is recalled at
+// once, a lease of the same rank if mayRecall allows it. For an instance at its
+// slot limit, only one of its own leases is recalled.
+func (a *arbiter) victim(now time.Time, d *database, rankIndex int, c claim) *lease {
 	var worst *lease
-	worstPlace := place
+	worstIndex := rankIndex
 	for _, l := range a.leases {
-		if l.database != d || l.recall || (c.full && l.to != c.from) {
+		if l.database != d || l.recall || (c.atSlotLimit && l.holder != c.requester) {
 			continue
 		}
-		at := placeOf(a.order, l.rank)
-		if at < worstPlace || (at == place && !isOver(now, l, c)) {
+		index := indexInOrder(a.rankOrder, l.rank)
+		if index < worstIndex || (index == rankIndex && !mayRecall(now, l, c)) {
 			continue
 		}
-		if worst == nil || at > worstPlace || l.since.Before(worst.since) {
-			worst, worstPlace = l, at
+		if worst == nil || index > worstIndex || l.grantedAt.Before(worst.grantedAt) {
+			worst, worstIndex = l, index
 		}
 	}
 	return worst
 }
 
-// isOver reports whether a lease gives way to a claim of its rank: at once where
-// its holder has only late work left for it and the claim is prompt, and after
-// its quantum where the holder's own work may wait longer than the claim.
-func isOver(now time.Time, l *lease, c claim) bool {
-	if l.to == c.from {
+// mayRecall reports whether a lease of another instance may be recalled for a
+// claim of the same rank: at once if its holder has no waiting requests for it,
+// or only late ones while the claim is on time; after its quantum if the claim
+// is served before all of them.
+func mayRecall(now time.Time, l *lease, c claim) bool {
+	if l.holder == c.requester {
 		return false
 	}
-	quantum := now.Sub(l.since) >= leaseQuantum
-	for i := range l.to.wants {
-		w := &l.to.wants[i]
-		if w.rank != l.rank || w.mask&l.database.bit == 0 {
+	quantumOver := now.Sub(l.grantedAt) >= leaseQuantum
+	for i := range l.holder.demands {
+		demand := &l.holder.demands[i]
+		if demand.rank != l.rank || demand.mask&l.database.bit == 0 {
 			continue
 		}
-		own := claim{want: w, due: w.due}
-		if own.before(&c) || (!quantum && w.late == c.want.late) {
+		holderClaim := claim{slotDemand: demand, deadline: demand.deadline}
+		if holderClaim.before(&c) || (!quantumOver && demand.late == c.slotDemand.late) {
 			return false
 		}
 	}
 	return true
 }
 
-func placeOf(order []model.Rank, r model.Rank) int {
-	for place, known := range order {
-		if known == r {
-			return place
+func indexInOrder(order []model.Rank, r model.Rank) int {
+	for index, other := range order {
+		if other == r {
+			return index
 		}
 	}
 	return len(order)
 }
 
 // -----------------------------------------------------------------------------
-// Permits.
-
-// permit returns what an instance shall hear, and whether it is due.
-func (a *arbiter) permit(now time.Time, g *group, p *client) (message.LeaseGrant, bool) {
-	asks := p.heard.After(p.sent) && now.Sub(p.sent) >= permitKeep
-	if !p.changed && !asks {
+// Lease grants.
+
+// leaseGrant returns the grant for an instance, and whether it is due: when its
+// leases have changed, or when it has sent a request and the last grant is
+// renewInterval old.
+func (a *arbiter) leaseGrant(now time.Time, g *group, c *client) (message.LeaseGrant, bool) {
+	renewalDue := c.lastRequestAt.After(c.grantSentAt) && now.Sub(c.grantSentAt) >= renewInterval
+	if !c.leasesChanged && !renewalDue {
 		return message.LeaseGrant{}, false
 	}
-	p.permits++
-	p.sent, p.changed = now, false
-	permit := message.LeaseGrant{Group: g.id, Sequence: p.permits, LastRequestSeen: p.sequence, ValidFor: leaseValid}
+	c.grantSequence++
+	c.grantSentAt, c.leasesChanged = now, false
+	leaseGrant := message.LeaseGrant{
+		Group: g.id, Sequence: c.grantSequence, LastRequestSeen: c.requestSequence, ValidFor: leaseDuration,
+	}
 	for _, l := range a.leases {
-		if l.to == p {
-			permit.Leases = append(permit.Leases, message.Lease{
-				ID: l.number, Database: l.database.id, Rank: l.rank, Recalled: l.recall,
+		if l.holder == c {
+			leaseGrant.Leases = append(leaseGrant.Leases, message.Lease{
+				ID: l.leaseID, Database: l.database.id, Rank: l.rank, Recalled: l.recall,
 			})
 		}
 	}
-	return permit, true
+	return leaseGrant, true
 }
--- a/internal/core/rank/lease_holder.go
+++ b/internal/core/rank/lease_holder.go
@@ -10,119 +10,131 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// Times of leases.
+// Time constants of leasing.
 const (
-	// demandGap is the least time between two demands with news.
-	demandGap = 2 * time.Millisecond
-	// leaseValid is how long a lease holds without renewal.
-	leaseValid = 200 * time.Millisecond
-	// leaseGrace is how much longer the arbiter counts it as used.
+	// minRequestInterval is the minimum time between two lease requests that
+	// are sent because the demand changed.
+	minRequestInterval = 2 * time.Millisecond
+	// leaseDuration is how long a lease is valid after a grant that lists it.
+	leaseDuration = 200 * time.Millisecond
+	// leaseGrace is how much longer than leaseDuration the arbiter counts the
+	// slot of a lease as used.
 	leaseGrace = 50 * time.Millisecond
-	// leaseQuantum is how long a lease is kept while another instance waits
-	// for a slot of the same rank.
+	// leaseQuantum is how long a lease is kept while another instance waits for
+	// a slot of the same rank.
 	leaseQuantum = 25 * time.Millisecond
-	// permitKeep is the time after which a permit is repeated to an instance
-	// that asks.
-	permitKeep = 25 * time.Millisecond
-	// wantFades is the age at which a demand that was not repeated no longer
-	// counts.
-	wantFades = 4 * permitKeep
-	// arbiterPatience is how long an instance waits for the arbiter's answer
-	// before it goes on with an equal share.
-	arbiterPatience = 100 * time.Millisecond
+	// renewInterval is the interval at which an instance with demand or leases
+	// repeats its request, and the minimum time between two grants whose only
+	// reason is such a request.
+	renewInterval = 25 * time.Millisecond
+	// demandExpiry is the age at which the arbiter drops a demand that was not
+	// repeated.
+	demandExpiry = 4 * renewInterval
+	// arbiterTimeout is how long an instance waits for the arbiter's grant
+	// before it continues with an equal share.
+	arbiterTimeout = 100 * time.Millisecond
 )
 
-// holder is the state of an instance that asks the arbiter for leases.
-type holder struct {
-	arbiter  model.InstanceID
-	sequence uint64
-	seen     uint64
-	// asked is when the oldest unanswered demand was sent, or zero.
-	asked time.Time
-	sent  time.Time
-	// told is the digest of the wants last sent, ranks the set of their ranks:
-	// a rank that wants its first slot is not kept waiting.
-	told, ranks uint64
-	// alone says that the equal share is in use.
-	alone bool
-	// urgent says that leases were given back, or that the arbiter is new.
-	urgent bool
-	leases []*heldLease
-	// returned holds the leases given back, with the demand that says so,
-	// until the arbiter has heard it.
+// leaseHolder is the state of an instance that requests leases from the
+// arbiter.
+type leaseHolder struct {
+	arbiter         model.InstanceID
+	requestSequence uint64
+	lastGrantSeen   uint64
+	// unansweredSince is when the oldest unanswered request with demand was
+	// sent, or zero.
+	unansweredSince time.Time
+	requestSentAt   time.Time
+	// digest is the digest of the demand last sent, demandedRanks the set of
+	// its ranks. Demand of a rank that is not in this set is sent without
+	// delay.
+	digest, demandedRanks uint64
+	// usesEqualShare says that requests start under the equal share, since the
+	// arbiter does not answer.
+	usesEqualShare bool
+	// mustSend says that the next request is due at once: leases were returned,
+	// or the arbiter is new.
+	mustSend bool
+	leases   []*heldLease
+	// returned maps the IDs of returned leases to the sequence of the request
+	// that reports the return. An entry is kept until the arbiter acknowledges
+	// that request, so that an older grant does not bring the lease back.
 	returned map[uint64]uint64
 }
 
-// heldLease is a lease in the holder's hands.
+// heldLease is a lease that this instance holds.
 type heldLease struct {
-	number   uint64
-	database *database
-	rank     model.Rank
-	valid    time.Time
-	recall   bool
-	item     *item
+	leaseID    uint64
+	database   *database
+	rank       model.Rank
+	validUntil time.Time
+	recall     bool
+	item       *item
 }
 
-// follow turns to another arbiter.
-func (h *holder) follow(arbiter model.InstanceID) {
+// setArbiter switches to another arbiter.
+func (h *leaseHolder) setArbiter(arbiter model.InstanceID) {
 	h.arbiter = arbiter
-	h.seen = 0
-	h.asked = time.Time{}
-	h.urgent = true
+	h.lastGrantSeen = 0
+	h.unansweredSince = time.Time{}
+	h.mustSend = true
 	clear(h.returned)
 }
 
-// idle returns a lease with which work of a rank may start on d.
-func (h *holder) idle(now time.Time, d *database, r model.Rank) *heldLease {
+// idleLease returns an unused lease under which a request of a rank may start
+// on d, or nil.
+func (h *leaseHolder) idleLease(now time.Time, d *database, r model.Rank) *heldLease {
 	for _, l := range h.leases {
-		if l.database == d && l.rank == r && l.item == nil && !l.recall && now.Before(l.valid) {
+		if l.database == d && l.rank == r && l.item == nil && !l.recall && now.Before(l.validUntil) {
 			return l
 		}
 	}
 	return nil
 }
 
-// allows reports whether work of a rank may start on d: under a lease, or under
-// the equal share while the arbiter does not answer.
-func (h *holder) allows(s *Scheduler, now time.Time, d *database, r model.Rank) bool {
-	if h.idle(now, d, r) != nil {
+// allows reports whether a request of a rank may start on d: under a lease, or
+// under the equal share while the arbiter does not answer.
+func (h *leaseHolder) allows(s *Scheduler, now time.Time, d *database, r model.Rank) bool {
+	if h.idleLease(now, d, r) != nil {
 		return true
 	}
-	if !h.isAlone(now) {
+	if !h.isArbiterUnresponsive(now) {
 		return false
 	}
-	if !h.alone {
-		h.alone = true
-		s.stagger(now, d.group)
+	if !h.usesEqualShare {
+		h.usesEqualShare = true
+		s.staggerEqualShares(now, d.group)
 	}
-	return d.meter.allows(now, s.equalShare(d), d.ledger.busy())
+	return d.meter.allows(now, s.equalShare(d), d.rankUsage.slotsInUse())
 }
 
-// stagger lets the instances that lose the arbiter at the same time begin with
-// their equal shares one after another.
-func (s *Scheduler) stagger(now time.Time, g *group) {
-	place, _ := slices.BinarySearch(s.peers.known, s.self)
-	debt := defaultCost.Seconds() * float64(place) / float64(max(1, len(s.peers.known)))
+// staggerEqualShares gives each instance a different initial debt, so that
+// instances that lose the arbiter at the same time do not all start requests at
+// once.
+func (s *Scheduler) staggerEqualShares(now time.Time, g *group) {
+	index, _ := slices.BinarySearch(s.peers.known, s.self)
+	debt := defaultCost.Seconds() * float64(index) / float64(max(1, len(s.peers.known)))
 	for _, d := range g.databases {
-		d.meter = meter{saved: -debt, since: now, busy: d.ledger.busy()}
+		d.meter = meter{credit: -debt, updatedAt: now, slotsInUse: d.rankUsage.slotsInUse()}
 	}
 }
 
-// isAlone reports whether the arbiter has left demands unanswered for long.
-func (h *holder) isAlone(now time.Time) bool {
-	return !h.asked.IsZero() && now.Sub(h.asked) > arbiterPatience
+// isArbiterUnresponsive reports whether a request has been unanswered for
+// longer than arbiterTimeout.
+func (h *leaseHolder) isArbiterUnresponsive(now time.Time) bool {
+	return !h.unansweredSince.IsZero() && now.Sub(h.unansweredSince) > arbiterTimeout
 }
 
-// started binds a lease to the item that uses it.
-func (h *holder) started(now time.Time, it *item) {
+// started assigns an idle lease, if there is one, to the item that has started.
+func (h *leaseHolder) started(now time.Time, it *item) {
 	r := it.database.group.queueOf(&it.work).rank
-	if l := h.idle(now, it.database, r); l != nil {
+	if l := h.idleLease(now, it.database, r); l != nil {
 		l.item = it
 	}
 }
 
-// finished frees the lease that an item used.
-func (h *holder) finished(it *item) {
+// finished makes the lease that an item used idle again.
+func (h *leaseHolder) finished(it *item) {
 	for _, l := range h.leases {
 		if l.item == it {
 			l.item = nil
@@ -131,36 +143,38 @@
 	}
 }
 
-// hear takes in a permit.
-func (h *holder) hear(s *Scheduler, now time.Time, permit *message.LeaseGrant) {
-	if permit.Sequence <= h.seen {
+// receive handles a lease grant. Grants that are not newer than the last one
+// are ignored; leases that the grant does not list are treated as recalled.
+func (h *leaseHolder) receive(s *Scheduler, now time.Time, grant *message.LeaseGrant) {
+	if grant.Sequence <= h.lastGrantSeen {
 		return
 	}
-	h.seen = permit.Sequence
-	h.asked, h.alone = time.Time{}, false
-	for number, sequence := range h.returned {
-		if sequence <= permit.LastRequestSeen {
-			delete(h.returned, number)
+	h.lastGrantSeen = grant.Sequence
+	h.unansweredSince, h.usesEqualShare = time.Time{}, false
+	for leaseID, sequence := range h.returned {
+		if sequence <= grant.LastRequestSeen {
+			delete(h.returned, leaseID)
 		}
 	}
 	listed := map[uint64]bool{}
-	for _, lease := range permit.Leases {
+	for _, lease := range grant.Leases {
 		listed[lease.ID] = true
-		h.accept(s, now.Add(permit.ValidFor), lease)
+		h.acceptLease(s, now.Add(grant.ValidFor), lease)
 	}
 	for _, l := range h.leases {
-		l.recall = l.recall || !listed[l.number]
+		l.recall = l.recall || !listed[l.leaseID]
 	}
 }
 
-// accept takes in or renews one lease.
-func (h *holder) accept(s *Scheduler, valid time.Time, lease message.Lease) {
-	if _, gone := h.returned[lease.ID]; gone {
+// acceptLease adds or renews one lease. Leases that this instance has returned
+// and leases on unknown databases are ignored.
+func (h *leaseHolder) acceptLease(s *Scheduler, validUntil time.Time, lease message.Lease) {
+	if _, isReturned := h.returned[lease.ID]; isReturned {
 		return
 	}
 	for _, l := range h.leases {
-		if l.number == lease.ID {
-			l.valid, l.recall = valid, lease.Recalled
+		if l.leaseID == lease.ID {
+			l.validUntil, l.recall = validUntil, lease.Recalled
 			return
 		}
 	}
@@ -169,76 +183,84 @@
 		return
 	}
 	h.leases = append(h.leases, &heldLease{
-		number: lease.ID, database: d, rank: lease.Rank, valid: valid, recall: lease.Recalled,
+		leaseID: lease.ID, database: d, rank: lease.Rank, validUntil: validUntil, recall: lease.Recalled,
 	})
 }
 
-// giveBack drops the leases that no waiting work can use.
-func (h *holder) giveBack() {
+// returnIdleLeases returns all leases that no running request uses.
+func (h *leaseHolder) returnIdleLeases() {
 	kept := h.leases[:0]
 	for _, l := range h.leases {
 		if l.item != nil {
 			kept = append(kept, l)
 			continue
 		}
-		h.returned[l.number] = h.sequence + 1
-		h.urgent = true
+		h.returned[l.leaseID] = h.requestSequence + 1
+		h.mustSend = true
 	}
 	clear(h.leases[len(kept):])
 	h.leases = kept
 }
 
-// demand returns what the arbiter shall hear, and whether it is due. It is
-// called after Grant, so that a lease without work has no use here.
-func (h *holder) demand(s *Scheduler, now time.Time, g *group) (message.LeaseRequest, bool) {
-	h.giveBack()
-	wants := g.wants(now)
-	told := digest(now, wants, s.limits.MaxConcurrentStatements)
-	elapsed := now.Sub(h.sent)
-	active := len(wants) > 0 || len(h.leases) > 0
-	ranks := ranksOf(wants)
-	isNew := ranks&^h.ranks != 0 || (told != h.told && (elapsed >= demandGap || h.arbiter == s.self))
-	if !h.urgent && !isNew && (!active || elapsed < permitKeep) {
+// leaseRequest returns the request to the arbiter, and whether it is due. It is
+// called after slots were assigned, so that no waiting request can use a lease
+// that is still idle.
+func (h *leaseHolder) leaseRequest(s *Scheduler, now time.Time, g *group) (message.LeaseRequest, bool) {
+	h.returnIdleLeases()
+	slotDemands := g.slotDemands(now)
+	digest := demandDigest(now, slotDemands, s.limits.MaxConcurrentStatements)
+	elapsed := now.Sub(h.requestSentAt)
+	active := len(slotDemands) > 0 || len(h.leases) > 0
+	demandedRanks := ranksOf(slotDemands)
+	hasNewDemand := demandedRanks&^h.demandedRanks != 0 ||
+		(digest != h.digest && (elapsed >= minRequestInterval || h.arbiter == s.self))
+	if !h.mustSend && !hasNewDemand && (!active || elapsed < renewInterval) {
 		return message.LeaseRequest{}, false
 	}
-	h.sequence++
-	h.sent, h.told, h.ranks, h.urgent = now, told, ranks, false
-	if len(wants) > 0 && h.asked.IsZero() {
-		h.asked = now
+	h.requestSequence++
+	h.requestSentAt, h.digest, h.demandedRanks, h.mustSend = now, digest, demandedRanks, false
+	if len(slotDemands) > 0 && h.unansweredSince.IsZero() {
+		h.unansweredSince = now
 	}
-	if h.isAlone(now) {
-		s.note(now, arbiterSilent(g, h.arbiter))
+	if h.isArbiterUnresponsive(now) {
+		s.logEvent(now, arbiterUnresponsive(g, h.arbiter))
+	}
+	leaseRequest := message.LeaseRequest{
+		Group: g.id, Sequence: h.requestSequence, LastGrantSeen: h.lastGrantSeen, Demands: slotDemands,
 	}
-	demand := message.LeaseRequest{Group: g.id, Sequence: h.sequence, LastGrantSeen: h.seen, Demands: wants}
 	for _, l := range h.leases {
-		demand.HeldLeases = append(demand.HeldLeases, message.HeldLease{ID: l.number, Database: l.database.id, Rank: l.rank})
+		leaseRequest.HeldLeases = append(leaseRequest.HeldLeases, message.HeldLease{
+			ID: l.leaseID, Database: l.database.id, Rank: l.rank,
+		})
 	}
-	demand.Limits = s.lowered(g)
-	return demand, true
+	leaseRequest.Limits = s.loweredLimits(g)
+	return leaseRequest, true
 }
 
-// ranksOf returns the set of ranks that want slots.
-func ranksOf(wants []message.SlotDemand) uint64 {
+// ranksOf returns the set of ranks that demand slots.
+func ranksOf(demands []message.SlotDemand) uint64 {
 	ranks := uint64(0)
-	for _, want := range wants {
-		ranks |= 1 << want.Rank
+	for _, demand := range demands {
+		ranks |= 1 << demand.Rank
 	}
 	return ranks
 }
 
-// digest tells whether wants differ in a way that matters to the arbiter.
-func digest(now time.Time, wants []message.SlotDemand, slots int) uint64 {
-	const coarse = 10 * time.Millisecond
-	sum := uint64(len(wants))
-	mix := func(n uint64) { sum = (sum ^ n) * 0x9e3779b97f4a7c15 }
-	for _, want := range wants {
-		mix(uint64(want.Rank) << 1)
-		if want.PastTarget {
+// demandDigest returns a digest that changes if the demand changes in a way
+// that matters to the arbiter. Deadlines are rounded to deadlineStep, and
+// waiting requests count up to twice the slots.
+func demandDigest(now time.Time, demands []message.SlotDemand, slots int) uint64 {
+	const deadlineStep = 10 * time.Millisecond
+	hash := uint64(len(demands))
+	mix := func(n uint64) { hash = (hash ^ n) * 0x9e3779b97f4a7c15 }
+	for _, demand := range demands {
+		mix(uint64(demand.Rank) << 1)
+		if demand.PastTarget {
 			mix(1)
 		}
-		mix(uint64(min(want.Waiting, 2*slots)))
-		mix(uint64(now.Add(want.TimeToDeadline).UnixNano() / int64(coarse)))
-		mix(xxhash.Sum64String(string(want.Databases[0])) + uint64(len(want.Databases)))
+		mix(uint64(min(demand.Waiting, 2*slots)))
+		mix(uint64(now.Add(demand.TimeToDeadline).UnixNano() / int64(deadlineStep)))
+		mix(xxhash.Sum64String(string(demand.Databases[0])) + uint64(len(demand.Databases)))
 	}
-	return sum
+	return hash
 }
--- a/internal/core/rank/limit.go
+++ b/internal/core/rank/limit.go
@@ -7,105 +7,113 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// slotsAhead is the number of requests that all instances together may have on
-// their way to a database beyond its slots, so that the slots do not idle during
-// the way there and back.
-const slotsAhead = 2
+// inTransitRequests is the number of requests that all instances together may
+// have on their way to a database in addition to its slots, so that no slot
+// idles during the round trip.
+const inTransitRequests = 2
 
 // Constants of adaptive limits.
 const (
-	// slowRatio is the slowdown, against the best of the group's databases,
-	// at which a limit is lowered; wellRatio is the one below which it rises.
-	slowRatio = 3.0
-	wellRatio = 1.5
-	// slowFloor is the least time that a slowdown is measured against. Among
-	// answers that take less, the differences are those of queues and of the
-	// machine, at any load, and no target is near.
-	slowFloor = time.Millisecond
-	// failShare is the share of failures at which a limit is lowered, and
-	// failStreak the number of failures in a row at which a circuit opens.
-	failShare  = 0.7
-	failStreak = 8
-	// limitFactor is the multiplicative decrease, limitStep the additive
-	// increase with each good answer.
-	limitFactor = 0.5
-	limitStep   = 0.1
-	// limitSamples is the number of answers between two decreases.
-	limitSamples = 10
-	// limitWeight is the weight of the newest answer in the slowdown and in the
-	// share of failures, timeWeight its weight in the mean time of its kind.
-	limitWeight = 0.1
-	timeWeight  = 0.05
-	// baseRises is the part by which the remembered best time of a kind rises
-	// with each answer towards what is measured.
-	baseRises = 0.001
-	// probeFirst and probeLast bound the time between single probes of an
-	// open circuit; it doubles with each that goes badly.
-	probeFirst = 200 * time.Millisecond
-	probeLast  = 2 * time.Second
+	// decreaseSlowdown is the slowdown, relative to the fastest database of the
+	// group, above which a limit is lowered; increaseSlowdown is the one below
+	// which it is raised.
+	decreaseSlowdown = 3.0
+	increaseSlowdown = 1.5
+	// minBaseTime is the minimum time relative to which a slowdown is measured.
+	// Differences between answers that take less come from queueing and from
+	// the machine at any load, and such answers are far from any latency
+	// target.
+	minBaseTime = time.Millisecond
+	// maxFailureRate is the failure rate above which a limit is lowered, and
+	// failuresToOpen the number of consecutive failures at which a circuit
+	// opens.
+	maxFailureRate = 0.7
+	failuresToOpen = 8
+	// limitDecrease is the factor of the multiplicative decrease, limitIncrease
+	// the additive increase with each good answer, in slots.
+	limitDecrease = 0.5
+	limitIncrease = 0.1
+	// samplesPerDecrease is the minimum number of answers between two
+	// decreases.
+	samplesPerDecrease = 10
+	// sampleWeight is the weight of the newest answer in the slowdown and in
+	// the failure rate, timeSampleWeight its weight in the mean time of its
+	// kind.
+	sampleWeight     = 0.1
+	timeSampleWeight = 0.05
+	// bestTimeRise is the fraction of its distance to the mean by which the
+	// best time of a kind rises with each answer.
+	bestTimeRise = 0.001
+	// minProbeInterval and maxProbeInterval bound the time between single
+	// probes of an open circuit, which doubles with each unsuccessful probe.
+	minProbeInterval = 200 * time.Millisecond
+	maxProbeInterval = 2 * time.Second
 )
 
-// circuit is the state of a limiter.
+// circuit is the state of a limiter's circuit breaker.
 type circuit int
 
-// The values of circuit.
+// Values of circuit. Slow and failing circuits are open.
 const (
-	// circuitClosed lets work through, up to the limit.
+	// circuitClosed admits requests up to the limit.
 	circuitClosed circuit = iota
-	// circuitSlow lets work through that has no other database, and single
-	// probes.
+	// circuitSlow admits single probes, and requests that no database with a
+	// closed circuit can serve.
 	circuitSlow
-	// circuitFailing lets single probes through.
+	// circuitFailing admits single probes only.
 	circuitFailing
 )
 
-// String names c for log lines.
+// String returns the name of c in log events and reports.
 func (c circuit) String() string { return [...]string{"closed", "slow", "failing"}[c] }
 
-// limiter adapts how much of a database is used to how it answers.
+// limiter adapts the number of slots in use at a database to the speed and
+// failures of its answers.
 type limiter struct {
-	slots   float64
-	ratio   float64
-	fails   float64
-	streak  int
-	samples int
-	state   circuit
-	// until is when the next probe may start, pause how long after the one
-	// before.
-	until time.Time
-	pause time.Duration
-	// probe is the request that probes, or 0.
-	probe model.RequestID
-	// times holds what each kind of work takes on this database.
-	times map[string]*kindTime
+	limit         float64
+	slowdown      float64
+	failureRate   float64
+	failureStreak int
+	samples       int
+	state         circuit
+	// nextProbeAt is when the next probe may start, probeInterval the current
+	// time between two probes.
+	nextProbeAt   time.Time
+	probeInterval time.Duration
+	// probeRequest is the running probe, or 0.
+	probeRequest model.RequestID
+	// timesByKind holds the service times of each request kind on this
+	// database.
+	timesByKind map[string]*kindTime
 }
 
-// kindTime is the mean time of a kind on one database, and the best that is
-// remembered.
+// kindTime holds the mean time of a kind on one database and the best time
+// remembered, in nanoseconds.
 type kindTime struct{ mean, best float64 }
 
-func newLimiter(slots int) limiter {
-	return limiter{slots: float64(slots), ratio: 1, times: map[string]*kindTime{}}
+func newLimiter(limit int) limiter {
+	return limiter{limit: float64(limit), slowdown: 1, timesByKind: map[string]*kindTime{}}
 }
 
-// measure takes in the time of a kind.
-func (l *limiter) measure(kind string, took time.Duration) *kindTime {
-	known := l.times[kind]
-	sample := float64(took)
-	if known == nil {
-		known = &kindTime{mean: sample, best: sample}
-		l.times[kind] = known
+// recordTime adds the service time of a request to the times of its kind and
+// returns them.
+func (l *limiter) recordTime(kind string, elapsed time.Duration) *kindTime {
+	times := l.timesByKind[kind]
+	sample := float64(elapsed)
+	if times == nil {
+		times = &kindTime{mean: sample, best: sample}
+		l.timesByKind[kind] = times
 	}
-	known.mean += timeWeight * (sample - known.mean)
-	known.best = min(known.mean, known.best+baseRises*(known.mean-known.best))
-	return known
+	times.mean += timeSampleWeight * (sample - times.mean)
+	times.best = min(times.mean, times.best+bestTimeRise*(times.mean-times.best))
+	return times
 }
 
 // -----------------------------------------------------------------------------
-// What a limiter allows.
+// Limits on the use of a database.
 
-// isUsable reports whether work may go to the database; hasOther tells whether
-// it may go to another one.
+// isUsable reports whether requests may go to the database now. hasOther says
+// that another database with a closed circuit can serve them.
 func (l *limiter) isUsable(now time.Time, hasOther bool) bool {
 	switch {
 	case l.state == circuitClosed:
@@ -113,23 +121,23 @@
 	case l.state == circuitSlow && !hasOther:
 		return true
 	}
-	return l.probe == 0 && !now.Before(l.until)
+	return l.probeRequest == 0 && !now.Before(l.nextProbeAt)
 }
 
-// usable takes the databases out of mask that their limiters do not allow.
-func (g *group) usable(now time.Time, mask uint64) uint64 {
-	left := mask
+// usableMask returns those databases of mask that their limiters admit now.
+func (g *group) usableMask(now time.Time, mask uint64) uint64 {
+	usable := mask
 	for _, d := range g.databases {
-		if mask&d.bit != 0 && !d.limiter.isUsable(now, g.hasOther(mask, d)) {
-			left &^= d.bit
+		if mask&d.bit != 0 && !d.limiter.isUsable(now, g.hasOtherClosed(mask, d)) {
+			usable &^= d.bit
 		}
 	}
-	return left
+	return usable
 }
 
-// hasOther reports whether mask names another database than d whose circuit is
-// closed.
-func (g *group) hasOther(mask uint64, d *database) bool {
+// hasOtherClosed reports whether mask contains a database other than d whose
+// circuit is closed.
+func (g *group) hasOtherClosed(mask uint64, d *database) bool {
 	for _, other := range g.databases {
 		if other != d && mask&other.bit != 0 && other.limiter.state == circuitClosed {
 			return true
@@ -138,14 +146,15 @@
 	return false
 }
 
-// limitOf returns the slots of d that all instances together should use, as
-// this instance sees it.
+// limitOf returns the number of slots of d that all instances together should
+// use according to this instance.
 func (s *Scheduler) limitOf(d *database) int {
-	return min(max(1, int(d.limiter.slots)), s.limits.MaxConcurrentStatements)
+	return min(max(1, int(d.limiter.limit)), s.limits.MaxConcurrentStatements)
 }
 
-// lowered returns the limits that this instance has lowered.
-func (s *Scheduler) lowered(g *group) []message.SlotLimit {
+// loweredLimits returns the limits of the databases for which this instance has
+// lowered them.
+func (s *Scheduler) loweredLimits(g *group) []message.SlotLimit {
 	var limits []message.SlotLimit
 	for _, d := range g.databases {
 		if limit := s.limitOf(d); limit < s.limits.MaxConcurrentStatements {
@@ -156,92 +165,93 @@
 }
 
 // -----------------------------------------------------------------------------
-// What a limiter learns.
+// Adaptation of limits to answers.
 
-// learn takes in how the use of a slot ended.
-func (s *Scheduler) learn(now time.Time, it *item, ending SlotCompletion) {
+// recordCompletion adapts the limiter of the database on which an item ran.
+func (s *Scheduler) recordCompletion(now time.Time, it *item, completion SlotCompletion) {
 	if s.hasFixedLimits {
 		return
 	}
 	d := it.database
 	l := &d.limiter
-	ratio := l.ratio
-	if !ending.Failed && ending.Elapsed > 0 {
-		ratio = s.slowdown(d, it.work.Kind, ending.Elapsed)
+	slowdown := l.slowdown
+	if !completion.Failed && completion.Elapsed > 0 {
+		slowdown = s.slowdownOf(d, it.work.Kind, completion.Elapsed)
 	}
-	failed := 0.0
-	l.streak++
-	if ending.Failed {
-		failed = 1
+	failure := 0.0
+	l.failureStreak++
+	if completion.Failed {
+		failure = 1
 	} else {
-		l.streak = 0
+		l.failureStreak = 0
 	}
 	l.samples++
-	l.ratio += limitWeight * (ratio - l.ratio)
-	l.fails += limitWeight * (failed - l.fails)
-	if l.probe == it.work.Request {
-		s.probed(now, d, ending.Failed || ratio > slowRatio, ending.Failed)
+	l.slowdown += sampleWeight * (slowdown - l.slowdown)
+	l.failureRate += sampleWeight * (failure - l.failureRate)
+	if l.probeRequest == it.work.Request {
+		s.finishProbe(now, d, completion.Failed || slowdown > decreaseSlowdown, completion.Failed)
 		return
 	}
-	s.adapt(now, d, ending.Failed)
+	s.adaptLimit(now, d, completion.Failed)
 }
 
-// slowdown compares the time of a kind with the best that a database of the
-// group has for it.
-func (s *Scheduler) slowdown(d *database, kind string, took time.Duration) float64 {
-	best := d.limiter.measure(kind, took).best
+// slowdownOf records the service time of a request and returns its ratio to the
+// best time that a database of the group has for the kind.
+func (s *Scheduler) slowdownOf(d *database, kind string, elapsed time.Duration) float64 {
+	best := d.limiter.recordTime(kind, elapsed).best
 	for _, other := range d.group.databases {
-		if known := other.limiter.times[kind]; known != nil {
-			best = min(best, known.mean)
+		if times := other.limiter.timesByKind[kind]; times != nil {
+			best = min(best, times.mean)
 		}
 	}
-	return float64(took) / max(best, float64(slowFloor))
+	return float64(elapsed) / max(best, float64(minBaseTime))
 }
 
-// adapt moves the limit by additive increase and multiplicative decrease, and
-// opens the circuit at the floor of one slot.
-func (s *Scheduler) adapt(now time.Time, d *database, failed bool) {
+// adaptLimit raises the limit by an additive step or lowers it by a factor. At
+// the minimum of one slot it opens the circuit instead of lowering the limit.
+func (s *Scheduler) adaptLimit(now time.Time, d *database, failed bool) {
 	l := &d.limiter
-	isBad := l.ratio > slowRatio || l.fails > failShare
+	isBad := l.slowdown > decreaseSlowdown || l.failureRate > maxFailureRate
 	switch {
 	case l.state != circuitClosed:
-	case l.streak >= failStreak:
-		s.open(now, d)
-	case isBad && l.samples >= limitSamples:
+	case l.failureStreak >= failuresToOpen:
+		s.openCircuit(now, d)
+	case isBad && l.samples >= samplesPerDecrease:
 		l.samples = 0
-		if l.slots > 1 {
-			l.slots = max(1, l.slots*limitFactor)
-			s.note(now, limitLowered(d))
+		if l.limit > 1 {
+			l.limit = max(1, l.limit*limitDecrease)
+			s.logEvent(now, limitLowered(d))
 			return
 		}
-		s.open(now, d)
-	case !isBad && !failed && l.ratio < wellRatio && l.slots < float64(s.limits.MaxConcurrentStatements):
-		l.slots = min(l.slots+limitStep, float64(s.limits.MaxConcurrentStatements))
-		if l.slots == float64(s.limits.MaxConcurrentStatements) {
-			s.note(now, limitRestored(d))
+		s.openCircuit(now, d)
+	case !isBad && !failed && l.slowdown < increaseSlowdown && l.limit < float64(s.limits.MaxConcurrentStatements):
+		l.limit = min(l.limit+limitIncrease, float64(s.limits.MaxConcurrentStatements))
+		if l.limit == float64(s.limits.MaxConcurrentStatements) {
+			s.logEvent(now, limitRestored(d))
 		}
 	}
 }
 
-// open opens the circuit of d.
-func (s *Scheduler) open(now time.Time, d *database) {
+// openCircuit opens the circuit of d and schedules the first probe.
+func (s *Scheduler) openCircuit(now time.Time, d *database) {
 	l := &d.limiter
 	l.state = circuitSlow
-	if l.streak >= failStreak || l.fails > failShare {
+	if l.failureStreak >= failuresToOpen || l.failureRate > maxFailureRate {
 		l.state = circuitFailing
 	}
-	l.pause = probeFirst
-	l.until = now.Add(l.pause)
-	s.note(now, circuitOpened(d))
+	l.probeInterval = minProbeInterval
+	l.nextProbeAt = now.Add(l.probeInterval)
+	s.logEvent(now, circuitOpened(d))
 }
 
-// probed takes in how a probe ended.
-func (s *Scheduler) probed(now time.Time, d *database, isBad, failed bool) {
+// finishProbe handles the end of a probe: it schedules the next probe if the
+// answer was bad, and otherwise closes the circuit with a limit of one slot.
+func (s *Scheduler) finishProbe(now time.Time, d *database, isBad, failed bool) {
 	l := &d.limiter
-	l.probe = 0
+	l.probeRequest = 0
 	if isBad {
-		l.pause = min(2*l.pause, probeLast)
-		l.until = now.Add(l.pause)
+		l.probeInterval = min(2*l.probeInterval, maxProbeInterval)
+		l.nextProbeAt = now.Add(l.probeInterval)
 		l.state = circuitSlow
 		if failed {
 			l.state = circuitFailing
@@ -249,41 +259,46 @@
 		return
 	}
 	l.state = circuitClosed
-	l.ratio, l.fails, l.samples, l.streak = 1, 0, 0, 0
-	l.slots = 1
-	s.note(now, circuitClosedAgain(d))
+	l.slowdown, l.failureRate, l.samples, l.failureStreak = 1, 0, 0, 0
+	l.limit = 1
+	s.logEvent(now, circuitClosedAgain(d))
 }
 
 // -----------------------------------------------------------------------------
 // Connections.
 
-// joinTime is how long an instance that has not met any other one takes itself
-// for a newcomer whose peers have not been heard yet.
-const joinTime = 3 * time.Second
+// joinPeriod is the time after the first Configure during which an instance
+// that knows no other instance assumes that there are others, whose messages
+// have not arrived yet.
+const joinPeriod = 3 * time.Second
 
-// isNewcomer reports whether there may be others that were not heard yet.
-func (s *Scheduler) isNewcomer() bool {
-	return len(s.peers.known) <= 1 && s.now.Sub(s.born) < joinTime
+// isJoining reports whether other instances may exist that this one does not
+// know yet.
+func (s *Scheduler) isJoining() bool {
+	return len(s.peers.known) <= 1 && s.now.Sub(s.configuredAt) < joinPeriod
 }
 
-// controlConnections is the number of connections that an instance holds to each
-// database for control: one for questions, one that waits for positions.
+// controlConnections is the number of control connections that an instance
+// holds to each database: one for control requests, one that waits for
+// positions.
 const controlConnections = 2
 
-// Connections returns the connections to a database that this instance may
-// have open for work, at least one. One share more than there are known instances
-// is counted, and a newcomer has one connection only, so that an instance that
-// joins does not take the total above the limit; and each share has room for the
-// instance's control connections, without which it could not serve at all.
+// Connections returns the maximum number of connections to a database that this
+// instance may have open for requests, at least one. The budget is divided by
+// one more than the number of known instances, and a joining instance has one
+// connection only, so that an instance that joins does not take the total above
+// the limit. Each share includes the instance's control connections, without
+// which it could not serve at all.
 func (s *Scheduler) Connections(model.DatabaseID) int {
-	if s.isNewcomer() {
+	if s.isJoining() {
 		return 1
 	}
 	budget := max(0, s.limits.MaxConnections-s.limits.ReservedConnections)
 	return max(1, budget/(len(s.peers.known)+1)-controlConnections)
 }
 
-// perInstance returns the slots of d that one instance may use at once.
+// perInstance returns the number of slots of d that one instance may use at
+// once.
 func (s *Scheduler) perInstance(d *database) int {
 	return min(s.limits.MaxConcurrentStatements, s.Connections(d.id))
 }
--- a/internal/core/rank/limit_test.go
+++ b/internal/core/rank/limit_test.go
@@ -7,26 +7,26 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// TestShortAnswersKeepLimit checks that the spread of answers far below a
-// millisecond, as load and the machine make it, lowers no limit, and that a
-// database that has become slow still has its limit lowered.
-func TestShortAnswersKeepLimit(t *testing.T) {
+// TestFastAnswersKeepLimit checks that the spread of answers far below a
+// millisecond, which comes from load and from the machine, lowers no limit, and
+// that the limit of a database that has become slow is still lowered.
+func TestFastAnswersKeepLimit(t *testing.T) {
 	cases := []struct {
-		name string
-		took []time.Duration
-		kept bool
+		name       string
+		took       []time.Duration
+		keepsLimit bool
 	}{
-		{"short answers that spread", []time.Duration{40 * time.Microsecond, 900 * time.Microsecond}, true},
-		{"answers that became ten times slower", []time.Duration{10 * ms}, false},
+		{"fast answers of varying time", []time.Duration{40 * time.Microsecond, 900 * time.Microsecond}, true},
+		{"answers that became much slower", []time.Duration{10 * ms}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			s := newTestScheduler()
 			now := serveReads(t, s, start, []time.Duration{40 * time.Microsecond})
 			serveReads(t, s, now, c.took)
-			full := s.limitOf(s.databases["a"]) == s.limits.MaxConcurrentStatements
-			if full != c.kept {
-				t.Errorf("limit %d of %d slots", s.limitOf(s.databases["a"]), s.limits.MaxConcurrentStatements)
+			isAtMaximum := s.limitOf(s.databases["a"]) == s.limits.MaxConcurrentStatements
+			if isAtMaximum != c.keepsLimit {
+				t.Errorf("limit is %d of %d slots", s.limitOf(s.databases["a"]), s.limits.MaxConcurrentStatements)
 			}
 		})
 	}
@@ -43,10 +43,10 @@
 		read := work(id, 1, 0)
 		read.Arrived, read.Deadline = now, now.Add(time.Second)
 		if refusal, ok := s.Enqueue(now, read); !ok {
-			t.Fatal("refused", refusal)
+			t.Fatal("request was rejected:", refusal)
 		}
-		if got := len(s.AssignSlots(now, on("a"))); got != 1 {
-			t.Fatalf("answer %d: %d grants", i, got)
+		if got := len(s.AssignSlots(now, candidatesOf("a"))); got != 1 {
+			t.Fatalf("request %d: %d slots assigned", i, got)
 		}
 		elapsed := took[i%len(took)]
 		now = now.Add(elapsed)
--- a/internal/core/rank/meter.go
+++ b/internal/core/rank/meter.go
@@ -8,36 +8,39 @@
 // -----------------------------------------------------------------------------
 // Shares below one slot.
 
-// meterBurst and meterDebt bound what a meter saves and owes, in slot-seconds.
+// maxCredit and maxDebt bound the credit of a meter, in slot-seconds: it stays
+// between -maxDebt and maxCredit.
 const (
-	meterBurst = 0.02
-	meterDebt  = 1.0
+	maxCredit = 0.02
+	maxDebt   = 1.0
 )
 
-// meter lets an instance use a fraction of a slot as a share of time: it saves
-// slot-time at a rate and lets work start while something is saved.
+// meter limits the use of slots to a rate that may be a fraction of a slot, as
+// a share of time: credit accrues at the rate and is used up by the slots in
+// use, and a request may start while the credit is positive.
 type meter struct {
-	saved float64
-	since time.Time
-	// busy is the number of slots used since then.
-	busy int
+	credit    float64
+	updatedAt time.Time
+	// slotsInUse is the number of slots in use since updatedAt.
+	slotsInUse int
 }
 
-// advance brings the meter to now, from when on busy slots are used.
-func (m *meter) advance(now time.Time, rate float64, busy int) {
-	if elapsed := now.Sub(m.since).Seconds(); elapsed > 0 {
-		m.saved += (rate - float64(m.busy)) * elapsed
-		m.saved = min(max(m.saved, -meterDebt), meterBurst)
-		m.since = now
+// advance updates the credit to now. slotsInUse is the number of slots in use
+// from now on.
+func (m *meter) advance(now time.Time, rate float64, slotsInUse int) {
+	if elapsed := now.Sub(m.updatedAt).Seconds(); elapsed > 0 {
+		m.credit += (rate - float64(m.slotsInUse)) * elapsed
+		m.credit = min(max(m.credit, -maxDebt), maxCredit)
+		m.updatedAt = now
 	}
-	m.busy = busy
+	m.slotsInUse = slotsInUse
 }
 
-// allows reports whether one more slot may be used at the rate.
-func (m *meter) allows(now time.Time, rate float64, busy int) bool {
-	m.advance(now, rate, busy)
-	if busy < int(rate) {
+// allows reports whether one more slot may be used at the rate, given in slots.
+func (m *meter) allows(now time.Time, rate float64, slotsInUse int) bool {
+	m.advance(now, rate, slotsInUse)
+	if slotsInUse < int(rate) {
 		return true
 	}
-	return float64(busy) < math.Ceil(rate) && m.saved > 0
+	return float64(slotsInUse) < math.Ceil(rate) && m.credit > 0
 }
--- a/internal/core/rank/note.go
+++ b/internal/core/rank/note.go
@@ -8,80 +8,83 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// Bounds of log lines.
+// Bounds on log events.
 const (
-	// notesPerSecond is the number of lines of one event in a second; a flood
-	// would drown all others.
-	notesPerSecond = 5
-	// noteBacklog bounds the lines that nobody has fetched.
-	noteBacklog = 256
+	// maxEventsPerSecond is the maximum number of log lines of one event in a
+	// second, so that a flood of one event does not hide the others.
+	maxEventsPerSecond = 5
+	// maxPendingEvents bounds the log events that TakeLogEvents has not taken
+	// yet.
+	maxPendingEvents = 256
 )
 
-// noteGate counts the lines of one event.
-type noteGate struct {
-	since  time.Time
-	passed int
-	// left counts the lines left out since the last one that was written.
-	left uint64
+// logLimit counts the log lines of one event in the current second.
+type logLimit struct {
+	windowStart time.Time
+	written     int
+	// suppressed counts the events left out since the last one that was logged.
+	suppressed uint64
 }
 
-// note keeps a line for Notes, or counts it as left out.
-func (s *Scheduler) note(now time.Time, line message.LogEvent) {
-	gate := s.gates[line.Event.Number]
-	if gate == nil {
-		gate = &noteGate{since: now}
-		s.gates[line.Event.Number] = gate
+// logEvent keeps an event for TakeLogEvents, or counts it as left out.
+func (s *Scheduler) logEvent(now time.Time, entry message.LogEvent) {
+	limit := s.logLimits[entry.Event.Number]
+	if limit == nil {
+		limit = &logLimit{windowStart: now}
+		s.logLimits[entry.Event.Number] = limit
 	}
-	if now.Sub(gate.since) >= time.Second {
-		gate.since, gate.passed = now, 0
+	if now.Sub(limit.windowStart) >= time.Second {
+		limit.windowStart, limit.written = now, 0
 	}
-	if gate.passed >= notesPerSecond || len(s.notes) >= noteBacklog {
-		gate.left++
+	if limit.written >= maxEventsPerSecond || len(s.logEvents) >= maxPendingEvents {
+		limit.suppressed++
 		return
 	}
-	gate.passed++
-	line.Fields = append(line.Fields, event.F("left", gate.left))
-	gate.left = 0
-	s.notes = append(s.notes, line)
-}
-
-// isNoted reports whether a line of the event would be kept now, and counts it
-// as left out where not. It spares the cost of lines that a flood drops.
-func (s *Scheduler) isNoted(now time.Time, e *event.Event) bool {
-	gate := s.gates[e.Number]
-	if gate == nil || now.Sub(gate.since) >= time.Second || gate.passed < notesPerSecond {
+	limit.written++
+	entry.Fields = append(entry.Fields, event.F("left", limit.suppressed))
+	limit.suppressed = 0
+	s.logEvents = append(s.logEvents, entry)
+}
+
+// isLogged reports whether logEvent would keep this event now, and counts the
+// event as left out if not. It saves the cost of building events that are
+// dropped in a flood.
+func (s *Scheduler) isLogged(now time.Time, e *event.Event) bool {
+	limit := s.logLimits[e.Number]
+	if limit == nil || now.Sub(limit.windowStart) >= time.Second || limit.written < maxEventsPerSecond {
 		return true
 	}
-	gate.left++
+	limit.suppressed++
 	return false
 }
 
-// TakeLogEvents returns the log lines since the last call, at most five a second of each
-// event; the field "left" counts those left out before a line.
+// TakeLogEvents returns the log events since the last call, at most five a
+// second of each event. The field "left" is the number of events of the same
+// kind that were left out before it.
 func (s *Scheduler) TakeLogEvents() []message.LogEvent {
-	out := s.notes
-	s.notes = nil
-	return out
+	events := s.logEvents
+	s.logEvents = nil
+	return events
 }
 
 // -----------------------------------------------------------------------------
-// The lines.
+// Log events.
 
-func (s *Scheduler) noteRefused(now time.Time, work *Work, refusal *Refusal) {
-	if !s.isNoted(now, &event.WorkRefused) {
+func (s *Scheduler) logRejected(now time.Time, work *Work, refusal *Refusal) {
+	if !s.isLogged(now, &event.WorkRefused) {
 		return
 	}
-	s.note(now, message.LogEvent{Event: event.WorkRefused, Fields: []event.Field{
+	s.logEvent(now, message.LogEvent{Event: event.WorkRefused, Fields: []event.Field{
 		event.F("group", work.Group), event.F("rank", s.rankName(work.Rank)), event.F("caller", work.Caller),
 		event.F("why", refusal.Reason), event.F("detail", refusal.Detail), event.F("again", refusal.RetryAfter),
 	}})
 }
 
-func (s *Scheduler) noteExpired(now time.Time, work *Work) {
-	if !s.isNoted(now, &event.WorkExpired) {
+func (s *Scheduler) logExpired(now time.Time, work *Work) {
+	if !s.isLogged(now, &event.WorkExpired) {
 		return
 	}
-	s.note(now, message.LogEvent{Event: event.WorkExpired, Fields: []event.Field{
+	s.logEvent(now, message.LogEvent{Event: event.WorkExpired, Fields: []event.Field{
 		event.F("group", work.Group), event.F("rank", s.rankName(work.Rank)), event.F("caller", work.Caller),
 		event.F("waited", now.Sub(work.Arrived)),
 	}})
@@ -89,21 +92,21 @@
 
 func limitLowered(d *database) message.LogEvent {
 	return message.LogEvent{Event: event.LimitLowered, Fields: []event.Field{
-		event.F("group", d.group.id), event.F("database", d.id), event.F("slots", int(d.limiter.slots)),
-		event.F("slowdown", d.limiter.ratio), event.F("failing", d.limiter.fails),
+		event.F("group", d.group.id), event.F("database", d.id), event.F("slots", int(d.limiter.limit)),
+		event.F("slowdown", d.limiter.slowdown), event.F("failing", d.limiter.failureRate),
 	}}
 }
 
 func limitRestored(d *database) message.LogEvent {
 	return message.LogEvent{Event: event.LimitRestored, Fields: []event.Field{
-		event.F("group", d.group.id), event.F("database", d.id), event.F("slots", int(d.limiter.slots)),
+		event.F("group", d.group.id), event.F("database", d.id), event.F("slots", int(d.limiter.limit)),
 	}}
 }
 
 func circuitOpened(d *database) message.LogEvent {
 	return message.LogEvent{Event: event.CircuitOpened, Fields: []event.Field{
 		event.F("group", d.group.id), event.F("database", d.id), event.F("state", d.limiter.state),
-		event.F("slowdown", d.limiter.ratio), event.F("failing", d.limiter.fails),
+		event.F("slowdown", d.limiter.slowdown), event.F("failing", d.limiter.failureRate),
 	}}
 }
 
@@ -113,13 +116,13 @@
 	}}
 }
 
-func arbiterChanged(g *group, before, after model.InstanceID) message.LogEvent {
+func arbiterChanged(g *group, previous, current model.InstanceID) message.LogEvent {
 	return message.LogEvent{Event: event.ArbiterChanged, Fields: []event.Field{
-		event.F("group", g.id), event.F("before", before), event.F("after", after),
+		event.F("group", g.id), event.F("before", previous), event.F("after", current),
 	}}
 }
 
-func arbiterSilent(g *group, arbiter model.InstanceID) message.LogEvent {
+func arbiterUnresponsive(g *group, arbiter model.InstanceID) message.LogEvent {
 	return message.LogEvent{Event: event.ArbiterSilent, Fields: []event.Field{
 		event.F("group", g.id), event.F("arbiter", arbiter),
 	}}
@@ -131,26 +134,26 @@
 	}}
 }
 
-func (s *Scheduler) noteGranted(now time.Time, l *lease) {
-	if !s.isNoted(now, &event.LeaseGranted) {
+func (s *Scheduler) logLeaseGranted(now time.Time, l *lease) {
+	if !s.isLogged(now, &event.LeaseGranted) {
 		return
 	}
-	s.note(now, message.LogEvent{Event: event.LeaseGranted, Fields: []event.Field{
+	s.logEvent(now, message.LogEvent{Event: event.LeaseGranted, Fields: []event.Field{
 		event.F("group", l.database.group.id), event.F("database", l.database.id),
-		event.F("rank", s.rankName(l.rank)), event.F("instance", l.to.id),
+		event.F("rank", s.rankName(l.rank)), event.F("instance", l.holder.id),
 	}})
 }
 
-func (s *Scheduler) noteRecalled(now time.Time, l *lease, c claim) {
-	if !s.isNoted(now, &event.LeaseRecalled) {
+func (s *Scheduler) logLeaseRecalled(now time.Time, l *lease, c claim) {
+	if !s.isLogged(now, &event.LeaseRecalled) {
 		return
 	}
-	s.note(now, message.LogEvent{Event: event.LeaseRecalled, Fields: []event.Field{
+	s.logEvent(now, message.LogEvent{Event: event.LeaseRecalled, Fields: []event.Field{
 		event.F("group", l.database.group.id), event.F("database", l.database.id),
-		event.F("rank", s.rankName(l.rank)), event.F("instance", l.to.id), event.F("for", s.rankName(c.want.rank)),
+		event.F("rank", s.rankName(l.rank)), event.F("instance", l.holder.id), event.F("for", s.rankName(c.slotDemand.rank)),
 	}})
 }
 
-func retryRefused(g *group) message.LogEvent {
+func retryRejected(g *group) message.LogEvent {
 	return message.LogEvent{Event: event.RetryRefused, Fields: []event.Field{event.F("group", g.id)}}
 }
--- a/internal/core/rank/peers.go
+++ b/internal/core/rank/peers.go
@@ -9,44 +9,47 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// reserveTime is how long an unreachable instance keeps its share of slots and
-// connections.
-const reserveTime = 30 * time.Second
+// shareReserveTime is how long the share of slots and connections of an
+// unreachable instance stays reserved.
+const shareReserveTime = 30 * time.Second
 
-// peers is what is known of the instances.
+// peers holds the known instances.
 type peers struct {
-	// live is sorted and holds this instance.
+	// live lists the live instances, including this one, sorted.
 	live []model.InstanceID
-	// known holds live and those that were live not long ago, sorted.
+	// known lists the live instances and those whose share is still reserved,
+	// sorted.
 	known []model.InstanceID
-	// until tells how long those that are not live keep their share.
-	until map[model.InstanceID]time.Time
+	// reservedUntil is the time until which the share of an instance that is
+	// not live stays reserved.
+	reservedUntil map[model.InstanceID]time.Time
 }
 
-// set replaces the live instances and returns those that are gone.
+// set replaces the live instances and returns those that are no longer live.
+// Their share is reserved for shareReserveTime.
 func (p *peers) set(now time.Time, live []model.InstanceID) []model.InstanceID {
-	var gone []model.InstanceID
+	var removed []model.InstanceID
 	sorted := slices.Clone(live)
 	slices.Sort(sorted)
 	sorted = slices.Compact(sorted)
 	for _, id := range p.live {
 		if !slices.Contains(sorted, id) {
-			p.until[id] = now.Add(reserveTime)
-			gone = append(gone, id)
+			p.reservedUntil[id] = now.Add(shareReserveTime)
+			removed = append(removed, id)
 		}
 	}
 	p.live = sorted
 	p.refresh(now)
-	return gone
+	return removed
 }
 
-// refresh drops the shares that are no longer reserved.
+// refresh ends the reservations that have expired and updates known.
 func (p *peers) refresh(now time.Time) {
 	p.known = append(p.known[:0], p.live...)
-	for id, until := range p.until {
+	for id, reservedUntil := range p.reservedUntil {
 		switch {
-		case slices.Contains(p.live, id) || !now.Before(until):
-			delete(p.until, id)
+		case slices.Contains(p.live, id) || !now.Before(reservedUntil):
+			delete(p.reservedUntil, id)
 		default:
 			p.known = append(p.known, id)
 		}
@@ -54,16 +57,16 @@
 	slices.Sort(p.known)
 }
 
-// arbiter returns the live instance that permits the slots of a group, by
-// rendezvous hashing: a change of one instance moves only the groups that it
-// has or gets.
+// arbiter returns the live instance that is the arbiter of a group. It is
+// chosen by rendezvous hashing: when one instance comes or goes, only the
+// groups change their arbiter that it takes over or gives up.
 func (p *peers) arbiter(g model.GroupID) model.InstanceID {
 	var best model.InstanceID
-	top := uint64(0)
+	topScore := uint64(0)
 	for _, id := range p.live {
 		score := xxhash.Sum64String(string(g) + "/" + string(id))
-		if best == "" || score > top {
-			best, top = id, score
+		if best == "" || score > topScore {
+			best, topScore = id, score
 		}
 	}
 	return best
--- a/internal/core/rank/queue.go
+++ b/internal/core/rank/queue.go
@@ -7,32 +7,35 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// item is one work that the scheduler holds, waiting or running.
+// item is one request that the scheduler holds, waiting or running.
 type item struct {
 	work Work
-	// cost is the slot-time that the work is expected to take.
+	// cost is the slot-time that the request is expected to take.
 	cost time.Duration
-	// target is when the answer loses a part of its worth; class says whether
-	// it is expected to be met.
+	// target is the time after which the answer loses a part of its value, or
+	// zero; class says whether the request is expected to end before it.
 	target time.Time
 	class  class
-	// mask names the databases that may serve the work, by their index in the
-	// group, as of the last look.
+	// mask is the set of databases that may serve the request, as of the last
+	// lookup of its candidates. Each bit is the index of a database in the
+	// group.
 	mask uint64
-	// line is where the work waits; nil while it is not classified or runs.
-	line   *line
-	index  int
-	expiry int
-	// bucket is where the backlog counts the work.
+	// callerQueue is where the request waits, or nil while it is not classified
+	// or runs. index is its position there, expiry its position in
+	// Scheduler.expiry.
+	callerQueue *callerQueue
+	index       int
+	expiry      int
+	// bucket is the bucket of the backlog that counts the request.
 	bucket  int
 	waiting bool
-	// started and database are set while the work runs.
+	// started and database are set when the request starts.
 	started  time.Time
 	database *database
 }
 
-// before reports whether i is served before j inside a rank: the earliest
-// deadline first, ties by arrival.
+// before reports whether i is served before j within a rank: the earliest
+// deadline first, then the earliest arrival.
 func (i *item) before(j *item) bool {
 	if !i.work.Deadline.Equal(j.work.Deadline) {
 		return i.work.Deadline.Before(j.work.Deadline)
@@ -43,158 +46,164 @@
 	return i.work.Request < j.work.Request
 }
 
-// class parts the work of a rank. Work that can no longer be answered inside
-// its target is served after all that can be: in a long flood a queue in order
-// of arrival would make every answer late.
+// class divides the requests of a rank. Requests that can no longer be answered
+// within their latency target are served after all that can be: in a long
+// flood, a queue in order of arrival would make every answer late.
 type class int
 
-// The values of class.
+// Values of class.
 const (
-	// classPrompt is work that is expected inside its target.
-	classPrompt class = iota
-	// classLate is work that is expected inside its deadline only.
+	// classOnTime is a request that is expected to end within its target, or
+	// that has no target.
+	classOnTime class = iota
+	// classLate is a request that is expected to end within its deadline only.
 	classLate
-	classes
+	classCount
 )
 
 // -----------------------------------------------------------------------------
-// The line of one caller.
+// Waiting requests of one caller.
 
-// line holds the waiting work of one caller in one lane, as a heap by deadline.
-type line struct {
-	caller *caller
-	lane   *lane
-	items  []*item
-	index  int
+// callerQueue holds the waiting requests of one caller in one candidate queue,
+// as a heap by deadline.
+type callerQueue struct {
+	caller         *caller
+	candidateQueue *candidateQueue
+	items          []*item
+	index          int
 }
 
 // Len implements heap.Interface.
-func (l *line) Len() int { return len(l.items) }
+func (q *callerQueue) Len() int { return len(q.items) }
 
 // Less implements heap.Interface.
-func (l *line) Less(i, j int) bool { return l.items[i].before(l.items[j]) }
+func (q *callerQueue) Less(i, j int) bool { return q.items[i].before(q.items[j]) }
 
 // Swap implements heap.Interface.
-func (l *line) Swap(i, j int) {
-	l.items[i], l.items[j] = l.items[j], l.items[i]
-	l.items[i].index = i
-	l.items[j].index = j
+func (q *callerQueue) Swap(i, j int) {
+	q.items[i], q.items[j] = q.items[j], q.items[i]
+	q.items[i].index = i
+	q.items[j].index = j
 }
 
 // Push implements heap.Interface.
-func (l *line) Push(x any) {
+func (q *callerQueue) Push(x any) {
 	it := x.(*item)
-	it.index = len(l.items)
-	it.line = l
-	l.items = append(l.items, it)
+	it.index = len(q.items)
+	it.callerQueue = q
+	q.items = append(q.items, it)
 }
 
 // Pop implements heap.Interface.
-func (l *line) Pop() any {
-	last := len(l.items) - 1
-	it := l.items[last]
-	l.items[last] = nil
-	l.items = l.items[:last]
-	it.line = nil
+func (q *callerQueue) Pop() any {
+	last := len(q.items) - 1
+	it := q.items[last]
+	q.items[last] = nil
+	q.items = q.items[:last]
+	it.callerQueue = nil
 	return it
 }
 
 // -----------------------------------------------------------------------------
-// The lane of one set of databases.
+// Waiting requests with the same candidates.
 
-// lane holds the waiting work that the same databases may serve, as a heap of
-// callers' lines by the deadline of their heads. The index by set of databases
-// lets a full database block only the work that needs it.
-type lane struct {
-	mask  uint64
-	class class
-	lines []*line
-	// waiting counts the items in all lines.
-	waiting int
-	by      map[model.CallerID]*line
+// candidateQueue holds the waiting requests of one class that the same set of
+// databases may serve, as a heap of caller queues by the deadline of their
+// first requests. Because of the division by set of databases, a database
+// without free slots blocks only the requests that need it.
+type candidateQueue struct {
+	mask         uint64
+	class        class
+	callerQueues []*callerQueue
+	// waiting is the number of items in all caller queues.
+	waiting  int
+	byCaller map[model.CallerID]*callerQueue
 }
 
-func newLane(mask uint64, c class) *lane {
-	return &lane{mask: mask, class: c, by: map[model.CallerID]*line{}}
+func newCandidateQueue(mask uint64, c class) *candidateQueue {
+	return &candidateQueue{mask: mask, class: c, byCaller: map[model.CallerID]*callerQueue{}}
 }
 
 // Len implements heap.Interface.
-func (l *lane) Len() int { return len(l.lines) }
+func (q *candidateQueue) Len() int { return len(q.callerQueues) }
 
 // Less implements heap.Interface.
-func (l *lane) Less(i, j int) bool { return l.lines[i].items[0].before(l.lines[j].items[0]) }
+func (q *candidateQueue) Less(i, j int) bool {
+	return q.callerQueues[i].items[0].before(q.callerQueues[j].items[0])
+}
 
 // Swap implements heap.Interface.
-func (l *lane) Swap(i, j int) {
-	l.lines[i], l.lines[j] = l.lines[j], l.lines[i]
-	l.lines[i].index = i
-	l.lines[j].index = j
+func (q *candidateQueue) Swap(i, j int) {
+	q.callerQueues[i], q.callerQueues[j] = q.callerQueues[j], q.callerQueues[i]
+	q.callerQueues[i].index = i
+	q.callerQueues[j].index = j
 }
 
 // Push implements heap.Interface.
-func (l *lane) Push(x any) {
-	added := x.(*line)
-	added.index = len(l.lines)
-	l.lines = append(l.lines, added)
+func (q *candidateQueue) Push(x any) {
+	added := x.(*callerQueue)
+	added.index = len(q.callerQueues)
+	q.callerQueues = append(q.callerQueues, added)
 }
 
 // Pop implements heap.Interface.
-func (l *lane) Pop() any {
-	last := len(l.lines) - 1
-	gone := l.lines[last]
-	l.lines[last] = nil
-	l.lines = l.lines[:last]
-	return gone
-}
-
-// add puts a waiting item into the line of its caller.
-func (l *lane) add(it *item, of *caller) {
-	l.waiting++
-	known := l.by[it.work.Caller]
-	if known == nil {
-		known = &line{caller: of, lane: l, items: []*item{it}}
-		it.line, it.index = known, 0
-		l.by[it.work.Caller] = known
-		heap.Push(l, known)
+func (q *candidateQueue) Pop() any {
+	last := len(q.callerQueues) - 1
+	removed := q.callerQueues[last]
+	q.callerQueues[last] = nil
+	q.callerQueues = q.callerQueues[:last]
+	return removed
+}
+
+// add adds a waiting item to the queue of its caller.
+func (q *candidateQueue) add(it *item, owner *caller) {
+	q.waiting++
+	existing := q.byCaller[it.work.Caller]
+	if existing == nil {
+		existing = &callerQueue{caller: owner, candidateQueue: q, items: []*item{it}}
+		it.callerQueue, it.index = existing, 0
+		q.byCaller[it.work.Caller] = existing
+		heap.Push(q, existing)
 		return
 	}
-	heap.Push(known, it)
-	heap.Fix(l, known.index)
+	heap.Push(existing, it)
+	heap.Fix(q, existing.index)
 }
 
-// remove takes an item out of its line.
-func (l *lane) remove(it *item) {
-	from := it.line
-	l.waiting--
+// remove removes an item from the queue of its caller.
+func (q *candidateQueue) remove(it *item) {
+	from := it.callerQueue
+	q.waiting--
 	heap.Remove(from, it.index)
 	if from.Len() == 0 {
-		heap.Remove(l, from.index)
-		delete(l.by, it.work.Caller)
+		heap.Remove(q, from.index)
+		delete(q.byCaller, it.work.Caller)
 		return
 	}
-	heap.Fix(l, from.index)
+	heap.Fix(q, from.index)
 }
 
-// head returns the work to serve next: the earliest deadline, but a caller
-// that holds more than its share gives way to the others. At most one caller
-// can be above callerShare, so that two heads need a look.
-func (l *lane) head(now time.Time, total float64) *item {
-	if len(l.lines) == 0 {
+// next returns the request to serve next, or nil: the earliest deadline, except
+// that a caller that used more than maxCallerShare of the rank's slot-time is
+// passed over if others wait. At most one caller can be above that share, so
+// only the first two caller queues are compared.
+func (q *candidateQueue) next(now time.Time, rankTotal float64) *item {
+	if len(q.callerQueues) == 0 {
 		return nil
 	}
-	first := l.lines[0]
-	if len(l.lines) == 1 || first.caller.usage.at(now) <= callerShare*total {
+	first := q.callerQueues[0]
+	if len(q.callerQueues) == 1 || first.caller.usage.amountAt(now) <= maxCallerShare*rankTotal {
 		return first.items[0]
 	}
-	second := l.lines[1]
-	if len(l.lines) > 2 && l.Less(2, 1) {
-		second = l.lines[2]
+	second := q.callerQueues[1]
+	if len(q.callerQueues) > 2 && q.Less(2, 1) {
+		second = q.callerQueues[2]
 	}
 	return second.items[0]
 }
 
 // -----------------------------------------------------------------------------
-// The deadlines of all that wait.
+// Waiting requests by deadline.
 
 // deadlines is a heap of waiting items by deadline.
 type deadlines []*item
--- a/internal/core/rank/readmit.go
+++ b/internal/core/rank/readmit.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Readmit takes work in again whose slot was given back while its outcome was
-// being settled. It keeps its place by arrival and, unlike with Offer, is never
-// refused: the caller's work has been accepted before.
+// Readmit adds a request to the queue again after its slot was released while
+// its in-doubt outcome was being resolved. It keeps its arrival time and,
+// unlike with Enqueue, is never rejected, since it has been admitted before.
 func (s *Scheduler) Readmit(now time.Time, work Work) {
 	g := s.groups[work.Group]
 	if g == nil {
 		return
 	}
-	s.enter(now, g.queueOf(&work), &item{work: work, cost: s.kind(work.Kind).cost(now)})
+	s.addItem(now, g.queueOf(&work), &item{work: work, cost: s.requestKind(work.Kind).cost(now)})
 }
--- a/internal/core/rank/retry.go
+++ b/internal/core/rank/retry.go
@@ -8,48 +8,49 @@
 
 // Constants of the retry budget.
 const (
-	// retryShare is the part of a retry that each success pays for.
-	retryShare = 0.1
-	// retryFirst is what a group starts with, in retries.
-	retryFirst = 3.0
-	// retryMost bounds what is saved, in retries.
-	retryMost = 20.0
-	// retryTrickle is what is saved without any success, in retries a second,
-	// so that a group that fails altogether is tried again.
-	retryTrickle = 1.0
+	// retriesPerSuccess is the part of a retry that each success adds to the
+	// budget.
+	retriesPerSuccess = 0.1
+	// initialRetries is the initial budget of a group, in retries.
+	initialRetries = 3.0
+	// maxRetries is the maximum budget, in retries.
+	maxRetries = 20.0
+	// retriesPerSecond is the number of retries that each second adds to the
+	// budget, so that retries go on in a group in which every request fails.
+	retriesPerSecond = 1.0
 )
 
-// retries is the budget of retries of one group.
-type retries struct {
-	saved float64
-	since time.Time
+// retryBudget is the retry budget of one group.
+type retryBudget struct {
+	balance   float64
+	updatedAt time.Time
 }
 
-// TakeRetry reports whether a request of a group may be tried once more, and
-// takes the retry out of the group's budget: a share of its recent successes.
-// It is false for an unknown group.
+// TakeRetry reports whether a request of a group may be retried, and if so
+// takes one retry from the group's budget, to which each success adds a part of
+// a retry. It returns false for an unknown group.
 func (s *Scheduler) TakeRetry(now time.Time, id model.GroupID) bool {
 	g := s.groups[id]
 	if g == nil {
 		return false
 	}
-	b := &g.retries
-	b.advance(now)
-	if b.saved < 1 {
-		s.note(now, retryRefused(g))
+	budget := &g.retryBudget
+	budget.advance(now)
+	if budget.balance < 1 {
+		s.logEvent(now, retryRejected(g))
 		return false
 	}
-	b.saved--
+	budget.balance--
 	return true
 }
 
-// advance saves what trickles in.
-func (b *retries) advance(now time.Time) {
-	if elapsed := now.Sub(b.since); elapsed > 0 {
-		b.add(retryTrickle * elapsed.Seconds())
-		b.since = now
+// advance adds the retries for the time since the last call.
+func (b *retryBudget) advance(now time.Time) {
+	if elapsed := now.Sub(b.updatedAt); elapsed > 0 {
+		b.add(retriesPerSecond * elapsed.Seconds())
+		b.updatedAt = now
 	}
 }
 
-// add saves some retries.
-func (b *retries) add(amount float64) { b.saved = min(b.saved+amount, retryMost) }
+// add adds retries to the budget, up to maxRetries.
+func (b *retryBudget) add(amount float64) { b.balance = min(b.balance+amount, maxRetries) }
--- a/internal/core/rank/scheduler.go
+++ b/internal/core/rank/scheduler.go
@@ -1,19 +1,21 @@
-// Package rank decides which waiting request gets which slot.
+// Package rank decides which waiting request gets which slot. A slot is the right
+// to run one statement at a database; slot-time is the time for which it is held.
 //
-// # What flows in and out
+// # Inputs and outputs
 //
-// Work flows in by Offer, which refuses at the door what can't be in time;
-// AssignSlots pairs waiting work with free slots, and Finish gives the slot back.
-// Peers' words flow in by Hear and out by Messages, so that many instances act
-// as one queue. Time comes with each call; the package has no clock.
+// Requests enter by Enqueue, which rejects those that can't be answered in time;
+// AssignSlots pairs waiting requests with free slots, and Finish releases the slot.
+// Peers' messages enter by HandlePeerMessage and leave by TakeMessages, so that
+// many instances act as one queue. The time is passed with each call; the package
+// reads no clock.
 //
 // # Usage
 //
 //	s := rank.NewScheduler("instance-1")
 //	s.Configure(now, manifest)
 //	refusal, ok := s.Enqueue(now, rank.Work{Request: 1, Group: "ratings", Deadline: now.Add(time.Second)})
-//	for _, grant := range s.AssignSlots(now, candidates) { ... }
-//	s.Finish(now, 1, rank.Ending{})
+//	for _, assignment := range s.AssignSlots(now, candidates) { ... }
+//	s.Finish(now, 1, rank.SlotCompletion{})
 package rank
 
 import (
@@ -24,17 +26,17 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// defaultKind is the kind of work that names none, or one that the manifest
-// does not have.
+// defaultKind is the kind of requests that name no kind, or one that is not in
+// the manifest.
 const defaultKind = "default"
 
-// Work is one request that wants a slot.
+// Work is one request for a slot.
 type Work struct {
 	Request model.RequestID
 	Group   model.GroupID
 	Rank    model.Rank
 	Caller  model.CallerID
-	// Kind names the kind of work; requests of one kind take alike long.
+	// Kind names the request kind; requests of one kind take similar times.
 	Kind     string
 	Arrived  time.Time
 	Deadline time.Time
@@ -44,15 +46,15 @@
 	Transaction bool
 }
 
-// Refusal tells why work was not taken in.
+// Refusal tells why a request was rejected.
 type Refusal struct {
 	Reason message.RefusalReason
-	// RetryAfter hints when to come again.
+	// RetryAfter suggests when to retry, or is zero.
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// SlotAssignment pairs a request with a slot of a database.
+// SlotAssignment lets a request run in a slot of a database.
 type SlotAssignment struct {
 	Request  model.RequestID
 	Database model.DatabaseID
@@ -60,66 +62,67 @@
 
 // SlotCompletion tells how the use of a slot ended.
 type SlotCompletion struct {
-	// Elapsed is how long the database took, without opening a connection.
+	// Elapsed is the time that the database took, without the time to open a
+	// connection.
 	Elapsed time.Duration
 	// Failed says that the database did not answer, or answered that it is
 	// overloaded.
 	Failed bool
 }
 
-// Candidates names the databases that may serve a work now, the best first.
-// None means that the work has to wait.
+// Candidates returns the databases that may serve a request now, the best
+// first. If there is none, the request waits.
 type Candidates func(work Work) []model.DatabaseID
 
 // -----------------------------------------------------------------------------
 // The scheduler.
 
-// Scheduler orders the work of one instance.
+// Scheduler orders the requests of one instance.
 type Scheduler struct {
 	self model.InstanceID
-	// born is when the first manifest came, now the time of the last call that
-	// told it.
-	born, now time.Time
-	peers     peers
-	limits    manifest.DatabaseLimits
-	ranks     []manifest.Rank
-	floors    []float64
-	kinds     map[string]*kind
-	groups    map[model.GroupID]*group
-	sequence  []*group
-	databases map[model.DatabaseID]*database
-	waiting   map[model.RequestID]*item
-	running   map[model.RequestID]*item
-	expiry    deadlines
-	expired   []model.RequestID
-	grants    []SlotAssignment
-	outbox    []message.SendPeer
-	order     []model.Rank
-	notes     []message.LogEvent
-	gates     map[int]*noteGate
-	// hasFixedLimits turns adaptive limits off.
+	// configuredAt is the time of the first Configure, now the time passed to
+	// the last call of Configure, AssignSlots or SetPeers.
+	configuredAt, now time.Time
+	peers             peers
+	limits            manifest.DatabaseLimits
+	ranks             []manifest.Rank
+	minShares         []float64
+	kinds             map[string]*requestKind
+	groups            map[model.GroupID]*group
+	orderedGroups     []*group
+	databases         map[model.DatabaseID]*database
+	waiting           map[model.RequestID]*item
+	running           map[model.RequestID]*item
+	expiry            deadlines
+	expired           []model.RequestID
+	assignments       []SlotAssignment
+	outbox            []message.SendPeer
+	rankOrder         []model.Rank
+	logEvents         []message.LogEvent
+	logLimits         map[int]*logLimit
+	// hasFixedLimits turns adaptive limits and circuits off.
 	hasFixedLimits bool
 }
 
-// Option changes how a scheduler works.
+// Option configures a Scheduler.
 type Option func(*Scheduler)
 
 // WithFixedLimits turns adaptive limits and circuits off.
 func WithFixedLimits() Option { return func(s *Scheduler) { s.hasFixedLimits = true } }
 
-// NewScheduler returns a scheduler for the instance self. It takes no work
-// before Configure.
+// NewScheduler returns a scheduler for the instance self. It rejects all
+// requests until Configure is called.
 func NewScheduler(self model.InstanceID, options ...Option) *Scheduler {
 	s := &Scheduler{
 		self:      self,
-		kinds:     map[string]*kind{},
+		kinds:     map[string]*requestKind{},
 		groups:    map[model.GroupID]*group{},
 		databases: map[model.DatabaseID]*database{},
 		waiting:   map[model.RequestID]*item{},
 		running:   map[model.RequestID]*item{},
-		gates:     map[int]*noteGate{},
+		logLimits: map[int]*logLimit{},
 	}
-	s.peers.until = map[model.InstanceID]time.Time{}
+	s.peers.reservedUntil = map[model.InstanceID]time.Time{}
 	s.peers.set(time.Time{}, []model.InstanceID{self})
 	for _, option := range options {
 		option(s)
@@ -127,84 +130,89 @@
 	return s
 }
 
-// Configure puts a manifest's ranks and limits in force. Waiting and running
-// work stays; work of a group that is gone waits for its deadline.
+// Configure applies the ranks, kinds, groups and limits of a manifest. Waiting
+// and running requests stay; waiting requests of a group that the manifest no
+// longer has expire at their deadline.
 func (s *Scheduler) Configure(now time.Time, m *manifest.Manifest) {
-	if s.born.IsZero() {
-		s.born = now
+	if s.configuredAt.IsZero() {
+		s.configuredAt = now
 	}
 	s.now = now
 	s.limits = m.Limits
 	s.ranks = m.Ranks
 	s.configureKinds(m.Kinds)
-	count := max(len(m.Ranks), len(s.floors), 1)
-	s.floors = make([]float64, count)
+	rankCount := max(len(m.Ranks), len(s.minShares), 1)
+	s.minShares = make([]float64, rankCount)
 	for r, declared := range m.Ranks {
-		s.floors[r] = declared.MinSlotShare
+		s.minShares[r] = declared.MinSlotShare
 	}
-	known := s.databases
+	previous := s.databases
 	s.databases = map[model.DatabaseID]*database{}
-	s.sequence = nil
+	s.orderedGroups = nil
 	for _, g := range s.groups {
 		g.databases = nil
 	}
 	for _, declared := range m.Groups {
-		s.configureGroup(now, declared, known)
+		s.configureGroup(now, declared, previous)
 	}
 	for _, g := range s.groups {
-		g.growQueues(count, m.Kinds)
+		g.addQueues(rankCount, m.Kinds)
 	}
-	s.elect(now)
+	s.updateArbiter(now)
 }
 
 func (s *Scheduler) configureKinds(kinds []manifest.RequestKind) {
-	known := s.kinds
-	s.kinds = map[string]*kind{}
+	previous := s.kinds
+	s.kinds = map[string]*requestKind{}
 	for _, declared := range kinds {
-		k := known[declared.Name]
+		k := previous[declared.Name]
 		if k == nil {
-			k = &kind{}
+			k = &requestKind{}
 		}
 		k.access = declared.Access
 		s.kinds[declared.Name] = k
 	}
 	if s.kinds[defaultKind] == nil {
-		s.kinds[defaultKind] = &kind{access: model.AccessWrite}
+		s.kinds[defaultKind] = &requestKind{access: model.AccessWrite}
 	}
 }
 
-func (s *Scheduler) configureGroup(now time.Time, declared manifest.Group, known map[model.DatabaseID]*database) {
+func (s *Scheduler) configureGroup(now time.Time, declared manifest.Group, previous map[model.DatabaseID]*database) {
 	g := s.groups[declared.Name]
 	if g == nil {
-		g = &group{id: declared.Name, leasing: newLeasing(), retries: retries{saved: retryFirst, since: now}}
+		g = &group{
+			id: declared.Name, leasing: newLeasing(),
+			retryBudget: retryBudget{balance: initialRetries, updatedAt: now},
+		}
 		s.groups[declared.Name] = g
 	}
-	s.sequence = append(s.sequence, g)
+	s.orderedGroups = append(s.orderedGroups, g)
 	for i, member := range declared.Databases {
-		d := known[member.Name]
+		d := previous[member.Name]
 		if d == nil {
 			d = &database{id: member.Name, limiter: newLimiter(s.limits.MaxConcurrentStatements)}
-			d.ledger.since, d.fleet.since = now, now
-			d.meter.since, d.fleetMeter.since = now, now
+			d.rankUsage.updatedAt, d.fleetUsage.updatedAt = now, now
+			d.meter.updatedAt, d.fleetMeter.updatedAt = now, now
 		}
 		d.group = g
 		d.bit = 1 << i
-		d.ledger.grow(len(s.floors))
-		d.fleet.grow(len(s.floors))
+		d.rankUsage.grow(len(s.minShares))
+		d.fleetUsage.grow(len(s.minShares))
 		g.databases = append(g.databases, d)
 		s.databases[d.id] = d
 	}
 }
 
-// growQueues makes a queue for each rank.
-func (g *group) growQueues(count int, kinds []manifest.RequestKind) {
-	for r := model.Rank(len(g.queues)); int(r) < count; r++ {
-		g.queues = append(g.queues, newQueue(r, widthOf(r, kinds)))
+// addQueues adds the missing queues, up to one for each rank.
+func (g *group) addQueues(rankCount int, kinds []manifest.RequestKind) {
+	for r := model.Rank(len(g.queues)); int(r) < rankCount; r++ {
+		g.queues = append(g.queues, newQueue(r, bucketWidthOf(r, kinds)))
 	}
 }
 
-// widthOf returns the width of the buckets in which a rank's deadlines fall.
-func widthOf(r model.Rank, kinds []manifest.RequestKind) time.Duration {
+// bucketWidthOf returns the width of a rank's backlog buckets. The buckets
+// together span four thirds of the longest deadline of the rank's kinds.
+func bucketWidthOf(r model.Rank, kinds []manifest.RequestKind) time.Duration {
 	longest := time.Duration(0)
 	for _, k := range kinds {
 		if k.Rank == r {
@@ -212,25 +220,25 @@
 		}
 	}
 	if longest == 0 {
-		return defaultWidth
+		return defaultBucketWidth
 	}
 	return max(longest*4/(3*bucketCount), time.Millisecond)
 }
 
 // -----------------------------------------------------------------------------
-// What the manifest says.
+// Lookups in the manifest.
 
-// kind returns what is known of a kind; an unknown name is the default.
-func (s *Scheduler) kind(name string) *kind {
-	if known := s.kinds[name]; known != nil {
-		return known
+// requestKind returns the state of a kind; an unknown name is the default kind.
+func (s *Scheduler) requestKind(name string) *requestKind {
+	if found := s.kinds[name]; found != nil {
+		return found
 	}
 	return s.kinds[defaultKind]
 }
 
-func (s *Scheduler) access(name string) model.Access { return s.kind(name).access }
+func (s *Scheduler) access(name string) model.Access { return s.requestKind(name).access }
 
-// target returns the target time of a rank, or 0.
+// target returns the latency target of a rank, or 0 if it has none.
 func (s *Scheduler) target(r model.Rank) time.Duration {
 	if int(r) < len(s.ranks) {
 		return s.ranks[r].LatencyTarget
@@ -238,12 +246,12 @@
 	return 0
 }
 
-// clamp returns the nearest rank that the manifest has.
-func (s *Scheduler) clamp(r model.Rank) model.Rank {
-	return min(max(r, 0), model.Rank(len(s.floors)-1))
+// clampRank returns the nearest rank that has a queue.
+func (s *Scheduler) clampRank(r model.Rank) model.Rank {
+	return min(max(r, 0), model.Rank(len(s.minShares)-1))
 }
 
-// queueOf returns the queue of a work.
+// queueOf returns the queue of a request's rank.
 func (g *group) queueOf(work *Work) *queue {
 	return g.queues[min(max(int(work.Rank), 0), len(g.queues)-1)]
 }
@@ -251,104 +259,110 @@
 // -----------------------------------------------------------------------------
 // The queue.
 
-// Enqueue takes work into the queue, or refuses it at the door.
+// Enqueue adds a request to the queue and returns true, or rejects it and
+// returns the reason and false.
 func (s *Scheduler) Enqueue(now time.Time, work Work) (Refusal, bool) {
 	g := s.groups[work.Group]
 	if g == nil || len(g.databases) == 0 {
 		return Refusal{Reason: message.RefuseUnknownGroup, Detail: string(work.Group)}, false
 	}
 	q := g.queueOf(&work)
-	it := &item{work: work, cost: s.kind(work.Kind).cost(now)}
+	it := &item{work: work, cost: s.requestKind(work.Kind).cost(now)}
 	refusal, ok := s.admit(now, g, q, it)
 	if !ok {
-		s.noteRefused(now, &work, &refusal)
+		s.logRejected(now, &work, &refusal)
 		return refusal, false
 	}
-	s.enter(now, q, it)
+	s.addItem(now, q, it)
 	return Refusal{}, true
 }
 
-// Requeue puts a running request back into the queue for another attempt. It
-// keeps its place by arrival and is never refused.
-func (s *Scheduler) Requeue(now time.Time, request model.RequestID, ending SlotCompletion) {
+// Requeue finishes a running request and puts it back into the queue for
+// another attempt. The request keeps its arrival time and is never rejected.
+func (s *Scheduler) Requeue(now time.Time, request model.RequestID, completion SlotCompletion) {
 	it := s.running[request]
 	if it == nil {
 		return
 	}
-	s.Finish(now, request, ending)
+	s.Finish(now, request, completion)
 	g := s.groups[it.work.Group]
-	s.enter(now, g.queueOf(&it.work), &item{work: it.work, cost: it.cost, target: it.target, class: it.class})
+	s.addItem(now, g.queueOf(&it.work), &item{work: it.work, cost: it.cost, target: it.target, class: it.class})
 }
 
-// Cancel takes a request out of the queue. It reports whether it was there.
+// Cancel removes a request from the queue. It reports whether the request was
+// waiting there.
 func (s *Scheduler) Cancel(request model.RequestID) bool {
 	it := s.waiting[request]
 	if it == nil {
 		return false
 	}
 	q := s.groups[it.work.Group].queueOf(&it.work)
-	s.leave(q, it)
-	q.count.withdrawn++
+	s.removeItem(q, it)
+	q.count.canceled++
 	return true
 }
 
-// TakeExpired takes out of the queue, and returns, what has passed its deadline.
+// TakeExpired removes the requests that have passed their deadline from the
+// queue and returns them, with those that AssignSlots has removed since the
+// last call.
 func (s *Scheduler) TakeExpired(now time.Time) []model.RequestID {
-	s.expire(now)
-	gone := s.expired
+	s.expireWaiting(now)
+	requests := s.expired
 	s.expired = nil
-	return gone
+	return requests
 }
 
-// expire moves what has passed its deadline from the queue to s.expired.
-func (s *Scheduler) expire(now time.Time) {
+// expireWaiting moves the requests that have passed their deadline from the
+// queue to s.expired.
+func (s *Scheduler) expireWaiting(now time.Time) {
 	for len(s.expiry) > 0 && !now.Before(s.expiry[0].work.Deadline) {
 		it := s.expiry[0]
 		q := s.groups[it.work.Group].queueOf(&it.work)
-		s.leave(q, it)
+		s.removeItem(q, it)
 		q.count.expired++
-		s.noteExpired(now, &it.work)
+		s.logExpired(now, &it.work)
 		s.expired = append(s.expired, it.work.Request)
 	}
 }
 
-// AssignSlots pairs waiting work with free slots. It starts nothing that has passed
-// its deadline; Expired returns that.
+// AssignSlots assigns free slots to waiting requests. Requests that have passed
+// their deadline are not started; TakeExpired returns them.
 func (s *Scheduler) AssignSlots(now time.Time, candidates Candidates) []SlotAssignment {
-	s.expire(now)
-	s.grants, s.now = nil, now
+	s.expireWaiting(now)
+	s.assignments, s.now = nil, now
 	s.peers.refresh(now)
-	for _, g := range s.sequence {
-		s.grantGroup(now, g, candidates, 0)
+	for _, g := range s.orderedGroups {
+		s.assignGroup(now, g, candidates, 0)
 		s.outbox = append(s.outbox, g.leasing.messages(s, now, g)...)
 		if g.leasing.arbiter != nil {
-			s.grantGroup(now, g, candidates, rechecksPerGrant)
+			s.assignGroup(now, g, candidates, rechecksPerAssign)
 		}
 	}
-	return s.grants
+	return s.assignments
 }
 
-// Finish gives the slot of a running request back.
-func (s *Scheduler) Finish(now time.Time, request model.RequestID, ending SlotCompletion) {
+// Finish releases the slot of a running request and updates the measurements,
+// limits and counters. It ignores a request that does not run.
+func (s *Scheduler) Finish(now time.Time, request model.RequestID, completion SlotCompletion) {
 	it := s.running[request]
 	if it == nil {
 		return
 	}
 	delete(s.running, request)
 	q := s.groups[it.work.Group].queueOf(&it.work)
-	took := now.Sub(it.started)
-	it.database.ledger.stop(now, q.rank)
-	it.database.group.leasing.holder.finished(it)
-	s.learn(now, it, ending)
-	s.charge(now, q, it, took-it.cost)
+	slotTime := now.Sub(it.started)
+	it.database.rankUsage.stop(now, q.rank)
+	it.database.group.leasing.leaseHolder.finished(it)
+	s.recordCompletion(now, it, completion)
+	s.chargeSlotTime(now, q, it, slotTime-it.cost)
 	q.count.running--
-	if ending.Failed {
+	if completion.Failed {
 		q.count.failed++
 		return
 	}
-	s.kind(it.work.Kind).measure(now, took)
+	s.requestKind(it.work.Kind).recordSlotTime(now, slotTime)
 	q.count.served++
-	s.groups[it.work.Group].retries.add(retryShare)
+	s.groups[it.work.Group].retryBudget.add(retriesPerSuccess)
 	if target := s.target(q.rank); target > 0 && now.Sub(it.work.Arrived) > target {
 		q.count.late++
 	}
@@ -358,50 +372,53 @@
 // Slots.
 
 // isFree reports whether this instance may use one more slot of d.
-func (s *Scheduler) isFree(d *database) bool { return d.ledger.busy() < s.perInstance(d) }
+func (s *Scheduler) isFree(d *database) bool { return d.rankUsage.slotsInUse() < s.perInstance(d) }
 
-// slotsOf returns the slots that this instance may count on for an access: its
-// equal share, or what it used lately where that is more.
+// slotsOf returns the number of slots that this instance can expect for
+// requests of an access: its equal share, or the mean number that it used
+// recently if that is more. Writes run on one database only, the primary.
 func (s *Scheduler) slotsOf(g *group, a model.Access) float64 {
 	databases := len(g.databases)
 	if a == model.AccessWrite {
 		databases = 1
 	}
-	equal := float64(s.limits.MaxConcurrentStatements*databases) / float64(max(1, len(s.peers.known)))
-	used := 0.0
+	equalSlots := float64(s.limits.MaxConcurrentStatements*databases) / float64(max(1, len(s.peers.known)))
+	usedSlots := 0.0
 	for _, q := range g.queues {
-		used += q.drained(a)
+		usedSlots += q.recentSlots(a)
 	}
-	return max(equal, used)
+	return max(equalSlots, usedSlots)
 }
 
 // -----------------------------------------------------------------------------
 // Peers.
 
-// SetPeers tells which instances are alive, this one included.
+// SetPeers sets the live instances. This instance is one of them.
 func (s *Scheduler) SetPeers(now time.Time, live []model.InstanceID) {
 	s.now = now
 	for _, id := range s.peers.set(now, live) {
-		s.note(now, shareReserved(id, s.peers.until[id]))
+		s.logEvent(now, shareReserved(id, s.peers.reservedUntil[id]))
 	}
-	s.elect(now)
+	s.updateArbiter(now)
 }
 
-// RemovePeer ends the reserved share of an instance that has announced its leaving
-// and is not alive any more.
+// RemovePeer ends the reservation of the share of an instance that has
+// announced its termination and is no longer live.
 func (s *Scheduler) RemovePeer(now time.Time, id model.InstanceID) {
-	delete(s.peers.until, id)
+	delete(s.peers.reservedUntil, id)
 	s.peers.refresh(now)
 }
 
-// elect adopts the arbiters that the live instances give.
-func (s *Scheduler) elect(now time.Time) {
-	for _, g := range s.sequence {
-		g.leasing.elect(s, now, g)
+// updateArbiter adopts, in each group, the arbiter that follows from the set of
+// live instances.
+func (s *Scheduler) updateArbiter(now time.Time) {
+	for _, g := range s.orderedGroups {
+		g.leasing.updateArbiter(s, now, g)
 	}
 }
 
-// HandlePeerMessage takes in a Demand or Permit of a peer.
+// HandlePeerMessage handles a LeaseRequest or LeaseGrant from a peer. It
+// ignores other messages and unknown groups.
 func (s *Scheduler) HandlePeerMessage(now time.Time, from model.InstanceID, body message.PeerMessage) {
 	var id model.GroupID
 	switch body := body.(type) {
@@ -411,13 +428,14 @@
 		id = body.Group
 	}
 	if g := s.groups[id]; g != nil {
-		g.leasing.hear(s, now, g, from, body)
+		g.leasing.receive(s, now, g, from, body)
 	}
 }
 
-// TakeMessages returns what the peers shall hear now, as the last Grant left it.
+// TakeMessages returns the messages that AssignSlots has produced since the
+// last call.
 func (s *Scheduler) TakeMessages(time.Time) []message.SendPeer {
-	out := s.outbox
+	messages := s.outbox
 	s.outbox = nil
-	return out
+	return messages
 }
--- a/internal/core/rank/scheduler_test.go
+++ b/internal/core/rank/scheduler_test.go
@@ -12,10 +12,10 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// start is the beginning of virtual time.
+// start is the start of virtual time.
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// after returns a moment of virtual time.
+// after returns the virtual time at elapsed after start.
 func after(elapsed time.Duration) time.Time { return start.Add(elapsed) }
 
 const ms = time.Millisecond
@@ -49,14 +49,14 @@
 	return Work{Request: id, Group: "g", Rank: r, Caller: "club", Kind: kind, Arrived: start, Deadline: after(deadline)}
 }
 
-func on(databases ...model.DatabaseID) Candidates {
+func candidatesOf(databases ...model.DatabaseID) Candidates {
 	return func(Work) []model.DatabaseID { return databases }
 }
 
-func requests(grants []SlotAssignment) []model.RequestID {
+func requestIDs(assignments []SlotAssignment) []model.RequestID {
 	var ids []model.RequestID
-	for _, grant := range grants {
-		ids = append(ids, grant.Request)
+	for _, assignment := range assignments {
+		ids = append(ids, assignment.Request)
 	}
 	return ids
 }
@@ -65,16 +65,16 @@
 	s := newTestScheduler()
 	for id, deadline := range map[model.RequestID]time.Duration{1: 900, 2: 300, 3: 500, 4: 400} {
 		if refusal, ok := s.Enqueue(start, work(id, 0, deadline*ms)); !ok {
-			t.Fatalf("refused: %v", refusal)
+			t.Fatalf("request was rejected: %v", refusal)
 		}
 	}
-	got := requests(s.AssignSlots(start, on("a")))
+	got := requestIDs(s.AssignSlots(start, candidatesOf("a")))
 	if diff := cmp.Diff([]model.RequestID{2, 4}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestBlockedWorkDoesNotBlockOthers(t *testing.T) {
+func TestRequestWithoutDatabaseDoesNotBlockOthers(t *testing.T) {
 	s := newTestScheduler()
 	for id := model.RequestID(1); id <= 100; id++ {
 		s.Enqueue(start, work(id, 1, 500*ms))
@@ -86,7 +86,7 @@
 		}
 		return nil
 	}
-	got := requests(s.AssignSlots(start, only))
+	got := requestIDs(s.AssignSlots(start, only))
 	if diff := cmp.Diff([]model.RequestID{101}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -100,23 +100,23 @@
 	other := work(11, 0, 900*ms)
 	other.Caller = "other"
 	s.Enqueue(start, other)
-	got := requests(s.AssignSlots(start, on("a")))
+	got := requestIDs(s.AssignSlots(start, candidatesOf("a")))
 	if diff := cmp.Diff([]model.RequestID{1, 11}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestRefusedAtTheDoor(t *testing.T) {
+func TestAdmissionRejectsOverload(t *testing.T) {
 	s := newTestScheduler()
-	refused := 0
+	rejected := 0
 	for id := model.RequestID(1); id <= 1000; id++ {
 		if _, ok := s.Enqueue(start, work(id, 0, 100*ms)); !ok {
-			refused++
+			rejected++
 		}
 	}
-	// Two slots of the primary serve at most 20 works of 10 ms in 100 ms.
-	if admitted := 1000 - refused; admitted < 15 || admitted > 25 {
-		t.Errorf("%d works were taken in", admitted)
+	// Two slots of the primary serve at most 20 requests of 10 ms in 100 ms.
+	if admitted := 1000 - rejected; admitted < 15 || admitted > 25 {
+		t.Errorf("%d requests were admitted", admitted)
 	}
 	refusal, _ := s.Enqueue(start, work(1001, 0, 100*ms))
 	if refusal.Reason != message.RefuseOverload || refusal.RetryAfter <= 0 {
@@ -124,116 +124,120 @@
 	}
 }
 
-// TestNothingIsLost lets random calls run and checks that each work taken in
-// comes out exactly once, and that no database has more than its slots.
+// TestNothingIsLost makes random calls and checks that each admitted request
+// leaves the scheduler exactly once, and that no database runs more requests
+// than it has slots.
 func TestNothingIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newTestScheduler()
 		now := start
-		next := model.RequestID(1)
-		state := map[model.RequestID]string{}
-		place := map[model.RequestID]model.DatabaseID{}
+		nextRequest := model.RequestID(1)
+		phases := map[model.RequestID]string{}
+		placedOn := map[model.RequestID]model.DatabaseID{}
 		databases := []model.DatabaseID{"a", "b", "c"}
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 20).Draw(t, "ms")) * ms)
 			switch rapid.IntRange(0, 5).Draw(t, "call") {
 			case 0, 1:
-				w := work(next, model.Rank(rapid.IntRange(0, 2).Draw(t, "rank")), 0)
-				w.Arrived = now
-				w.Deadline = now.Add(time.Duration(rapid.IntRange(1, 1000).Draw(t, "deadline")) * ms)
-				w.Caller = model.CallerID(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "caller"))
-				if _, ok := s.Enqueue(now, w); ok {
-					state[next] = "waiting"
+				request := work(nextRequest, model.Rank(rapid.IntRange(0, 2).Draw(t, "rank")), 0)
+				request.Arrived = now
+				request.Deadline = now.Add(time.Duration(rapid.IntRange(1, 1000).Draw(t, "deadline")) * ms)
+				request.Caller = model.CallerID(rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "caller"))
+				if _, ok := s.Enqueue(now, request); ok {
+					phases[nextRequest] = "waiting"
 				}
-				next++
+				nextRequest++
 			case 2:
-				pick := rapid.SliceOfDistinct(rapid.SampledFrom(databases), rapid.ID[model.DatabaseID]).Draw(t, "candidates")
-				for _, grant := range s.AssignSlots(now, on(pick...)) {
-					if state[grant.Request] != "waiting" {
-						t.Fatalf("granted %d, which is %q", grant.Request, state[grant.Request])
+				candidates := rapid.SliceOfDistinct(rapid.SampledFrom(databases), rapid.ID[model.DatabaseID]).Draw(t, "candidates")
+				for _, assignment := range s.AssignSlots(now, candidatesOf(candidates...)) {
+					if phases[assignment.Request] != "waiting" {
+						t.Fatalf("request %d was assigned a slot, but is %q", assignment.Request, phases[assignment.Request])
 					}
-					state[grant.Request] = "running"
-					place[grant.Request] = grant.Database
+					phases[assignment.Request] = "running"
+					placedOn[assignment.Request] = assignment.Database
 				}
 			case 3:
 				for _, id := range s.TakeExpired(now) {
-					if state[id] != "waiting" {
-						t.Fatalf("expired %d, which is %q", id, state[id])
+					if phases[id] != "waiting" {
+						t.Fatalf("request %d expired, but is %q", id, phases[id])
 					}
-					delete(state, id)
+					delete(phases, id)
 				}
 			case 4, 5:
-				id := model.RequestID(rapid.Uint64Range(1, uint64(next)).Draw(t, "id"))
+				id := model.RequestID(rapid.Uint64Range(1, uint64(nextRequest)).Draw(t, "id"))
 				switch {
-				case state[id] == "waiting" && s.Cancel(id):
-					delete(state, id)
-				case state[id] == "running" && rapid.Bool().Draw(t, "requeue"):
+				case phases[id] == "waiting" && s.Cancel(id):
+					delete(phases, id)
+				case phases[id] == "running" && rapid.Bool().Draw(t, "requeue"):
 					s.Requeue(now, id, SlotCompletion{Failed: true})
-					state[id] = "waiting"
-				case state[id] == "running":
+					phases[id] = "waiting"
+				case phases[id] == "running":
 					s.Finish(now, id, SlotCompletion{Elapsed: 5 * ms})
-					delete(state, id)
+					delete(phases, id)
 				}
 			}
-			checkSlots(t, state, place)
+			checkSlots(t, phases, placedOn)
 		}
-		drain(t, s, now, state)
+		drain(t, s, now, phases)
 	})
 }
 
-func checkSlots(t *rapid.T, state map[model.RequestID]string, place map[model.RequestID]model.DatabaseID) {
-	busy := map[model.DatabaseID]int{}
-	for id, what := range state {
-		if what == "running" {
-			busy[place[id]]++
+func checkSlots(t *rapid.T, phases map[model.RequestID]string, placedOn map[model.RequestID]model.DatabaseID) {
+	running := map[model.DatabaseID]int{}
+	for id, phase := range phases {
+		if phase == "running" {
+			running[placedOn[id]]++
 		}
 	}
-	for database, n := range busy {
-		if n > testManifest().Limits.MaxConcurrentStatements {
-			t.Fatalf("%s has %d running", database, n)
+	for database, count := range running {
+		if count > testManifest().Limits.MaxConcurrentStatements {
+			t.Fatalf("%s runs %d requests", database, count)
 		}
 	}
 }
 
-// drain serves what is left and checks that all of it comes out.
-func drain(t *rapid.T, s *Scheduler, now time.Time, state map[model.RequestID]string) {
+// drain serves the remaining requests and checks that all of them leave the
+// scheduler.
+func drain(t *rapid.T, s *Scheduler, now time.Time, phases map[model.RequestID]string) {
 	for range 1000 {
-		for id, what := range state {
-			if what == "running" {
+		for id, phase := range phases {
+			if phase == "running" {
 				s.Finish(now, id, SlotCompletion{Elapsed: 5 * ms})
-				delete(state, id)
+				delete(phases, id)
 			}
 		}
 		now = now.Add(5 * ms)
-		for _, grant := range s.AssignSlots(now, on("a", "b", "c")) {
-			state[grant.Request] = "running"
+		for _, assignment := range s.AssignSlots(now, candidatesOf("a", "b", "c")) {
+			phases[assignment.Request] = "running"
 		}
 		for _, id := range s.TakeExpired(now) {
-			delete(state, id)
+			delete(phases, id)
 		}
 	}
-	if len(state) > 0 {
-		t.Fatalf("left in the queue: %v", state)
+	if len(phases) > 0 {
+		t.Fatalf("requests left in the scheduler: %v", phases)
 	}
 }
 
-// TestFloorsAreKept floods with one rank and checks that each other rank, which
-// asks for all, gets its floor of the slot-time, less a tenth of it.
+// TestFloorsAreKept floods the scheduler with one rank and checks that each
+// other rank, which always has waiting requests, gets at least nine tenths of
+// its minimum share of the slot-time.
 func TestFloorsAreKept(t *testing.T) {
 	for flood := range model.Rank(3) {
-		served := flooded(newTestScheduler(), flood)
+		served := serveFlood(newTestScheduler(), flood)
 		total := served[0] + served[1] + served[2]
-		for r, floor := range []float64{0.3, 0.2, 0.1} {
-			if share := float64(served[r]) / float64(total); share < 0.9*floor {
-				t.Errorf("flood of rank %d: rank %d has %.3f of the slot-time, floor %.2f", flood, r, share, floor)
+		for r, minShare := range []float64{0.3, 0.2, 0.1} {
+			if share := float64(served[r]) / float64(total); share < 0.9*minShare {
+				t.Errorf("flood of rank %d: rank %d has %.3f of the slot-time, minimum share %.2f", flood, r, share, minShare)
 			}
 		}
 	}
 }
 
-// flooded offers five times as much of one rank as of the others, each of
-// which alone is more than one database serves, and returns what was served.
-func flooded(s *Scheduler, flood model.Rank) [3]int {
+// serveFlood enqueues five times as many requests of one rank as of each other
+// rank, each of which alone is more than one database can serve, and returns
+// the number of requests served by rank.
+func serveFlood(s *Scheduler, flood model.Rank) [3]int {
 	type run struct {
 		work Work
 		ends time.Time
@@ -241,7 +245,7 @@
 	var served [3]int
 	var running []run
 	waiting := map[model.RequestID]Work{}
-	next := model.RequestID(1)
+	nextRequest := model.RequestID(1)
 	for now := start; now.Before(after(20 * time.Second)); now = now.Add(ms) {
 		for len(running) > 0 && !now.Before(running[0].ends) {
 			s.Finish(now, running[0].work.Request, SlotCompletion{Elapsed: 10 * ms})
@@ -250,16 +254,16 @@
 		}
 		for r := range model.Rank(3) {
 			for range map[bool]int{true: 5, false: 1}[r == flood] {
-				w := work(next, r, 0)
-				w.Arrived, w.Deadline = now, now.Add(time.Second)
-				if _, ok := s.Enqueue(now, w); ok {
-					waiting[next] = w
+				request := work(nextRequest, r, 0)
+				request.Arrived, request.Deadline = now, now.Add(time.Second)
+				if _, ok := s.Enqueue(now, request); ok {
+					waiting[nextRequest] = request
 				}
-				next++
+				nextRequest++
 			}
 		}
-		for _, grant := range s.AssignSlots(now, on("a")) {
-			running = append(running, run{work: waiting[grant.Request], ends: now.Add(10 * ms)})
+		for _, assignment := range s.AssignSlots(now, candidatesOf("a")) {
+			running = append(running, run{work: waiting[assignment.Request], ends: now.Add(10 * ms)})
 		}
 		for _, id := range s.TakeExpired(now) {
 			delete(waiting, id)
--- a/internal/core/rank/usage.go
+++ b/internal/core/rank/usage.go
@@ -7,130 +7,134 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// window is the time over which slot-time is remembered: usage of that age
-// counts for 1/e.
-const window = 2 * time.Second
+// usageWindow is the time constant with which used slot-time is forgotten:
+// slot-time of that age counts for 1/e.
+const usageWindow = 2 * time.Second
 
-// decay returns what is left of a quantity after elapsed.
-func decay(elapsed time.Duration) float64 {
+// decayFactor returns the factor by which a quantity decays within elapsed.
+func decayFactor(elapsed time.Duration) float64 {
 	if elapsed <= 0 {
 		return 1
 	}
-	return math.Exp(-float64(elapsed) / float64(window))
+	return math.Exp(-float64(elapsed) / float64(usageWindow))
 }
 
-// usage is an amount of slot-time, in slot-seconds, that fades over the window.
+// usage is an amount of slot-time, in slot-seconds, that decays over
+// usageWindow.
 type usage struct {
-	amount float64
-	since  time.Time
+	amount    float64
+	updatedAt time.Time
 }
 
-// at returns the amount that is left at now.
-func (u *usage) at(now time.Time) float64 { return u.amount * decay(now.Sub(u.since)) }
+// amountAt returns the amount that remains at now.
+func (u *usage) amountAt(now time.Time) float64 { return u.amount * decayFactor(now.Sub(u.updatedAt)) }
 
-// add charges slot-time.
-func (u *usage) add(now time.Time, slots time.Duration) {
-	u.amount = max(0, u.at(now)+slots.Seconds())
-	u.since = now
+// add adds slotTime, which may be negative. The amount does not fall below
+// zero.
+func (u *usage) add(now time.Time, slotTime time.Duration) {
+	u.amount = max(0, u.amountAt(now)+slotTime.Seconds())
+	u.updatedAt = now
 }
 
 // -----------------------------------------------------------------------------
-// The ledger of one database.
-
-// ledger keeps the slot-time that each rank used of one database over the
-// window, with what runs accruing all the time. A share is kept over time and
-// not per instant, since a database has two or three slots only.
-type ledger struct {
-	since   time.Time
-	used    []float64
-	running []int
+// Usage of one database by rank.
+
+// rankUsage holds the slot-time that each rank used of one database, decayed
+// over usageWindow, including that of running requests. Shares are kept over
+// time and not at each instant, since a database has only two or three slots.
+type rankUsage struct {
+	updatedAt time.Time
+	slotTime  []float64
+	running   []int
 }
 
-// grow makes room for ranks.
-func (l *ledger) grow(ranks int) {
-	for len(l.used) < ranks {
-		l.used = append(l.used, 0)
-		l.running = append(l.running, 0)
+// grow adds entries up to the given number of ranks.
+func (u *rankUsage) grow(ranks int) {
+	for len(u.slotTime) < ranks {
+		u.slotTime = append(u.slotTime, 0)
+		u.running = append(u.running, 0)
 	}
 }
 
-// advance brings the ledger to now.
-func (l *ledger) advance(now time.Time) {
-	elapsed := now.Sub(l.since)
+// advance updates the slot-time to now.
+func (u *rankUsage) advance(now time.Time) {
+	elapsed := now.Sub(u.updatedAt)
 	if elapsed <= 0 {
 		return
 	}
-	left := decay(elapsed)
-	for r := range l.used {
-		accrued := float64(l.running[r]) * window.Seconds() * (1 - left)
-		l.used[r] = l.used[r]*left + accrued
+	factor := decayFactor(elapsed)
+	for r := range u.slotTime {
+		accrued := float64(u.running[r]) * usageWindow.Seconds() * (1 - factor)
+		u.slotTime[r] = u.slotTime[r]*factor + accrued
 	}
-	l.since = now
+	u.updatedAt = now
 }
 
-// start counts a slot of the rank as used from now on.
-func (l *ledger) start(now time.Time, r model.Rank) {
-	l.advance(now)
-	l.running[r]++
+// start counts one more slot of the rank as used from now on.
+func (u *rankUsage) start(now time.Time, r model.Rank) {
+	u.advance(now)
+	u.running[r]++
 }
 
-// stop ends what start began.
-func (l *ledger) stop(now time.Time, r model.Rank) {
-	l.advance(now)
-	l.running[r]--
+// stop counts one slot of the rank less as used from now on.
+func (u *rankUsage) stop(now time.Time, r model.Rank) {
+	u.advance(now)
+	u.running[r]--
 }
 
-// refund takes back slot-time in which a slot was held but could not be used.
-func (l *ledger) refund(r model.Rank, slots time.Duration) {
-	l.used[r] = max(0, l.used[r]-slots.Seconds())
+// refund subtracts slot-time during which a slot was held but could not be
+// used.
+func (u *rankUsage) refund(r model.Rank, amount time.Duration) {
+	u.slotTime[r] = max(0, u.slotTime[r]-amount.Seconds())
 }
 
 // total returns the slot-time of all ranks.
-func (l *ledger) total() float64 {
+func (u *rankUsage) total() float64 {
 	sum := 0.0
-	for _, amount := range l.used {
+	for _, amount := range u.slotTime {
 		sum += amount
 	}
 	return sum
 }
 
-// isBelow reports whether the rank has had less than its floor.
-func (l *ledger) isBelow(r model.Rank, floor float64) bool {
-	return floor > 0 && l.used[r] < floor*l.total()
+// isBelowMinShare reports whether the rank had less than its minimum share of
+// the slot-time. It is false for a rank without a minimum share.
+func (u *rankUsage) isBelowMinShare(r model.Rank, minShare float64) bool {
+	return minShare > 0 && u.slotTime[r] < minShare*u.total()
 }
 
-// busy returns the number of slots in use.
-func (l *ledger) busy() int {
+// slotsInUse returns the number of slots in use.
+func (u *rankUsage) slotsInUse() int {
 	sum := 0
-	for _, n := range l.running {
+	for _, n := range u.running {
 		sum += n
 	}
 	return sum
 }
 
-// order writes the ranks into into, in the order in which they are served now:
-// those below their floor first, then the others, the most urgent first in each
-// part.
-func (l *ledger) order(now time.Time, floors []float64, into []model.Rank) []model.Rank {
-	l.advance(now)
-	into = into[:0]
-	for r := range l.used {
-		if l.isBelow(model.Rank(r), floors[r]) {
-			into = append(into, model.Rank(r))
+// rankOrder writes the ranks into buffer in the order in which they are served
+// now, and returns it: first the ranks below their minimum share, then the
+// others, in each part the most urgent rank first.
+func (u *rankUsage) rankOrder(now time.Time, minShares []float64, buffer []model.Rank) []model.Rank {
+	u.advance(now)
+	buffer = buffer[:0]
+	for r := range u.slotTime {
+		if u.isBelowMinShare(model.Rank(r), minShares[r]) {
+			buffer = append(buffer, model.Rank(r))
 		}
 	}
-	below := len(into)
-	for r := range l.used {
-		if !contains(into[:below], model.Rank(r)) {
-			into = append(into, model.Rank(r))
+	belowCount := len(buffer)
+	for r := range u.slotTime {
+		if !contains(buffer[:belowCount], model.Rank(r)) {
+			buffer = append(buffer, model.Rank(r))
 		}
 	}
-	return into
+	return buffer
 }
 
 func contains(ranks []model.Rank, r model.Rank) bool {
-	for _, known := range ranks {
-		if known == r {
+	for _, other := range ranks {
+		if other == r {
 			return true
 		}
 	}
