--- a/internal/node/fleet/ask.go
+++ b/internal/node/fleet/ask.go
@@ -9,86 +9,86 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// standingOf is what a database has said of itself.
-type standingOf struct {
+// databaseStatus is what a database has said of itself.
+type databaseStatus struct {
 	database placement.Database
-	standing statement.ServerStatus
+	status   statement.ServerStatus
 }
 
-// inquireAll asks all databases of a group but one for their standing, and
+// queryAllStatus asks all databases of a group but one for their standing, and
 // returns those that answered.
-func (f *Fleet) inquireAll(ctx context.Context, name model.GroupID, but model.DatabaseID) []standingOf {
-	databases := f.databasesOf(name)
-	answers := make(chan standingOf, len(databases))
-	asked := 0
+func (f *Fleet) queryAllStatus(ctx context.Context, group model.GroupID, excluded model.DatabaseID) []databaseStatus {
+	databases := f.databasesOf(group)
+	answers := make(chan databaseStatus, len(databases))
+	queried := 0
 	for _, d := range databases {
-		if d.ID == but {
+		if d.ID == excluded {
 			continue
 		}
-		asked++
+		queried++
 		go func() {
-			standing, err := f.ask(ctx, d, statement.QueryStatus{})
+			status, err := f.sendControl(ctx, d, statement.QueryStatus{})
 			if err != nil {
-				answers <- standingOf{}
+				answers <- databaseStatus{}
 				return
 			}
-			answers <- standingOf{database: d, standing: standing}
+			answers <- databaseStatus{database: d, status: status}
 		}()
 	}
-	var heard []standingOf
-	for range asked {
+	var responses []databaseStatus
+	for range queried {
 		if answer := <-answers; answer.database.ID != "" {
-			heard = append(heard, answer)
+			responses = append(responses, answer)
 		}
 	}
-	return heard
+	return responses
 }
 
-// ask sends a control statement to a database.
-func (f *Fleet) ask(ctx context.Context, d placement.Database, s statement.Statement) (statement.ServerStatus, error) {
-	ctx, cancel := context.WithTimeout(ctx, inquireTimeout)
+// sendControl sends a control statement to a database.
+func (f *Fleet) sendControl(ctx context.Context, d placement.Database, s statement.Statement) (statement.ServerStatus, error) {
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	conn, err := f.Pool.Get(ctx, d, nil)
 	if err != nil {
-		f.noteAsked(d, s, statement.ServerStatus{}, err)
+		f.logControl(d, s, statement.ServerStatus{}, err)
 		return statement.ServerStatus{}, err
 	}
-	replies, err := conn.Exchange(inquireTimeout, []statement.Request{{Statement: s}})
+	replies, err := conn.Exchange(controlTimeout, []statement.Request{{Statement: s}})
 	if err != nil {
 		conn.Close()
-		f.noteAsked(d, s, statement.ServerStatus{}, err)
+		f.logControl(d, s, statement.ServerStatus{}, err)
 		return statement.ServerStatus{}, err
 	}
 	f.Pool.Put(conn)
 	if failure := replies[0].Failure; failure != nil {
-		f.noteAsked(d, s, statement.ServerStatus{}, failure)
+		f.logControl(d, s, statement.ServerStatus{}, failure)
 		return statement.ServerStatus{}, failure
 	}
-	f.noteAsked(d, s, replies[0].ServerStatus, nil)
+	f.logControl(d, s, replies[0].ServerStatus, nil)
 	return replies[0].ServerStatus, nil
 }
 
-func (f *Fleet) noteAsked(d placement.Database, s statement.Statement, standing statement.ServerStatus, err error) {
-	f.note(event.DatabaseAsked, event.F("group", d.Group), event.F("database", d.ID),
-		event.F("statement", controlName(s)), event.F("role", standing.Role.String()), event.F("term", standing.Term),
-		event.F("received", standing.ReceivedPosition.String()), event.F("outcome", outcome(err)))
+func (f *Fleet) logControl(d placement.Database, s statement.Statement, status statement.ServerStatus, err error) {
+	f.logEvent(event.DatabaseAsked, event.F("group", d.Group), event.F("database", d.ID),
+		event.F("statement", controlStatementName(s)), event.F("role", status.Role.String()), event.F("term", status.Term),
+		event.F("received", status.ReceivedPosition.String()), event.F("outcome", outcome(err)))
 }
 
-func controlName(s statement.Statement) string {
-	if _, is := s.(statement.StepDown); is {
+func controlStatementName(s statement.Statement) string {
+	if _, ok := s.(statement.StepDown); ok {
 		return "step-down"
 	}
 	return "inquire"
 }
 
 // databasesOf returns a group's databases, as far as they may be used.
-func (f *Fleet) databasesOf(name model.GroupID) []placement.Database {
+func (f *Fleet) databasesOf(group model.GroupID) []placement.Database {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
 	var databases []placement.Database
-	for _, known := range f.directory.entries {
-		if known.Group == name && !known.retired {
-			databases = append(databases, known.Database)
+	for _, e := range f.directory.entries {
+		if e.Group == group && !e.retired {
+			databases = append(databases, e.Database)
 		}
 	}
 	return databases
--- a/internal/node/fleet/directory_configuration.go
+++ b/internal/node/fleet/directory_configuration.go
@@ -10,91 +10,91 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// takeConfiguration takes in the rows of the operator's table.
-func (f *Fleet) takeConfiguration(rows store.Rows, key string) {
+// applyConfigurationRows takes in the rows of the operator's table.
+func (f *Fleet) applyConfigurationRows(rows store.Rows, key string) {
 	for _, row := range rows.Rows {
 		if row.Key == key && !row.Deleted {
-			f.adopt(row.Value, "store")
+			f.adoptConfiguration(row.Value, "store")
 		}
 	}
-	f.confirm(clock.Now())
+	f.confirmConfiguration(clock.Now())
 }
 
-// adopt puts a configuration in force unless one as new already is.
-func (f *Fleet) adopt(body []byte, from string) {
+// adoptConfiguration puts a configuration in force unless one as new already is.
+func (f *Fleet) adoptConfiguration(body []byte, source string) {
 	decoded, err := f.options.Schema.DecodeConfiguration(body)
 	if err != nil {
-		f.note(event.ContentRejected, event.F("table", "configuration"), event.F("key", from), event.F("error", err.Error()))
+		f.logEvent(event.ContentRejected, event.F("table", "configuration"), event.F("key", source), event.F("error", err.Error()))
 		return
 	}
 	d := &f.directory
 	d.mu.Lock()
-	before := d.configuration.Version
-	newer := !d.known || decoded.Version > before
-	if newer {
-		d.known = true
+	previousVersion := d.configuration.Version
+	isNewer := !d.hasConfiguration || decoded.Version > previousVersion
+	if isNewer {
+		d.hasConfiguration = true
 		d.configuration = decoded
-		d.raw = body
-		d.wake()
-		f.publish()
+		d.configurationBody = body
+		d.notifyChanged()
+		f.publishDatabases()
 	}
 	d.mu.Unlock()
-	if newer {
+	if isNewer {
 		f.broadcast()
-		f.note(event.ConfigurationAdopted,
-			event.F("version", decoded.Version), event.F("before", before), event.F("routes", len(decoded.Routes)),
-			event.F("source", from))
+		f.logEvent(event.ConfigurationAdopted,
+			event.F("version", decoded.Version), event.F("before", previousVersion), event.F("routes", len(decoded.Routes)),
+			event.F("source", source))
 	}
 }
 
-// confirm notes that the configuration in force was the newest at a time.
-func (f *Fleet) confirm(at time.Time) {
+// confirmConfiguration notes that the configuration in force was the newest at a time.
+func (f *Fleet) confirmConfiguration(at time.Time) {
 	d := &f.directory
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !at.After(d.confirmed) {
+	if !at.After(d.confirmedAt) {
 		return
 	}
-	d.confirmed = at
-	d.wake()
+	d.confirmedAt = at
+	d.notifyChanged()
 }
 
-// wake lets those look again that wait for a configuration. The directory is
+// notifyChanged lets those look again that wait for a configuration. The directory is
 // locked.
-func (d *directory) wake() {
+func (d *directory) notifyChanged() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// configurationConfirmed returns when the configuration was last the newest.
-func (f *Fleet) configurationConfirmed() time.Time {
+// configurationConfirmedAt returns when the configuration was last the newest.
+func (f *Fleet) configurationConfirmedAt() time.Time {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
-	return f.directory.confirmed
+	return f.directory.confirmedAt
 }
 
 // Route implements session.Router.
 func (f *Fleet) Route(name string) (route.Route, bool) {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
-	found, is := f.directory.configuration.Routes[name]
-	return found, is
+	result, ok := f.directory.configuration.Routes[name]
+	return result, ok
 }
 
 // ConfirmRoute implements session.Router: a name without a route is refused only on a
 // configuration that was the newest a moment ago.
 func (f *Fleet) ConfirmRoute(ctx context.Context, name string) (found, isCertain bool) {
-	ctx, cancel := context.WithTimeout(ctx, confirmWait)
+	ctx, cancel := context.WithTimeout(ctx, routeConfirmTimeout)
 	defer cancel()
 	for {
 		changed := f.configurationChanged()
 		if _, found = f.Route(name); found {
 			return true, true
 		}
-		if f.isConfirmed() {
+		if f.isConfigurationRecent() {
 			return false, true
 		}
-		f.lookUp()
+		f.lookUpConfiguration()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -103,11 +103,11 @@
 	}
 }
 
-// isConfirmed reports whether the configuration was the newest a moment ago.
-func (f *Fleet) isConfirmed() bool {
+// isConfigurationRecent reports whether the configuration was the newest a moment ago.
+func (f *Fleet) isConfigurationRecent() bool {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
-	return f.directory.known && clock.Since(f.directory.confirmed) < f.options.MaxConfigurationAge
+	return f.directory.hasConfiguration && clock.Since(f.directory.confirmedAt) < f.options.MaxConfigurationAge
 }
 
 // configurationChanged returns a channel that is closed when a configuration is
@@ -118,14 +118,14 @@
 	return f.directory.changed
 }
 
-// lookUp reads the operator's table once for all that wait, unless that was done a
+// lookUpConfiguration reads the operator's table once for all that wait, unless that was done a
 // moment ago: a configuration may be as large as a slow link carries in a second.
-func (f *Fleet) lookUp() {
+func (f *Fleet) lookUpConfiguration() {
 	d := &f.directory
 	d.mu.Lock()
-	isDue := !d.lookingUp && clock.Since(d.lookedUp) >= lookUpPause
+	isDue := !d.isLookingUp && clock.Since(d.lookedUpAt) >= minLookUpInterval
 	if isDue {
-		d.lookingUp = true
+		d.isLookingUp = true
 	}
 	d.mu.Unlock()
 	if !isDue {
@@ -134,29 +134,29 @@
 	f.running.Add(1)
 	go func() {
 		defer f.running.Done()
-		f.readConfiguration(f.life)
+		f.readConfiguration(f.lifetime)
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.lookingUp, d.lookedUp = false, clock.Now()
+		d.isLookingUp, d.lookedUpAt = false, clock.Now()
 	}()
 }
 
 // readConfiguration reads the operator's table once.
 func (f *Fleet) readConfiguration(ctx context.Context) {
 	table, key := f.options.Schema.ConfigurationTable()
-	rows, err := f.read(ctx, table)
+	rows, err := f.readTable(ctx, table)
 	if err != nil {
-		f.note(event.DependencyLost, event.F("dependency", "store/"+table), event.F("error", err.Error()))
+		f.logEvent(event.DependencyLost, event.F("dependency", "store/"+table), event.F("error", err.Error()))
 		return
 	}
-	f.takeConfiguration(rows, key)
+	f.applyConfigurationRows(rows, key)
 }
 
 // rawConfiguration returns the configuration in force as the operator wrote it.
 func (f *Fleet) rawConfiguration() (uint64, []byte) {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
-	return f.directory.configuration.Version, f.directory.raw
+	return f.directory.configuration.Version, f.directory.configurationBody
 }
 
 // IdleTransactionTimeout implements session.Router.
--- a/internal/node/fleet/directory_database.go
+++ b/internal/node/fleet/directory_database.go
@@ -10,9 +10,9 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// takeDatabases takes in entries: all that there are where whole is set, else
+// applyDatabaseRows takes in entries: all that there are where whole is set, else
 // those that have changed.
-func (f *Fleet) takeDatabases(rows store.Rows, whole bool) {
+func (f *Fleet) applyDatabaseRows(rows store.Rows, isComplete bool) {
 	d := &f.directory
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -23,34 +23,34 @@
 		d.listed = max(d.listed, row.Version)
 		if row.Deleted {
 			d.listed = max(d.listed, rows.Version)
-			f.lapse(id)
+			f.markMissing(id)
 			continue
 		}
-		f.takeEntry(row)
+		f.applyEntry(row)
 	}
-	if whole {
+	if isComplete {
 		for id := range d.entries {
-			if !listed[id] && f.lapse(id) {
+			if !listed[id] && f.markMissing(id) {
 				d.listed = max(d.listed, rows.Version)
 			}
 		}
 	}
-	f.publish()
+	f.publishDatabases()
 }
 
-// takeList takes in the databases as the store tells them now.
-func (f *Fleet) takeList(rows store.Rows, whole bool) {
-	f.takeDatabases(rows, whole)
+// applyDatabaseList takes in the databases as the store tells them now.
+func (f *Fleet) applyDatabaseList(rows store.Rows, isComplete bool) {
+	f.applyDatabaseRows(rows, isComplete)
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
-	f.directory.listedAt = clock.Now()
+	f.directory.listConfirmedAt = clock.Now()
 }
 
-// databasesConfirmed returns when the list of databases was last the newest.
-func (f *Fleet) databasesConfirmed() time.Time {
+// databasesConfirmedAt returns when the list of databases was last the newest.
+func (f *Fleet) databasesConfirmedAt() time.Time {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
-	return f.directory.listedAt
+	return f.directory.listConfirmedAt
 }
 
 // databasesVersion returns the store's version of the list of databases.
@@ -60,50 +60,50 @@
 	return f.directory.listed
 }
 
-// lapse notes that a database's entry is missing, and reports whether that is
+// markMissing notes that a database's entry is missing, and reports whether that is
 // news.
-func (f *Fleet) lapse(id model.DatabaseID) bool {
-	known, found := f.directory.entries[id]
-	if !found || !known.lapsed.IsZero() {
+func (f *Fleet) markMissing(id model.DatabaseID) bool {
+	current, found := f.directory.entries[id]
+	if !found || !current.missingSince.IsZero() {
 		return false
 	}
-	known.lapsed = clock.Now()
+	current.missingSince = clock.Now()
 	return true
 }
 
-// takeEntry takes in one entry. One that can't be read changes nothing.
-func (f *Fleet) takeEntry(row store.Row) {
+// applyEntry takes in one entry. One that can't be read changes nothing.
+func (f *Fleet) applyEntry(row store.Row) {
 	decoded, err := f.options.Schema.DecodeDatabase(row.Key, row.Value)
 	if err != nil {
-		f.note(event.ContentRejected, event.F("table", row.Table), event.F("key", row.Key), event.F("error", err.Error()))
+		f.logEvent(event.ContentRejected, event.F("table", row.Table), event.F("key", row.Key), event.F("error", err.Error()))
 		return
 	}
 	d := &f.directory
-	known, found := d.entries[decoded.ID]
-	if !found || known.Incarnation != decoded.Incarnation {
-		known = &entry{}
-		d.entries[decoded.ID] = known
+	current, found := d.entries[decoded.ID]
+	if !found || current.Incarnation != decoded.Incarnation {
+		current = &entry{}
+		d.entries[decoded.ID] = current
 	}
-	if known.version > row.Version {
+	if current.version > row.Version {
 		return
 	}
-	if known.Database != decoded {
-		f.note(event.DatabaseKnown,
+	if current.Database != decoded {
+		f.logEvent(event.DatabaseKnown,
 			event.F("group", decoded.Group), event.F("database", decoded.ID), event.F("zone", decoded.Zone),
 			event.F("leaving", decoded.Leaving), event.F("primary", decoded.ClaimsPrimary), event.F("born", decoded.Incarnation),
 			event.F("source", row.Table))
 	}
-	if decoded.Leaving && known.leavingAt.IsZero() {
-		known.leavingAt = clock.Now()
+	if decoded.Leaving && current.leavingSince.IsZero() {
+		current.leavingSince = clock.Now()
 	}
 	if !decoded.Leaving {
-		known.leavingAt = time.Time{}
-		known.retired = false
+		current.leavingSince = time.Time{}
+		current.retired = false
 	}
-	known.Database = decoded
-	known.version = row.Version
-	known.raw = row.Value
-	known.lapsed = time.Time{}
+	current.Database = decoded
+	current.version = row.Version
+	current.raw = row.Value
+	current.missingSince = time.Time{}
 }
 
 // expireDatabases forgets databases that have left.
@@ -112,56 +112,56 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := clock.Now()
-	gone := false
-	for id, known := range d.entries {
-		var why string
+	hasChanged := false
+	for id, e := range d.entries {
+		var reason string
 		switch {
-		case !known.lapsed.IsZero() && now.Sub(known.lapsed) > lapseKept:
-			why = "its entry is missing"
+		case !e.missingSince.IsZero() && now.Sub(e.missingSince) > missingEntryGrace:
+			reason = "its entry is missing"
 			delete(d.entries, id)
-		case !known.retired && !known.leavingAt.IsZero() && now.Sub(known.leavingAt) > f.options.DrainTimeout:
-			why = "it has been leaving for long"
-			known.retired = true
+		case !e.retired && !e.leavingSince.IsZero() && now.Sub(e.leavingSince) > f.options.DrainTimeout:
+			reason = "it has been leaving for long"
+			e.retired = true
 		default:
 			continue
 		}
-		gone = true
-		f.note(event.DatabaseGone, event.F("group", known.Group), event.F("database", id), event.F("why", why))
+		hasChanged = true
+		f.logEvent(event.DatabaseGone, event.F("group", e.Group), event.F("database", id), event.F("why", reason))
 	}
-	if gone {
-		f.publish()
+	if hasChanged {
+		f.publishDatabases()
 	}
 }
 
-// isKnown reports whether a database may be connected to.
-func (f *Fleet) isKnown(id model.DatabaseID) bool {
+// isConnectable reports whether a database may be connected to.
+func (f *Fleet) isConnectable(id model.DatabaseID) bool {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
-	known, found := f.directory.entries[id]
-	return found && !known.retired
+	e, found := f.directory.entries[id]
+	return found && !e.retired
 }
 
-// publish tells the scheduler which databases there are. The directory is locked.
-func (f *Fleet) publish() {
+// publishDatabases tells the scheduler which databases there are. The directory is locked.
+func (f *Fleet) publishDatabases() {
 	d := &f.directory
 	databases := make([]placement.Database, 0, len(d.entries))
-	for _, known := range d.entries {
-		if known.retired {
+	for _, e := range d.entries {
+		if e.retired {
 			continue
 		}
-		published := known.Database
-		published.MaxConnections = d.configuration.Groups[known.Group].MaxConnections
+		published := e.Database
+		published.MaxConnections = d.configuration.Groups[e.Group].MaxConnections
 		databases = append(databases, published)
 	}
-	d.sharing = f.instances()
-	f.Scheduler.SetDatabases(databases, d.sharing)
+	d.publishedInstances = f.instanceCount()
+	f.Scheduler.SetDatabases(databases, d.publishedInstances)
 }
 
-// republish tells the scheduler again where the number of instances has changed.
-func (f *Fleet) republish() {
+// publishIfResized tells the scheduler again where the number of instances has changed.
+func (f *Fleet) publishIfResized() {
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
-	if f.directory.sharing != f.instances() {
-		f.publish()
+	if f.directory.publishedInstances != f.instanceCount() {
+		f.publishDatabases()
 	}
 }
--- a/internal/node/fleet/directory_peer.go
+++ b/internal/node/fleet/directory_peer.go
@@ -9,64 +9,64 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/edge/store"
 )
 
-// hearConfirmation takes in that a peer knew the configuration and the list of
+// applyConfirmation takes in that a peer knew the configuration and the list of
 // databases to be the newest at some age of them before echoed.
-func (f *Fleet) hearConfirmation(echoed time.Time, b message.GossipState) {
-	if b.ConfigurationVersion == f.ConfigurationVersion() {
-		f.confirm(echoed.Add(-b.ConfigurationAge))
+func (f *Fleet) applyConfirmation(echoedAt time.Time, state message.GossipState) {
+	if state.ConfigurationVersion == f.ConfigurationVersion() {
+		f.confirmConfiguration(echoedAt.Add(-state.ConfigurationAge))
 	}
 	d := &f.directory
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if at := echoed.Add(-b.DatabasesAge); b.DatabasesVersion == d.listed && at.After(d.listedAt) {
-		d.listedAt = at
+	if confirmedAt := echoedAt.Add(-state.DatabasesAge); state.DatabasesVersion == d.listed && confirmedAt.After(d.listConfirmedAt) {
+		d.listConfirmedAt = confirmedAt
 	}
 }
 
-// offerDatabases returns the list of databases for a peer.
-func (f *Fleet) offerDatabases() message.DatabasesOffer {
+// databasesOffer returns the list of databases for a peer.
+func (f *Fleet) databasesOffer() message.DatabasesOffer {
 	d := &f.directory
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	offer := message.DatabasesOffer{Version: d.listed}
-	for id, known := range d.entries {
-		if known.lapsed.IsZero() {
-			offer.Entries = append(offer.Entries, message.DatabaseEntry{Key: string(id), Value: known.raw, Version: known.version})
+	for id, e := range d.entries {
+		if e.missingSince.IsZero() {
+			offer.Entries = append(offer.Entries, message.DatabaseEntry{Key: string(id), Value: e.raw, Version: e.version})
 		}
 	}
 	return offer
 }
 
-// takeOffer takes in a peer's list of databases where it is newer than this
+// applyDatabasesOffer takes in a peer's list of databases where it is newer than this
 // instance's.
-func (f *Fleet) takeOffer(offer message.DatabasesOffer, from string) {
+func (f *Fleet) applyDatabasesOffer(offer message.DatabasesOffer, source string) {
 	if offer.Version <= f.databasesVersion() {
 		return
 	}
 	rows := store.Rows{Version: offer.Version}
-	for _, known := range offer.Entries {
-		rows.Rows = append(rows.Rows, store.Row{Table: from, Key: known.Key, Value: known.Value, Version: known.Version})
+	for _, e := range offer.Entries {
+		rows.Rows = append(rows.Rows, store.Row{Table: source, Key: e.Key, Value: e.Value, Version: e.Version})
 	}
-	f.takeDatabases(rows, true)
+	f.applyDatabaseRows(rows, true)
 	f.directory.mu.Lock()
 	defer f.directory.mu.Unlock()
 	f.directory.listed = max(f.directory.listed, offer.Version)
 }
 
-// askFor asks a peer for what it knows newer.
-func (f *Fleet) askFor(peer model.InstanceID, b message.GossipState) {
+// requestNewer asks a peer for what it knows newer.
+func (f *Fleet) requestNewer(peer model.InstanceID, state message.GossipState) {
 	now := clock.Now()
 	d := &f.directory
 	d.mu.Lock()
-	above, listed := d.configuration.Version, d.listed
-	wantsConfiguration := b.ConfigurationVersion > above && d.askedConfiguration.isDue(b.ConfigurationVersion, now)
+	configurationVersion, listed := d.configuration.Version, d.listed
+	needsConfiguration := state.ConfigurationVersion > configurationVersion && d.configurationRequest.recordIfDue(state.ConfigurationVersion, now)
 	// All versions of the list count as one: at a start each database changes it.
-	wantsDatabases := b.DatabasesVersion > listed && d.askedDatabases.isDue(0, now)
+	needsDatabases := state.DatabasesVersion > listed && d.databasesRequest.recordIfDue(0, now)
 	d.mu.Unlock()
-	if wantsConfiguration {
-		f.peers.links.HandleAction(message.SendPeer{To: peer, Body: message.ManifestRequest{NewerThan: above}})
+	if needsConfiguration {
+		f.peers.links.HandleAction(message.SendPeer{To: peer, Body: message.ManifestRequest{NewerThan: configurationVersion}})
 	}
-	if wantsDatabases {
+	if needsDatabases {
 		f.peers.links.HandleAction(message.SendPeer{To: peer, Body: message.DatabasesRequest{NewerThan: listed}})
 	}
 }
--- a/internal/node/fleet/fleet.go
+++ b/internal/node/fleet/fleet.go
@@ -104,24 +104,24 @@
 	Scheduler *placement.Scheduler
 	Pool      *backend.Pool
 
-	directory directory
-	renewal   renewal
-	peers     peers
-	surveys   surveys
-	notes     notes
-	patience  patience
+	directory    directory
+	renewal      renewal
+	peers        peers
+	surveys      surveys
+	groupGossip  groupGossip
+	readTimeouts readTimeouts
 	// probing holds the primaries that are being asked.
-	probing     sync.Map
-	stewardship stewardship
-	leaving     atomic.Bool
-	// stored says that the store has answered the last call.
-	stored  atomic.Bool
-	ready   atomic.Bool
-	running sync.WaitGroup
-	// life ends with the fleet, by end; what peers ask for runs under it.
-	life    context.Context
-	end     context.CancelFunc
-	started time.Time
+	probing      sync.Map
+	coordination coordination
+	leaving      atomic.Bool
+	// storeReachable says that the store has answered the last call.
+	storeReachable atomic.Bool
+	ready          atomic.Bool
+	running        sync.WaitGroup
+	// lifetime ends with the fleet, by end; what peers ask for runs under it.
+	lifetime  context.Context
+	cancel    context.CancelFunc
+	startedAt time.Time
 	// sessions are shed while the instance is cut off.
 	sessions Sessions
 
@@ -132,21 +132,21 @@
 // New returns a fleet that knows nothing yet.
 func New(options Options) *Fleet {
 	leases := lease.NewTable()
-	life, end := context.WithCancel(context.Background())
+	lifetime, cancel := context.WithCancel(context.Background())
 	return &Fleet{
-		options:     options,
-		life:        life,
-		patience:    patience{limits: map[string]time.Duration{}},
-		end:         end,
-		Leases:      leases,
-		Scheduler:   placement.NewScheduler(options.Zone, leases),
-		Pool:        backend.NewPool(options.Protocol),
-		directory:   newDirectory(),
-		renewal:     renewal{wanted: make(chan struct{}, 1)},
-		peers:       newPeers(),
-		surveys:     surveys{rounds: map[model.GroupID]*round{}, proved: map[model.GroupID]time.Time{}, asked: map[time.Duration]chan message.PrimarySurveyResponse{}},
-		stewardship: stewardship{busy: map[model.GroupID]chan struct{}{}},
-		samples:     map[model.GroupID]*fresh.PositionSamples{},
+		options:      options,
+		lifetime:     lifetime,
+		readTimeouts: readTimeouts{timeouts: map[string]time.Duration{}},
+		cancel:       cancel,
+		Leases:       leases,
+		Scheduler:    placement.NewScheduler(options.Zone, leases),
+		Pool:         backend.NewPool(options.Protocol),
+		directory:    newDirectory(),
+		renewal:      renewal{requested: make(chan struct{}, 1)},
+		peers:        newPeers(),
+		surveys:      surveys{rounds: map[model.GroupID]*round{}, confirmed: map[model.GroupID]time.Time{}, pending: map[time.Duration]chan message.PrimarySurveyResponse{}},
+		coordination: coordination{active: map[model.GroupID]chan struct{}{}},
+		samples:      map[model.GroupID]*fresh.PositionSamples{},
 	}
 }
 
@@ -165,21 +165,21 @@
 
 // Start runs the fleet until ctx ends. The channel gets its end.
 func (f *Fleet) Start(ctx context.Context) <-chan error {
-	f.started = clock.Now()
-	context.AfterFunc(ctx, f.end)
-	f.setLinks()
-	configurations, key := f.options.Schema.ConfigurationTable()
+	f.startedAt = clock.Now()
+	context.AfterFunc(ctx, f.cancel)
+	f.updateLinks()
+	configurationTable, key := f.options.Schema.ConfigurationTable()
 	for _, run := range []func(context.Context){
 		func(ctx context.Context) {
-			f.watch(ctx, configurations, f.configurationConfirmed, func(rows store.Rows, _ bool) { f.takeConfiguration(rows, key) })
+			f.watchTable(ctx, configurationTable, f.configurationConfirmedAt, func(rows store.Rows, _ bool) { f.applyConfigurationRows(rows, key) })
 		},
 		func(ctx context.Context) {
-			f.watch(ctx, f.options.Schema.DatabaseTable(), f.databasesConfirmed, f.takeList)
+			f.watchTable(ctx, f.options.Schema.DatabaseTable(), f.databasesConfirmedAt, f.applyDatabaseList)
 		},
-		f.renew,
-		f.register,
-		f.announce,
-		f.tick,
+		f.renewViews,
+		f.keepRegistered,
+		f.gossipPeriodically,
+		f.runPeriodicTasks,
 		f.watchPrimaries,
 	} {
 		f.running.Add(1)
@@ -196,8 +196,8 @@
 	return ended
 }
 
-// tick does what only time calls for.
-func (f *Fleet) tick(ctx context.Context) {
+// runPeriodicTasks does what only time calls for.
+func (f *Fleet) runPeriodicTasks(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -206,13 +206,13 @@
 			return
 		case <-ticker.C:
 			f.peers.prune(clock.Now())
-			f.setLinks()
-			f.republish()
+			f.updateLinks()
+			f.publishIfResized()
 			f.expireDatabases()
-			f.createRows(ctx)
-			f.forgetMembers(ctx)
-			f.Pool.EvictStale(f.isKnown)
-			f.judgeReadiness()
+			f.createMissingRows(ctx)
+			f.deleteExpiredMembers(ctx)
+			f.Pool.EvictStale(f.isConnectable)
+			f.updateReadiness()
 			f.options.Log.Flush(time.Now())
 		}
 	}
@@ -230,24 +230,24 @@
 			return
 		case <-ticker.C:
 			f.probePrimaries(ctx)
-			f.surveyUnproven(ctx)
-			if f.hasFailed(failing) {
+			f.surveyUnconfirmed(ctx)
+			if f.hasNewFailure(failing) {
 				f.broadcast()
 			}
-			f.steward(ctx)
+			f.startFailovers(ctx)
 		}
 	}
 }
 
-// hasFailed reports whether a primary fails that did not before.
-func (f *Fleet) hasFailed(before map[model.GroupID]bool) bool {
-	more := false
+// hasNewFailure reports whether a primary fails that did not before.
+func (f *Fleet) hasNewFailure(wasFailing map[model.GroupID]bool) bool {
+	hasNew := false
 	for name := range f.Leases.View().Rows {
-		fails := f.Scheduler.FailureDuration(name) >= succession.SilenceThreshold
-		more = more || fails && !before[name]
-		before[name] = fails
+		isFailing := f.Scheduler.FailureDuration(name) >= succession.SilenceThreshold
+		hasNew = hasNew || isFailing && !wasFailing[name]
+		wasFailing[name] = isFailing
 	}
-	return more
+	return hasNew
 }
 
 // SamplesOf implements session.SampleSource.
@@ -265,12 +265,12 @@
 // StartDraining takes the instance out of the platform's rotation.
 func (f *Fleet) StartDraining() {
 	f.leaving.Store(true)
-	f.judgeReadiness()
+	f.updateReadiness()
 }
 
 // IsReady reports whether the platform shall send callers here.
 func (f *Fleet) IsReady() bool { return f.ready.Load() }
 
-func (f *Fleet) note(e event.Event, fields ...event.Field) {
+func (f *Fleet) logEvent(e event.Event, fields ...event.Field) {
 	f.options.Log.Write(time.Now(), e, fields...)
 }
--- a/internal/node/fleet/logbook.go
+++ b/internal/node/fleet/logbook.go
@@ -60,7 +60,7 @@
 // Logbook returns the records of a group, or of all where name is empty, the
 // oldest first. Its errors are those of the store.
 func (f *Fleet) Logbook(ctx context.Context, name string) (status.Logbook, error) {
-	rows, err := f.read(ctx, logbookTable)
+	rows, err := f.readTable(ctx, logbookTable)
 	if err != nil {
 		return status.Logbook{}, err
 	}
@@ -68,7 +68,7 @@
 	for _, row := range rows.Rows {
 		var record engine.PromotionRecord
 		if err := json.Unmarshal(row.Value, &record); err != nil {
-			f.note(event.ContentRejected, event.F("table", row.Table), event.F("key", row.Key), event.F("error", err.Error()))
+			f.logEvent(event.ContentRejected, event.F("table", row.Table), event.F("key", row.Key), event.F("error", err.Error()))
 			continue
 		}
 		if name == "" || string(record.Group) == name {
--- a/internal/node/fleet/peers.go
+++ b/internal/node/fleet/peers.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// bulletinInterval is the time between two bulletins to each peer. What is
+	// gossipInterval is the time between two bulletins to each peer. What is
 	// urgent is sent at once.
-	bulletinInterval = 500 * time.Millisecond
-	// aliveFor is how long an instance counts as alive after its last message,
+	gossipInterval = 500 * time.Millisecond
+	// aliveTimeout is how long an instance counts as alive after its last message,
 	// and unlinkedFor where its link is broken besides.
-	aliveFor    = 2*bulletinInterval + 200*time.Millisecond
-	unlinkedFor = 400 * time.Millisecond
-	// rememberedFor is how long an instance that was heard once keeps its share
+	aliveTimeout         = 2*gossipInterval + 200*time.Millisecond
+	unlinkedAliveTimeout = 400 * time.Millisecond
+	// shareRetention is how long an instance that was heard once keeps its share
 	// of the databases' connections: the databases keep those of a dead one
 	// open for three seconds, and a restarted one comes back within it.
-	rememberedFor = 15 * time.Second
-	// forgottenAfter is how long a member must not have been heard before its
+	shareRetention = 15 * time.Second
+	// memberExpiry is how long a member must not have been heard before its
 	// row is deleted. listedFor is how old a read of the members may be for
 	// peers to rely on it: a member that was deleted must not be told that it
 	// is one.
-	forgottenAfter = 10 * time.Minute
-	listedFor      = 2 * time.Minute
+	memberExpiry  = 10 * time.Minute
+	maxMembersAge = 2 * time.Minute
 	// membersAge is the age at which the members are read again, whatever the
 	// peers tell.
 	membersAge = time.Minute
@@ -48,14 +48,14 @@
 	// groups; isListed says that this instance was among them.
 	members        map[model.InstanceID]member
 	membersVersion uint64
-	membersRead    time.Time
+	membersReadAt  time.Time
 	isListed       bool
-	// lost is when a link to an address was last lost or could not be made.
-	lost map[netip.AddrPort]time.Time
-	// asked is when a peer was last asked for a bulletin.
-	asked time.Time
-	// news is closed when a bulletin was heard, and replaced then.
-	news chan struct{}
+	// lostAt is when a link to an address was last lostAt or could not be made.
+	lostAt map[netip.AddrPort]time.Time
+	// viewRequestedAt is when a peer was last viewRequestedAt for a bulletin.
+	viewRequestedAt time.Time
+	// gossipReceived is closed when a bulletin was heard, and replaced then.
+	gossipReceived chan struct{}
 }
 
 // member is an instance's row among the members.
@@ -65,40 +65,40 @@
 	Zone     model.ZoneID
 }
 
-// peer is what is known of another instance.
+// peer is what is peer of another instance.
 type peer struct {
-	linked   bool
-	heard    time.Time
-	bulletin message.GossipState
-	// notes are those of the bulletin, by group.
-	notes map[model.GroupID]message.GroupGossip
-	// told is when the bulletin came.
-	told time.Time
-}
-
-// learn takes in a bulletin that came at a time.
-func (p *peer) learn(b message.GossipState, now time.Time) {
-	p.heard, p.told, p.bulletin = now, now, b
-	p.notes = make(map[model.GroupID]message.GroupGossip, len(b.Groups))
-	for _, note := range b.Groups {
-		p.notes[note.Group] = note
+	isLinked      bool
+	lastMessageAt time.Time
+	gossip        message.GossipState
+	// groups are those of the bulletin, by group.
+	groups map[model.GroupID]message.GroupGossip
+	// gossipReceivedAt is when the bulletin came.
+	gossipReceivedAt time.Time
+}
+
+// recordGossip takes in a bulletin that came at a time.
+func (p *peer) recordGossip(state message.GossipState, now time.Time) {
+	p.lastMessageAt, p.gossipReceivedAt, p.gossip = now, now, state
+	p.groups = make(map[model.GroupID]message.GroupGossip, len(state.Groups))
+	for _, group := range state.Groups {
+		p.groups[group.Group] = group
 	}
 }
 
-// note returns what the peer said last of a group's primary of an epoch.
-func (p *peer) note(name model.GroupID, epoch uint64) (message.GroupGossip, bool) {
-	note, found := p.notes[name]
-	return note, found && note.Row.Epoch == epoch
+// groupGossip returns what the peer said last of a group's primary of an epoch.
+func (p *peer) groupGossip(group model.GroupID, epoch uint64) (message.GroupGossip, bool) {
+	groupGossip, found := p.groups[group]
+	return groupGossip, found && groupGossip.Row.Epoch == epoch
 }
 
 // isAlive reports whether the instance was heard lately.
 func (p *peer) isAlive(now time.Time) bool {
-	silent := now.Sub(p.heard)
-	return silent < unlinkedFor || p.linked && silent < aliveFor
+	sinceLastMessage := now.Sub(p.lastMessageAt)
+	return sinceLastMessage < unlinkedAliveTimeout || p.isLinked && sinceLastMessage < aliveTimeout
 }
 
 func newPeers() peers {
-	return peers{known: map[model.InstanceID]*peer{}, lost: map[netip.AddrPort]time.Time{}, news: make(chan struct{})}
+	return peers{known: map[model.InstanceID]*peer{}, lostAt: map[netip.AddrPort]time.Time{}, gossipReceived: make(chan struct{})}
 }
 
 // first returns the live instance whose ID comes before all others, of those
@@ -111,101 +111,101 @@
 // upstream returns the instance that this one asks for views: the first of its
 // availability zone, or the first of all where it is that itself.
 func (f *Fleet) upstream() model.InstanceID {
-	near, isNear := f.firstOf(func(p *peer) bool { return p.bulletin.Zone == f.options.Zone })
-	if !isNear {
-		return near
+	zoneFirst, isZoneFirst := f.firstOf(func(p *peer) bool { return p.gossip.Zone == f.options.Zone })
+	if !isZoneFirst {
+		return zoneFirst
 	}
-	far, _ := f.first()
-	return far
+	fleetFirst, _ := f.first()
+	return fleetFirst
 }
 
 // firstOf is first among this instance and some peers.
-func (f *Fleet) firstOf(counts func(*peer) bool) (model.InstanceID, bool) {
+func (f *Fleet) firstOf(include func(*peer) bool) (model.InstanceID, bool) {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
 	now := clock.Now()
-	least, isStored := f.options.StartID, f.stored.Load()
+	first, hasStore := f.options.StartID, f.storeReachable.Load()
 	for id, p := range f.peers.known {
-		if !p.isAlive(now) || p.bulletin.Leaving || !counts(p) {
+		if !p.isAlive(now) || p.gossip.Leaving || !include(p) {
 			continue
 		}
-		if p.bulletin.StoreReachable && !isStored || p.bulletin.StoreReachable == isStored && id < least {
-			least, isStored = id, p.bulletin.StoreReachable
+		if p.gossip.StoreReachable && !hasStore || p.gossip.StoreReachable == hasStore && id < first {
+			first, hasStore = id, p.gossip.StoreReachable
 		}
 	}
-	return least, least == f.options.StartID
+	return first, first == f.options.StartID
 }
 
 // isFirst reports whether this instance is the first.
 func (f *Fleet) isFirst() bool {
-	_, is := f.first()
-	return is
+	_, ok := f.first()
+	return ok
 }
 
-// instances returns the number of instances that share the databases.
-func (f *Fleet) instances() int {
+// instanceCount returns the number of instanceCount that share the databases.
+func (f *Fleet) instanceCount() int {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
-	_, fleet := f.peers.sizes(f.options, func(p *peer, now time.Time) bool { return now.Sub(p.heard) < rememberedFor })
+	_, count := f.peers.sizes(f.options, func(p *peer, now time.Time) bool { return now.Sub(p.lastMessageAt) < shareRetention })
 	for _, p := range f.peers.known {
-		if clock.Since(p.heard) < rememberedFor {
-			fleet = max(fleet, p.bulletin.FleetSize)
+		if clock.Since(p.lastMessageAt) < shareRetention {
+			count = max(count, p.gossip.FleetSize)
 		}
 	}
-	return max(fleet, min(len(f.peers.members)+1, f.options.ExpectedInstances))
+	return max(count, min(len(f.peers.members)+1, f.options.ExpectedInstances))
 }
 
-// isMajority reports whether the instances that are alive, as far as they are
+// isMajorityAlive reports whether the instances that are alive, as far as they are
 // known here, are more than half of all.
-func (f *Fleet) isMajority() bool {
-	all := f.instances()
+func (f *Fleet) isMajorityAlive() bool {
+	total := f.instanceCount()
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
 	_, alive := f.peers.sizes(f.options, func(p *peer, now time.Time) bool {
-		return p.isAlive(now) && !p.bulletin.Leaving
+		return p.isAlive(now) && !p.gossip.Leaving
 	})
-	return 2*alive > all
+	return 2*alive > total
 }
 
 // sizes counts this instance and the peers that count: in its own availability
 // zone, and in all. Of another zone its peers there tell the number. The peers
 // are locked.
-func (p *peers) sizes(self Options, counts func(*peer, time.Time) bool) (zone, fleet int) {
+func (p *peers) sizes(self Options, include func(*peer, time.Time) bool) (zoneSize, fleetSize int) {
 	now := clock.Now()
-	names := map[model.ZoneID]map[model.InstanceID]bool{self.Zone: {self.InstanceName: true}}
-	told := map[model.ZoneID]int{}
+	namesByZone := map[model.ZoneID]map[model.InstanceID]bool{self.Zone: {self.InstanceName: true}}
+	reported := map[model.ZoneID]int{}
 	for _, known := range p.known {
-		if !counts(known, now) {
+		if !include(known, now) {
 			continue
 		}
-		of := known.bulletin.Zone
-		if names[of] == nil {
-			names[of] = map[model.InstanceID]bool{}
+		zone := known.gossip.Zone
+		if namesByZone[zone] == nil {
+			namesByZone[zone] = map[model.InstanceID]bool{}
 		}
-		names[of][known.bulletin.Instance] = true
-		told[of] = max(told[of], known.bulletin.ZoneSize)
+		namesByZone[zone][known.gossip.Instance] = true
+		reported[zone] = max(reported[zone], known.gossip.ZoneSize)
 	}
-	zone = len(names[self.Zone])
-	for of, heard := range names {
-		if of == self.Zone {
-			fleet += zone
+	zoneSize = len(namesByZone[self.Zone])
+	for zone, names := range namesByZone {
+		if zone == self.Zone {
+			fleetSize += zoneSize
 			continue
 		}
-		fleet += max(len(heard), told[of])
+		fleetSize += max(len(names), reported[zone])
 	}
-	return zone, fleet
+	return zoneSize, fleetSize
 }
 
-// hears reports whether an instance is this one or was heard lately, and the store
+// isAvailable reports whether an instance is this one or was heard lately, and the store
 // answers it.
-func (f *Fleet) hears(id model.InstanceID) bool {
+func (f *Fleet) isAvailable(id model.InstanceID) bool {
 	if id == f.options.StartID {
-		return f.stored.Load() && !f.leaving.Load()
+		return f.storeReachable.Load() && !f.leaving.Load()
 	}
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
 	p, found := f.peers.known[id]
-	return found && p.isAlive(clock.Now()) && p.bulletin.StoreReachable && !p.bulletin.Leaving
+	return found && p.isAlive(clock.Now()) && p.gossip.StoreReachable && !p.gossip.Leaving
 }
 
 // Post implements message.Sink for the peer edge.
@@ -213,18 +213,18 @@
 	switch incoming := incoming.(type) {
 	case message.PeerConnected:
 		f.peers.mu.Lock()
-		f.peers.get(incoming.Peer).linked = true
+		f.peers.getOrAdd(incoming.Peer).isLinked = true
 		f.peers.mu.Unlock()
-		f.greet(incoming.Peer)
+		f.sendInitialGossip(incoming.Peer)
 	case message.PeerDisconnected:
 		f.peers.mu.Lock()
 		if p, found := f.peers.known[incoming.Peer]; found {
-			p.linked = false
+			p.isLinked = false
 		}
-		f.peers.lost[incoming.Address] = clock.Now()
+		f.peers.lostAt[incoming.Address] = clock.Now()
 		f.peers.mu.Unlock()
 	case message.PeerMessageReceived:
-		f.hear(incoming.From, incoming.Body)
+		f.handlePeerMessage(incoming.From, incoming.Body)
 	}
 }
 
@@ -234,16 +234,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	maps.DeleteFunc(p.known, func(_ model.InstanceID, known *peer) bool {
-		return !known.linked && now.Sub(known.heard) > 2*forgottenAfter
+		return !known.isLinked && now.Sub(known.lastMessageAt) > 2*memberExpiry
 	})
-	maps.DeleteFunc(p.lost, func(_ netip.AddrPort, at time.Time) bool { return now.Sub(at) > lostFor })
+	maps.DeleteFunc(p.lostAt, func(_ netip.AddrPort, at time.Time) bool { return now.Sub(at) > lostLinkTimeout })
 }
 
-func (p *peers) get(id model.InstanceID) *peer {
-	entry, found := p.known[id]
+func (p *peers) getOrAdd(id model.InstanceID) *peer {
+	result, found := p.known[id]
 	if !found {
-		entry = &peer{}
-		p.known[id] = entry
+		result = &peer{}
+		p.known[id] = result
 	}
-	return entry
+	return result
 }
--- a/internal/node/fleet/peers_bulletin.go
+++ b/internal/node/fleet/peers_bulletin.go
@@ -14,28 +14,28 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/succession"
 )
 
-// notesAge is how old the notes of groups in an answer to a peer may be: a tenth of
+// maxGroupGossipAge is how old the notes of groups in an answer to a peer may be: a tenth of
 // the time between two bulletins.
-const notesAge = bulletinInterval / 10
+const maxGroupGossipAge = gossipInterval / 10
 
-// notes keeps the notes of all groups for answers that follow each other closely.
-type notes struct {
-	mu    sync.Mutex
-	notes []message.GroupGossip
-	view  uint64
-	at    time.Time
+// groupGossip keeps the groupGossip of all groups for answers that follow each other closely.
+type groupGossip struct {
+	mu          sync.Mutex
+	groupGossip []message.GroupGossip
+	view        uint64
+	builtAt     time.Time
 }
 
-// forget lets the next bulletin tell what is known then.
-func (n *notes) forget() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.notes = nil
+// invalidate lets the next bulletin tell what is known then.
+func (c *groupGossip) invalidate() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.groupGossip = nil
 }
 
-// announce sends bulletins until ctx ends.
-func (f *Fleet) announce(ctx context.Context) {
-	ticker := time.NewTicker(bulletinInterval)
+// gossipPeriodically sends bulletins until ctx ends.
+func (f *Fleet) gossipPeriodically(ctx context.Context) {
+	ticker := time.NewTicker(gossipInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -47,246 +47,246 @@
 	}
 }
 
-// answer sends the bulletin that a peer has asked for.
-func (f *Fleet) answer(to model.InstanceID, wanted message.GossipStateRequest) {
+// answerGossipRequest sends the bulletin that a peer has asked for.
+func (f *Fleet) answerGossipRequest(to model.InstanceID, request message.GossipStateRequest) {
 	f.peers.mu.Lock()
-	p := f.peers.get(to)
-	p.heard = clock.Now()
-	p.bulletin.SenderClock = wanted.SenderClock
-	last := p.bulletin
-	members, isRecent := f.peers.members, clock.Since(f.peers.membersRead) < listedFor
+	p := f.peers.getOrAdd(to)
+	p.lastMessageAt = clock.Now()
+	p.gossip.SenderClock = request.SenderClock
+	lastReceived := p.gossip
+	members, areMembersRecent := f.peers.members, clock.Since(f.peers.membersReadAt) < maxMembersAge
 	f.peers.mu.Unlock()
-	f.send(to, f.bulletin(), last, members, isRecent)
+	f.sendGossip(to, f.gossip(), lastReceived, members, areMembersRecent)
 }
 
-// send addresses a bulletin to one peer.
-func (f *Fleet) send(
-	to model.InstanceID, b, last message.GossipState, members map[model.InstanceID]member, isRecent bool,
+// sendGossip addresses a bulletin to one peer.
+func (f *Fleet) sendGossip(
+	to model.InstanceID, state, lastReceived message.GossipState, members map[model.InstanceID]member, areMembersRecent bool,
 ) {
-	_, listed := members[last.Instance]
-	b.EchoedClock, b.ReceiverIsMember = last.SenderClock, listed && isRecent
-	f.peers.links.HandleAction(message.SendPeer{To: to, Body: b})
+	_, isListed := members[lastReceived.Instance]
+	state.EchoedClock, state.ReceiverIsMember = lastReceived.SenderClock, isListed && areMembersRecent
+	f.peers.links.HandleAction(message.SendPeer{To: to, Body: state})
 }
 
 // broadcast sends a bulletin to every linked peer. What was heard of each is
 // read first: the bulletin's ages must not be older than that.
 func (f *Fleet) broadcast() {
-	f.notes.forget()
+	f.groupGossip.invalidate()
 	f.peers.mu.Lock()
-	heard := map[model.InstanceID]message.GossipState{}
+	lastReceived := map[model.InstanceID]message.GossipState{}
 	for id, p := range f.peers.known {
-		if p.linked {
-			heard[id] = p.bulletin
+		if p.isLinked {
+			lastReceived[id] = p.gossip
 		}
 	}
-	members, isRecent := f.peers.members, clock.Since(f.peers.membersRead) < listedFor
+	members, areMembersRecent := f.peers.members, clock.Since(f.peers.membersReadAt) < maxMembersAge
 	f.peers.mu.Unlock()
-	bulletin := f.bulletin()
-	for id, last := range heard {
-		f.send(id, bulletin, last, members, isRecent)
+	gossip := f.gossip()
+	for id, received := range lastReceived {
+		f.sendGossip(id, gossip, received, members, areMembersRecent)
 	}
 }
 
-// bulletin tells what this instance knows now.
-func (f *Fleet) bulletin() message.GossipState {
+// gossip tells what this instance knows now.
+func (f *Fleet) gossip() message.GossipState {
 	now := clock.Now()
 	view := f.Leases.View()
-	b := message.GossipState{
+	state := message.GossipState{
 		Instance: f.options.InstanceName, Zone: f.options.Zone, PeerAddress: f.options.PeerAddress,
-		SenderClock: sinceBoot(now), Leaving: f.leaving.Load(), StoreReachable: f.stored.Load(),
+		SenderClock: sinceBoot(now), Leaving: f.leaving.Load(), StoreReachable: f.storeReachable.Load(),
 		ConfigurationVersion: f.ConfigurationVersion(), DatabasesVersion: f.databasesVersion(),
-		ConfigurationAge: now.Sub(f.configurationConfirmed()), DatabasesAge: now.Sub(f.databasesConfirmed()),
-		ViewVersion: view.Version, ViewAge: now.Sub(view.ReadStartedAt), CoordinatorLease: view.CoordinatorLease, HolderAlive: f.hears(view.CoordinatorLease.Holder),
+		ConfigurationAge: now.Sub(f.configurationConfirmedAt()), DatabasesAge: now.Sub(f.databasesConfirmedAt()),
+		ViewVersion: view.Version, ViewAge: now.Sub(view.ReadStartedAt), CoordinatorLease: view.CoordinatorLease, HolderAlive: f.isAvailable(view.CoordinatorLease.Holder),
 	}
-	b.MinViewVersion, b.MinViewMembersHash = f.floor(view.Version)
+	state.MinViewVersion, state.MinViewMembersHash = f.minViewVersion(view.Version)
 	f.peers.mu.Lock()
-	b.ZoneSize, b.FleetSize = f.peers.sizes(f.options, func(p *peer, now time.Time) bool { return now.Sub(p.heard) < rememberedFor })
+	state.ZoneSize, state.FleetSize = f.peers.sizes(f.options, func(p *peer, now time.Time) bool { return now.Sub(p.lastMessageAt) < shareRetention })
 	f.peers.mu.Unlock()
-	b.Groups = f.groupNotes(view, now)
-	return b
+	state.Groups = f.cachedGroupGossip(view, now)
+	return state
 }
 
-// groupNotes tells what this instance knows of the groups of a view. Peers that ask
+// cachedGroupGossip tells what this instance knows of the groups of a view. Peers that ask
 // one after the other get the same notes for notesAge; broadcast makes them anew.
-func (f *Fleet) groupNotes(view lease.View, now time.Time) []message.GroupGossip {
-	f.notes.mu.Lock()
-	defer f.notes.mu.Unlock()
-	n := &f.notes
-	if age := now.Sub(n.at); n.view != view.Version || age >= notesAge || n.notes == nil {
-		n.notes, n.view, n.at = f.newNotes(view, now), view.Version, now
-		return n.notes
+func (f *Fleet) cachedGroupGossip(view lease.View, now time.Time) []message.GroupGossip {
+	f.groupGossip.mu.Lock()
+	defer f.groupGossip.mu.Unlock()
+	cache := &f.groupGossip
+	if age := now.Sub(cache.builtAt); cache.view != view.Version || age >= maxGroupGossipAge || cache.groupGossip == nil {
+		cache.groupGossip, cache.view, cache.builtAt = f.buildGroupGossip(view, now), view.Version, now
+		return cache.groupGossip
 	}
-	older := slices.Clone(n.notes)
-	for i := range older {
-		older[i].SampleAge += now.Sub(n.at)
+	aged := slices.Clone(cache.groupGossip)
+	for i := range aged {
+		aged[i].SampleAge += now.Sub(cache.builtAt)
 	}
-	return older
+	return aged
 }
 
-// newNotes makes the notes of all groups of a view.
-func (f *Fleet) newNotes(view lease.View, now time.Time) []message.GroupGossip {
-	notes := make([]message.GroupGossip, 0, len(view.Rows))
+// buildGroupGossip makes the notes of all groups of a view.
+func (f *Fleet) buildGroupGossip(view lease.View, now time.Time) []message.GroupGossip {
+	groups := make([]message.GroupGossip, 0, len(view.Rows))
 	for name, row := range view.Rows {
 		// Who wrote the row and why is for the logs of those that read it.
 		row.Coordinator, row.Reason = "", ""
-		note := message.GroupGossip{Group: name, Row: row, UnansweredFor: f.Scheduler.FailureDuration(name)}
-		note.Observers, note.UnansweredObservers = f.witnessed(name, row.Epoch, note.UnansweredFor)
+		gossip := message.GroupGossip{Group: name, Row: row, UnansweredFor: f.Scheduler.FailureDuration(name)}
+		gossip.Observers, gossip.UnansweredObservers = f.countObservers(name, row.Epoch, gossip.UnansweredFor)
 		if sample, found := f.SamplesOf(name).Newest(); found {
-			note.SampledPosition, note.SampleAge = sample.Position, now.Sub(sample.At)
+			gossip.SampledPosition, gossip.SampleAge = sample.Position, now.Sub(sample.At)
 		}
-		notes = append(notes, note)
+		groups = append(groups, gossip)
 	}
-	return notes
+	return groups
 }
 
-// witnessed counts, in this instance's availability zone, the instances that know
+// countObservers counts, in this instance's availability zone, the instances that know
 // whether a group's primary of an epoch answers, and those which it does not.
 // What is known from a view that proves nothing does not count.
-func (f *Fleet) witnessed(name model.GroupID, epoch uint64, own time.Duration) (witnesses, silent int) {
-	count := func(failing time.Duration) {
-		if failing >= 0 {
-			witnesses++
+func (f *Fleet) countObservers(name model.GroupID, epoch uint64, ownFailure time.Duration) (observers, unanswered int) {
+	count := func(failureDuration time.Duration) {
+		if failureDuration >= 0 {
+			observers++
 		}
-		if failing >= succession.SilenceThreshold {
-			silent++
+		if failureDuration >= succession.SilenceThreshold {
+			unanswered++
 		}
 	}
-	count(own)
+	count(ownFailure)
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
 	now := clock.Now()
 	for _, p := range f.peers.known {
-		if p.bulletin.Zone != f.options.Zone || !p.isAlive(now) || p.bulletin.ViewAge >= lease.Duration {
+		if p.gossip.Zone != f.options.Zone || !p.isAlive(now) || p.gossip.ViewAge >= lease.Duration {
 			continue
 		}
-		if note, found := p.note(name, epoch); found {
-			count(note.UnansweredFor)
+		if groupGossip, found := p.groupGossip(name, epoch); found {
+			count(groupGossip.UnansweredFor)
 		}
 	}
-	return witnesses, silent
+	return observers, unanswered
 }
 
-// floor returns the oldest view among the members of the own availability zone,
+// minViewVersion returns the oldest view among the members of the own availability zone,
 // where this instance has view, and which members these are; zero where one of
 // them was not heard.
-func (f *Fleet) floor(view uint64) (oldest, of uint64) {
+func (f *Fleet) minViewVersion(version uint64) (oldest, hash uint64) {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
-	seen := f.peers.seen()
-	oldest = view
+	viewVersions := f.peers.viewVersions()
+	oldest = version
 	for name, m := range f.peers.members {
 		if m.Zone == f.options.Zone {
-			oldest = min(oldest, seen[name])
+			oldest = min(oldest, viewVersions[name])
 		}
 	}
-	return oldest, f.peers.membersOf(f.options, f.options.Zone)
+	return oldest, f.peers.membersHash(f.options, f.options.Zone)
 }
 
-// membersOf sums up which members there are in an availability zone: a peer's
+// membersHash sums up which members there are in an availability zone: a peer's
 // floor says something of those only that the peer knows of. The peers are locked.
-func (p *peers) membersOf(self Options, zone model.ZoneID) uint64 {
-	sum := uint64(0)
+func (p *peers) membersHash(self Options, zone model.ZoneID) uint64 {
+	hash := uint64(0)
 	if self.Zone == zone {
-		sum = model.RendezvousWeight(self.InstanceName, zone)
+		hash = model.RendezvousWeight(self.InstanceName, zone)
 	}
 	for name, m := range p.members {
 		if m.Zone == zone {
-			sum += model.RendezvousWeight(name, zone)
+			hash += model.RendezvousWeight(name, zone)
 		}
 	}
-	return sum
+	return hash
 }
 
-// seen returns the view that each instance, by name, has said last that it has. What
-// a former start has seen the present one may not know. The peers are locked.
-func (p *peers) seen() map[model.InstanceID]uint64 {
-	seen, heard := map[model.InstanceID]uint64{}, map[model.InstanceID]time.Time{}
+// viewVersions returns the view that each instance, by name, has said last that it has. What
+// a former start has viewVersions the present one may not know. The peers are locked.
+func (p *peers) viewVersions() map[model.InstanceID]uint64 {
+	viewVersions, receivedAt := map[model.InstanceID]uint64{}, map[model.InstanceID]time.Time{}
 	for _, known := range p.known {
-		if name := known.bulletin.Instance; known.told.After(heard[name]) {
-			seen[name], heard[name] = known.bulletin.ViewVersion, known.told
+		if name := known.gossip.Instance; known.gossipReceivedAt.After(receivedAt[name]) {
+			viewVersions[name], receivedAt[name] = known.gossip.ViewVersion, known.gossipReceivedAt
 		}
 	}
-	return seen
+	return viewVersions
 }
 
 // sinceBoot gives a time of package clock a form that can be sent.
 func sinceBoot(t time.Time) time.Duration { return t.Sub(time.Unix(0, 0)) }
 
-// awaitNews returns a channel that is closed when the next bulletin is heard.
-func (p *peers) awaitNews() <-chan struct{} {
+// nextGossip returns a channel that is closed when the next bulletin is heard.
+func (p *peers) nextGossip() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.news
+	return p.gossipReceived
 }
 
-// greet sends a peer the first bulletin.
-func (f *Fleet) greet(id model.InstanceID) {
-	f.peers.links.HandleAction(message.SendPeer{To: id, Body: f.bulletin()})
+// sendInitialGossip sends a peer the first bulletin.
+func (f *Fleet) sendInitialGossip(id model.InstanceID) {
+	f.peers.links.HandleAction(message.SendPeer{To: id, Body: f.gossip()})
 }
 
-// hear takes in a message of a peer.
-func (f *Fleet) hear(from model.InstanceID, body message.PeerMessage) {
+// handlePeerMessage takes in a message of a peer.
+func (f *Fleet) handlePeerMessage(from model.InstanceID, body message.PeerMessage) {
 	switch body := body.(type) {
 	case message.GossipState:
-		f.hearBulletin(from, body)
+		f.handleGossip(from, body)
 	case message.GossipStateRequest:
-		f.answer(from, body)
+		f.answerGossipRequest(from, body)
 	case message.PrimarySurveyRequest:
 		f.answerSurvey(from, body)
 	case message.PrimarySurveyResponse:
-		f.hearSurvey(body)
+		f.handleSurveyResponse(body)
 	case message.ManifestRequest:
 		if version, raw := f.rawConfiguration(); version > body.NewerThan {
 			f.peers.links.HandleAction(message.SendPeer{To: from, Body: message.ManifestOffer{Number: version, Body: raw}})
 		}
 	case message.ManifestOffer:
-		f.adopt(body.Body, string(from))
+		f.adoptConfiguration(body.Body, string(from))
 	case message.DatabasesRequest:
-		if offer := f.offerDatabases(); offer.Version > body.NewerThan {
+		if offer := f.databasesOffer(); offer.Version > body.NewerThan {
 			f.peers.links.HandleAction(message.SendPeer{To: from, Body: offer})
 		}
 	case message.DatabasesOffer:
-		f.takeOffer(body, string(from))
+		f.applyDatabasesOffer(body, string(from))
 	}
 }
 
-// hearBulletin takes in what a peer knows.
-func (f *Fleet) hearBulletin(from model.InstanceID, b message.GossipState) {
+// handleGossip takes in what a peer knows.
+func (f *Fleet) handleGossip(from model.InstanceID, state message.GossipState) {
 	f.peers.mu.Lock()
-	p := f.peers.get(from)
-	isNew := p.heard.IsZero()
-	p.learn(b, clock.Now())
-	close(f.peers.news)
-	f.peers.news = make(chan struct{})
+	p := f.peers.getOrAdd(from)
+	isNew := p.lastMessageAt.IsZero()
+	p.recordGossip(state, clock.Now())
+	close(f.peers.gossipReceived)
+	f.peers.gossipReceived = make(chan struct{})
 	f.peers.mu.Unlock()
-	if b.EchoedClock > 0 {
-		echoed := time.Unix(0, 0).Add(b.EchoedClock)
-		f.hearView(from, echoed, b)
-		f.hearConfirmation(echoed, b)
+	if state.EchoedClock > 0 {
+		echoedAt := time.Unix(0, 0).Add(state.EchoedClock)
+		f.applyPeerView(from, echoedAt, state)
+		f.applyConfirmation(echoedAt, state)
 	}
-	f.askFor(from, b)
+	f.requestNewer(from, state)
 	if isNew {
-		f.greet(from)
-		f.republish()
+		f.sendInitialGossip(from)
+		f.publishIfResized()
 	}
 }
 
-// hearView takes in a peer's view of the table of groups. All that the peer knew
+// applyPeerView takes in a peer's view of the table of groups. All that the peer knew
 // when it sent the bulletin it knew after this instance had sent what Echo names.
-func (f *Fleet) hearView(from model.InstanceID, echoed time.Time, b message.GossipState) {
-	if b.ViewVersion > 0 {
+func (f *Fleet) applyPeerView(from model.InstanceID, echoedAt time.Time, state message.GossipState) {
+	if state.ViewVersion > 0 {
 		view := lease.View{
-			Version: b.ViewVersion, ReadStartedAt: echoed.Add(-b.ViewAge), CoordinatorLease: b.CoordinatorLease, IsMember: b.ReceiverIsMember || f.isListedLately(),
-			Rows: make(map[model.GroupID]lease.GroupRow, len(b.Groups)),
+			Version: state.ViewVersion, ReadStartedAt: echoedAt.Add(-state.ViewAge), CoordinatorLease: state.CoordinatorLease, IsMember: state.ReceiverIsMember || f.wasListedRecently(),
+			Rows: make(map[model.GroupID]lease.GroupRow, len(state.Groups)),
 		}
-		for _, note := range b.Groups {
-			view.Rows[note.Group] = note.Row
+		for _, group := range state.Groups {
+			view.Rows[group.Group] = group.Row
 		}
-		f.learnView(view, string(from))
+		f.updateView(view, string(from))
 	}
-	for _, note := range b.Groups {
-		if !note.SampledPosition.IsZero() {
-			f.SamplesOf(note.Group).AddSpaced(fresh.PositionSample{At: echoed.Add(-note.SampleAge), Position: note.SampledPosition})
+	for _, group := range state.Groups {
+		if !group.SampledPosition.IsZero() {
+			f.SamplesOf(group.Group).AddSpaced(fresh.PositionSample{At: echoedAt.Add(-group.SampleAge), Position: group.SampledPosition})
 		}
 	}
 }
--- a/internal/node/fleet/peers_bulletin_test.go
+++ b/internal/node/fleet/peers_bulletin_test.go
@@ -13,32 +13,32 @@
 
 // Answers that follow each other closely tell the same, with ages that go on; a
 // new view, a broadcast and time make the notes anew.
-func TestNotesAreKeptForAMoment(t *testing.T) {
-	f := newMember(1, 3)
+func TestGroupGossipIsCached(t *testing.T) {
+	f := newUnstartedFleet(1, 3)
 	now := clock.Now()
-	sampled := model.Position{Term: 1, Offset: 7}
-	f.SamplesOf("ratings").Add(now, sampled)
+	position := model.Position{Term: 1, Offset: 7}
+	f.SamplesOf("ratings").Add(now, position)
 	view := lease.View{Version: 4, Rows: map[model.GroupID]lease.GroupRow{"ratings": {Epoch: 1, Primary: "a"}}}
-	first := f.groupNotes(view, now)
+	first := f.cachedGroupGossip(view, now)
 	f.SamplesOf("ratings").Add(now.Add(time.Second), model.Position{Term: 1, Offset: 9})
 	ages := []time.Duration{first[0].SampleAge}
 	positions := []uint64{first[0].SampledPosition.Offset}
-	tell := func(view lease.View, at time.Time) {
-		note := f.groupNotes(view, at)[0]
+	record := func(view lease.View, at time.Time) {
+		note := f.cachedGroupGossip(view, at)[0]
 		ages, positions = append(ages, note.SampleAge), append(positions, note.SampledPosition.Offset)
 	}
-	tell(view, now.Add(notesAge/2))
-	tell(view, now.Add(notesAge))
+	record(view, now.Add(maxGroupGossipAge/2))
+	record(view, now.Add(maxGroupGossipAge))
 	view.Version++
 	f.SamplesOf("ratings").Add(now.Add(2*time.Second), model.Position{Term: 1, Offset: 11})
-	tell(view, now.Add(notesAge))
+	record(view, now.Add(maxGroupGossipAge))
 	f.SamplesOf("ratings").Add(now.Add(3*time.Second), model.Position{Term: 1, Offset: 13})
-	f.notes.forget()
-	tell(view, now.Add(notesAge))
+	f.groupGossip.invalidate()
+	record(view, now.Add(maxGroupGossipAge))
 	if diff := cmp.Diff([]uint64{7, 7, 9, 11, 13}, positions); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]time.Duration{0, notesAge / 2}, ages[:2]); diff != "" {
+	if diff := cmp.Diff([]time.Duration{0, maxGroupGossipAge / 2}, ages[:2]); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/node/fleet/peers_link.go
+++ b/internal/node/fleet/peers_link.go
@@ -14,18 +14,18 @@
 	// headsPerZone is the number of instances of an availability zone that have
 	// links to other zones: with two of them gone a zone is still linked.
 	headsPerZone = 3
-	// lostFor is how long an instance to which a link was lost, or could not be
+	// lostLinkTimeout is how long an instance to which a link was lost, or could not be
 	// made, has another one linked in its place.
-	lostFor = 3 * time.Second
+	lostLinkTimeout = 3 * time.Second
 )
 
-// setLinks tells the peer edge whom to keep a link to. The members of an
+// updateLinks tells the peer edge whom to keep a link to. The members of an
 // availability zone are in the order of their names; the first ones are its
 // heads. Every instance keeps links to the heads of its own zone, and a head also
 // to those of the others, so that the links of an instance do not grow with the
 // number of instances but for a head's to its own zone. The seeds are linked
 // until there are members.
-func (f *Fleet) setLinks() {
+func (f *Fleet) updateLinks() {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
 	var targets []message.PeerTarget
@@ -35,7 +35,7 @@
 			targets = append(targets, target)
 		}
 	}
-	for _, address := range f.linked() {
+	for _, address := range f.linkedHeads() {
 		add(address)
 	}
 	if len(f.peers.members) == 0 {
@@ -46,23 +46,23 @@
 	f.peers.links.HandleAction(message.SetPeers{Peers: targets})
 }
 
-// linked returns the addresses of the heads to link to. The peers are locked.
-func (f *Fleet) linked() []netip.AddrPort {
+// linkedHeads returns the addresses of the heads to link to. The peers are locked.
+func (f *Fleet) linkedHeads() []netip.AddrPort {
 	zones := map[model.ZoneID][]model.InstanceID{f.options.Zone: {f.options.InstanceName}}
 	for name, m := range f.peers.members {
 		zones[m.Zone] = append(zones[m.Zone], name)
 	}
-	own, isHead := f.heads(zones[f.options.Zone])
+	addresses, isHead := f.heads(zones[f.options.Zone])
 	if !isHead {
-		return own
+		return addresses
 	}
 	for zone, names := range zones {
 		if zone != f.options.Zone {
 			others, _ := f.heads(names)
-			own = append(own, others...)
+			addresses = append(addresses, others...)
 		}
 	}
-	return own
+	return addresses
 }
 
 // heads returns the addresses of the heads among the instances of an availability
@@ -70,20 +70,20 @@
 // them, and the next one takes its place beside it.
 func (f *Fleet) heads(names []model.InstanceID) (addresses []netip.AddrPort, isHead bool) {
 	slices.Sort(names)
-	present := 0
+	available := 0
 	for _, name := range names {
-		if present == headsPerZone {
+		if available == headsPerZone {
 			break
 		}
 		if name == f.options.InstanceName {
 			isHead = true
-			present++
+			available++
 			continue
 		}
 		address := f.peers.members[name].Address
 		addresses = append(addresses, address)
-		if clock.Since(f.peers.lost[address]) > lostFor {
-			present++
+		if clock.Since(f.peers.lostAt[address]) > lostLinkTimeout {
+			available++
 		}
 	}
 	return addresses, isHead
--- a/internal/node/fleet/peers_link_test.go
+++ b/internal/node/fleet/peers_link_test.go
@@ -23,13 +23,13 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(zone), 0, byte(n)}), 7000)
 }
 
-// newMember returns a fleet that was not started: the n-th instance of zone 1, in
+// newUnstartedFleet returns a fleet that was not started: the n-th instance of zone 1, in
 // three zones of as many members.
-func newMember(n, perZone int) *Fleet {
+func newUnstartedFleet(n, perZone int) *Fleet {
 	name := model.InstanceID(fmt.Sprintf("z1-%d", n))
 	f := New(Options{
 		StartID: name, InstanceName: name, Zone: "z1", PeerAddress: addressOf(1, n), ExpectedInstances: 7,
-		Store: newMemoryStore(), Schema: testSource{}, Log: eventlog.NewWriter(logr.Discard(), eventlog.DefaultLinesPerSecond),
+		Store: newMemoryStore(), Schema: testSchema{}, Log: eventlog.NewWriter(logr.Discard(), eventlog.DefaultLinesPerSecond),
 	})
 	members := map[model.InstanceID]member{}
 	for zone := 1; zone <= 3; zone++ {
@@ -39,13 +39,13 @@
 			}
 		}
 	}
-	f.takeMembers(members, 10)
+	f.updateMembers(members, 10)
 	return f
 }
 
 // What an instance is linked to is bounded, whatever the number of instances.
 func TestLinksOfAnInstance(t *testing.T) {
-	all := func(zone, from, to int) []netip.AddrPort {
+	headAddresses := func(zone, from, to int) []netip.AddrPort {
 		var addresses []netip.AddrPort
 		for i := from; i <= to; i++ {
 			addresses = append(addresses, addressOf(zone, i))
@@ -57,19 +57,19 @@
 		lost       []netip.AddrPort
 		want       []netip.AddrPort
 	}{
-		"all are heads of a small zone": {1, 2, nil, slices.Concat(all(1, 2, 2), all(2, 1, 2), all(3, 1, 2))},
-		"a head of a large zone":        {1, 9, nil, slices.Concat(all(1, 2, 3), all(2, 1, 3), all(3, 1, 3))},
-		"no head":                       {5, 9, nil, all(1, 1, 3)},
-		"no head, one of them is lost":  {5, 9, all(1, 2, 2), all(1, 1, 4)},
-		"in the place of one lost":      {4, 9, all(1, 2, 2), slices.Concat(all(1, 1, 3), all(2, 1, 3), all(3, 1, 3))},
-		"a head of another zone lost":   {1, 9, all(3, 1, 1), slices.Concat(all(1, 2, 3), all(2, 1, 3), all(3, 1, 4))},
+		"all are heads of a small zone": {1, 2, nil, slices.Concat(headAddresses(1, 2, 2), headAddresses(2, 1, 2), headAddresses(3, 1, 2))},
+		"a head of a large zone":        {1, 9, nil, slices.Concat(headAddresses(1, 2, 3), headAddresses(2, 1, 3), headAddresses(3, 1, 3))},
+		"no head":                       {5, 9, nil, headAddresses(1, 1, 3)},
+		"no head, one of them is lost":  {5, 9, headAddresses(1, 2, 2), headAddresses(1, 1, 4)},
+		"in the place of one lost":      {4, 9, headAddresses(1, 2, 2), slices.Concat(headAddresses(1, 1, 3), headAddresses(2, 1, 3), headAddresses(3, 1, 3))},
+		"a head of another zone lost":   {1, 9, headAddresses(3, 1, 1), slices.Concat(headAddresses(1, 2, 3), headAddresses(2, 1, 3), headAddresses(3, 1, 4))},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newMember(c.n, c.perZone)
+			f := newUnstartedFleet(c.n, c.perZone)
 			for _, address := range c.lost {
 				f.Post(message.PeerDisconnected{Address: address})
 			}
-			got := f.linked()
+			got := f.linkedHeads()
 			slices.SortFunc(got, func(a, b netip.AddrPort) int { return a.Compare(b) })
 			if diff := cmp.Diff(fmt.Sprint(c.want), fmt.Sprint(got)); diff != "" {
 				t.Error(diff)
@@ -78,12 +78,12 @@
 	}
 }
 
-// tell lets a fleet hear a bulletin of another instance.
-func (f *Fleet) tell(name model.InstanceID, b message.GossipState) {
-	b.Instance, b.Zone = name, model.ZoneID(name[:2])
-	p := f.peers.get(name)
-	p.linked = true
-	p.learn(b, clock.Now())
+// receiveGossip lets a fleet hear a bulletin of another instance.
+func (f *Fleet) receiveGossip(name model.InstanceID, state message.GossipState) {
+	state.Instance, state.Zone = name, model.ZoneID(name[:2])
+	p := f.peers.getOrAdd(name)
+	p.isLinked = true
+	p.recordGossip(state, clock.Now())
 }
 
 // The members of another zone have seen a claim when their head says so, of the
@@ -101,22 +101,22 @@
 		"the head does not know them all": {version, true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newMember(1, 5)
+			f := newUnstartedFleet(1, 5)
 			f.Leases.Update(lease.View{Version: version, ReadStartedAt: clock.Now(), IsMember: true})
 			members := f.peers.members
 			members["z1-1"] = member{Address: addressOf(1, 1), Zone: "z1"}
-			f.takeMembers(members, version)
+			f.updateMembers(members, version)
 			for i := 2; i <= 5; i++ {
-				f.tell(model.InstanceID(fmt.Sprintf("z1-%d", i)), message.GossipState{ViewVersion: version})
+				f.receiveGossip(model.InstanceID(fmt.Sprintf("z1-%d", i)), message.GossipState{ViewVersion: version})
 			}
 			for _, zone := range []model.ZoneID{"z2", "z3"} {
-				b := message.GossipState{ViewVersion: version, MinViewVersion: c.floor, MinViewMembersHash: f.peers.membersOf(f.options, zone)}
+				b := message.GossipState{ViewVersion: version, MinViewVersion: c.floor, MinViewMembersHash: f.peers.membersHash(f.options, zone)}
 				if c.unknown {
 					b.MinViewMembersHash++
 				}
-				f.tell(model.InstanceID(zone+"-1"), b)
+				f.receiveGossip(model.InstanceID(zone+"-1"), b)
 			}
-			if diff := cmp.Diff(c.want, f.areRevoked(version)); diff != "" {
+			if diff := cmp.Diff(c.want, f.isSeenByAll(version)); diff != "" {
 				t.Error(diff)
 			}
 		})
@@ -140,21 +140,21 @@
 		"well":                                {0, 0, [2]int{9, 0}, 0, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newMember(1, 3)
+			f := newUnstartedFleet(1, 3)
 			f.directory.entries["a"] = &entry{}
 			f.directory.entries["a"].Group, f.directory.entries["a"].ID = "ratings", "a"
 			f.directory.entries["b"] = &entry{}
 			f.directory.entries["b"].Group, f.directory.entries["b"].ID = "ratings", "b"
 			note := message.GroupGossip{Group: "ratings", Row: row, UnansweredFor: c.near}
-			f.tell("z1-2", message.GossipState{Groups: []message.GroupGossip{note}})
-			f.tell("z1-3", message.GossipState{Groups: []message.GroupGossip{note}})
+			f.receiveGossip("z1-2", message.GossipState{Groups: []message.GroupGossip{note}})
+			f.receiveGossip("z1-3", message.GossipState{Groups: []message.GroupGossip{note}})
 			note.UnansweredFor, note.Observers, note.UnansweredObservers = c.far, c.farCount[0], c.farCount[1]
 			if c.otherEpochs {
 				note.Row.Epoch--
 			}
-			f.tell("z2-1", message.GossipState{Groups: []message.GroupGossip{note}, ViewAge: c.farViewAge})
+			f.receiveGossip("z2-1", message.GossipState{Groups: []message.GroupGossip{note}, ViewAge: c.farViewAge})
 			note.Observers, note.UnansweredObservers = 1, 1
-			f.tell("z2-2", message.GossipState{Groups: []message.GroupGossip{note}, ViewAge: c.farViewAge})
+			f.receiveGossip("z2-2", message.GossipState{Groups: []message.GroupGossip{note}, ViewAge: c.farViewAge})
 			if _, needed := succession.FailoverReason(f.evidence("ratings", row)); needed != c.needed {
 				t.Errorf("a change is needed: %v, want %v (%+v)", needed, c.needed, f.evidence("ratings", row))
 			}
@@ -163,55 +163,55 @@
 }
 
 // An instance that hears its heads only knows the size of the fleet from them.
-func TestSizeOfTheFleet(t *testing.T) {
-	leaf, head := newMember(5, 9), newMember(1, 9)
+func TestFleetSizeFromHeads(t *testing.T) {
+	leaf, head := newUnstartedFleet(5, 9), newUnstartedFleet(1, 9)
 	for i := 2; i <= 9; i++ {
-		head.tell(model.InstanceID(fmt.Sprintf("z1-%d", i)), message.GossipState{ZoneSize: 4})
+		head.receiveGossip(model.InstanceID(fmt.Sprintf("z1-%d", i)), message.GossipState{ZoneSize: 4})
 	}
-	head.tell("z2-1", message.GossipState{ZoneSize: 8})
-	head.tell("z2-2", message.GossipState{ZoneSize: 9})
-	head.tell("z3-1", message.GossipState{ZoneSize: 7})
-	if diff := cmp.Diff(9+9+7, head.instances()); diff != "" {
+	head.receiveGossip("z2-1", message.GossipState{ZoneSize: 8})
+	head.receiveGossip("z2-2", message.GossipState{ZoneSize: 9})
+	head.receiveGossip("z3-1", message.GossipState{ZoneSize: 7})
+	if diff := cmp.Diff(9+9+7, head.instanceCount()); diff != "" {
 		t.Errorf("head: %s", diff)
 	}
-	told := head.bulletin()
-	leaf.tell("z1-1", told)
-	if diff := cmp.Diff([]int{9, 25, 25}, []int{told.ZoneSize, told.FleetSize, leaf.instances()}); diff != "" {
+	state := head.gossip()
+	leaf.receiveGossip("z1-1", state)
+	if diff := cmp.Diff([]int{9, 25, 25}, []int{state.ZoneSize, state.FleetSize, leaf.instanceCount()}); diff != "" {
 		t.Errorf("told and leaf: %s", diff)
 	}
 }
 
 // An instance that read lately that it is a member goes on as one, though a peer
 // has not read of it yet.
-func TestPeerThatDoesNotKnowTheMember(t *testing.T) {
-	f := newMember(1, 3)
+func TestMembershipUnknownToPeer(t *testing.T) {
+	f := newUnstartedFleet(1, 3)
 	f.peers.isListed = false
-	view := message.GossipState{ViewVersion: 12, Groups: nil}
-	f.hearView("z1-2", clock.Now(), view)
+	state := message.GossipState{ViewVersion: 12, Groups: nil}
+	f.applyPeerView("z1-2", clock.Now(), state)
 	if f.Leases.View().IsMember {
 		t.Error("a member by its own word")
 	}
 	members := f.peers.members
 	members["z1-1"] = member{Address: addressOf(1, 1), Zone: "z1"}
-	f.takeMembers(members, 13)
-	view.ViewVersion = 14
-	f.hearView("z1-2", clock.Now(), view)
+	f.updateMembers(members, 13)
+	state.ViewVersion = 14
+	f.applyPeerView("z1-2", clock.Now(), state)
 	if !f.Leases.View().IsMember {
 		t.Error("no member, though the table listed it a moment ago")
 	}
 }
 
 // What is kept of instances and links does not grow with their restarts.
-func TestOldStartsAreDropped(t *testing.T) {
-	f := newMember(1, 3)
-	f.tell("z1-2", message.GossipState{})
-	f.tell("z1-3", message.GossipState{})
+func TestOldPeersArePruned(t *testing.T) {
+	f := newUnstartedFleet(1, 3)
+	f.receiveGossip("z1-2", message.GossipState{})
+	f.receiveGossip("z1-3", message.GossipState{})
 	f.Post(message.PeerDisconnected{Peer: "z1-3", Address: addressOf(1, 3)})
 	now := clock.Now()
 	f.peers.prune(now)
-	kept := []int{len(f.peers.known), len(f.peers.lost)}
-	f.peers.prune(now.Add(2*forgottenAfter + time.Second))
-	kept = append(kept, len(f.peers.known), len(f.peers.lost))
+	kept := []int{len(f.peers.known), len(f.peers.lostAt)}
+	f.peers.prune(now.Add(2*memberExpiry + time.Second))
+	kept = append(kept, len(f.peers.known), len(f.peers.lostAt))
 	if diff := cmp.Diff([]int{2, 1, 1, 0}, kept); diff != "" {
 		t.Error(diff)
 	}
@@ -219,18 +219,18 @@
 
 // A claim that a former start of an instance has seen is not seen by its present
 // one.
-func TestViewOfAFormerStart(t *testing.T) {
-	f := newMember(1, 3)
-	start := func(id model.InstanceID, view uint64) {
-		f.peers.get(id).learn(message.GossipState{Instance: "z1-2", Zone: "z1", ViewVersion: view}, clock.Now())
+func TestViewVersionAfterRestart(t *testing.T) {
+	f := newUnstartedFleet(1, 3)
+	receive := func(id model.InstanceID, view uint64) {
+		f.peers.getOrAdd(id).recordGossip(message.GossipState{Instance: "z1-2", Zone: "z1", ViewVersion: view}, clock.Now())
 	}
-	start("z1-2-former", 20)
-	seen := []uint64{f.peers.seen()["z1-2"]}
-	start("z1-2-present", 0)
-	seen = append(seen, f.peers.seen()["z1-2"])
-	start("z1-2-present", 21)
-	seen = append(seen, f.peers.seen()["z1-2"])
-	if diff := cmp.Diff([]uint64{20, 0, 21}, seen); diff != "" {
+	receive("z1-2-former", 20)
+	viewVersions := []uint64{f.peers.viewVersions()["z1-2"]}
+	receive("z1-2-present", 0)
+	viewVersions = append(viewVersions, f.peers.viewVersions()["z1-2"])
+	receive("z1-2-present", 21)
+	viewVersions = append(viewVersions, f.peers.viewVersions()["z1-2"])
+	if diff := cmp.Diff([]uint64{20, 0, 21}, viewVersions); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/node/fleet/readiness.go
+++ b/internal/node/fleet/readiness.go
@@ -7,27 +7,27 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// judgeReadiness decides whether the platform shall send callers here.
-func (f *Fleet) judgeReadiness() {
+// updateReadiness decides whether the platform shall send callers here.
+func (f *Fleet) updateReadiness() {
 	d := &f.directory
 	now := clock.Now()
-	proven := f.isProven(now)
+	isConfirmed := f.hasConfirmedPrimary(now)
 	d.mu.Lock()
-	if proven {
-		d.unprovenSince = time.Time{}
-	} else if d.unprovenSince.IsZero() {
-		d.unprovenSince = now
+	if isConfirmed {
+		d.unconfirmedSince = time.Time{}
+	} else if d.unconfirmedSince.IsZero() {
+		d.unconfirmedSince = now
 	}
-	known, databases := d.known, len(d.entries)
-	unproven := !proven && now.Sub(d.unprovenSince) > unprovenLimit
-	shed := !proven && now.Sub(d.unprovenSince) > shedLimit
+	hasConfiguration, databases := d.hasConfiguration, len(d.entries)
+	isUnconfirmedTooLong := !isConfirmed && now.Sub(d.unconfirmedSince) > unconfirmedReadyLimit
+	closeIdle := !isConfirmed && now.Sub(d.unconfirmedSince) > unconfirmedCloseLimit
 	d.mu.Unlock()
-	if shed {
+	if closeIdle {
 		f.sessions.CloseIdleSessions()
 	}
-	ready := known && databases > 0 && !unproven && !f.leaving.Load()
+	ready := hasConfiguration && databases > 0 && !isUnconfirmedTooLong && !f.leaving.Load()
 	if f.ready.Swap(ready) != ready {
-		f.note(event.ReadinessChanged, event.F("ready", ready), event.F("configuration", f.ConfigurationVersion()),
-			event.F("databases", databases), event.F("proven", proven))
+		f.logEvent(event.ReadinessChanged, event.F("ready", ready), event.F("configuration", f.ConfigurationVersion()),
+			event.F("databases", databases), event.F("proven", isConfirmed))
 	}
 }
--- a/internal/node/fleet/steward.go
+++ b/internal/node/fleet/steward.go
@@ -15,54 +15,54 @@
 )
 
 const (
-	// inquireTimeout bounds the question for a database's standing.
-	inquireTimeout = 400 * time.Millisecond
+	// controlTimeout bounds the question for a database's standing.
+	controlTimeout = 400 * time.Millisecond
 	// stepDownWait is how long a change waits for the old primary's standing once
 	// nobody uses it any more. One that answers at all answers within it.
 	stepDownWait = 60 * time.Millisecond
-	// catchUpLimit is how long a planned change waits for a replica to receive
+	// catchUpTimeout is how long a planned change waits for a replica to receive
 	// all that the old primary has: several times the delay of a slow link.
-	catchUpLimit = 600 * time.Millisecond
+	catchUpTimeout = 600 * time.Millisecond
 	// promoteTimeout bounds one call to the platform.
 	promoteTimeout = 900 * time.Millisecond
-	// leadTimeout is how long a promoted database may take to lead: three times
+	// becomePrimaryTimeout is how long a promoted database may take to lead: three times
 	// what the platform states.
-	leadTimeout = 3 * time.Second
-	// stewardPause is the pause between two looks during a change.
-	stewardPause = 50 * time.Millisecond
-	// rowSeenWait bounds the wait for one's own row in a view: two reads of it.
-	rowSeenWait = 2 * renewTimeout
+	becomePrimaryTimeout = 3 * time.Second
+	// failoverPollInterval is the pause between two looks during a change.
+	failoverPollInterval = 50 * time.Millisecond
+	// rowVisibleTimeout bounds the wait for one's own row in a view: two reads of it.
+	rowVisibleTimeout = 2 * renewTimeout
 	// challengeWait is how long a challenge of the duty's holder stands before
 	// the challenger takes the duty: the holder sees it within a renewal.
 	challengeWait = 1600 * time.Millisecond
-	// resumeAfter is how long a change that nobody works on rests before this
+	// failoverRetryDelay is how long a change that nobody works on rests before this
 	// instance begins it anew.
-	resumeAfter = 500 * time.Millisecond
+	failoverRetryDelay = 500 * time.Millisecond
 )
 
-// stewardship is the state of the changes that this instance makes.
-type stewardship struct {
-	// busy holds the groups that a goroutine changes; it belongs to the tick.
-	busy map[model.GroupID]chan struct{}
-	// challenge is the version of the duty's row that holds this instance's
-	// challenge, since when.
-	challenge  uint64
-	challenged time.Time
+// coordination is the state of the changes that this instance makes.
+type coordination struct {
+	// active holds the groups that a goroutine changes; it belongs to the tick.
+	active map[model.GroupID]chan struct{}
+	// challengeVersion is the version of the duty's row that holds this instance's
+	// challengeVersion, since when.
+	challengeVersion uint64
+	challengedAt     time.Time
 }
 
-// steward begins changes of primary where they are needed and this instance's
+// startFailovers begins changes of primary where they are needed and this instance's
 // to make.
-func (f *Fleet) steward(ctx context.Context) {
+func (f *Fleet) startFailovers(ctx context.Context) {
 	view := f.Leases.View()
 	if f.leaving.Load() || !f.Leases.IsConfirmed(clock.Now()) {
 		return
 	}
-	f.answerChallenge(ctx, view.CoordinatorLease)
+	f.clearChallenge(ctx, view.CoordinatorLease)
 	for name, row := range view.Rows {
-		if ended, found := f.stewardship.busy[name]; found {
+		if ended, found := f.coordination.active[name]; found {
 			select {
 			case <-ended:
-				delete(f.stewardship.busy, name)
+				delete(f.coordination.active, name)
 			default:
 				continue
 			}
@@ -71,16 +71,16 @@
 		if !needed {
 			reason, needed = succession.FailoverReason(f.evidence(name, row))
 		}
-		if !needed || !f.isSteward(ctx, view.CoordinatorLease) {
+		if !needed || !f.isCoordinator(ctx, view.CoordinatorLease) {
 			continue
 		}
 		ended := make(chan struct{})
-		f.stewardship.busy[name] = ended
+		f.coordination.active[name] = ended
 		f.running.Add(1)
 		go func() {
 			defer f.running.Done()
 			defer close(ended)
-			f.change(ctx, name, row, view.CoordinatorLease, reason)
+			f.failover(ctx, name, row, view.CoordinatorLease, reason)
 		}()
 	}
 }
@@ -88,10 +88,10 @@
 // evidence gathers what is known of a group's primary.
 func (f *Fleet) evidence(name model.GroupID, row lease.GroupRow) succession.Evidence {
 	e := succession.Evidence{}
-	e.Observers, e.UnansweredObservers = f.witnessed(name, row.Epoch, f.Scheduler.FailureDuration(name))
-	for _, note := range f.otherZones(name, row.Epoch) {
-		e.Observers += note.Observers
-		e.UnansweredObservers += note.UnansweredObservers
+	e.Observers, e.UnansweredObservers = f.countObservers(name, row.Epoch, f.Scheduler.FailureDuration(name))
+	for _, groupGossip := range f.otherZoneGossip(name, row.Epoch) {
+		e.Observers += groupGossip.Observers
+		e.UnansweredObservers += groupGossip.UnansweredObservers
 	}
 	for _, d := range f.databasesOf(name) {
 		switch {
@@ -105,23 +105,23 @@
 	return e
 }
 
-// otherZones returns what is known of a group's primary in each other availability
+// otherZoneGossip returns what is known of a group's primary in each other availability
 // zone: the word of the instance there that has heard the most of them.
-func (f *Fleet) otherZones(name model.GroupID, epoch uint64) map[model.ZoneID]message.GroupGossip {
+func (f *Fleet) otherZoneGossip(name model.GroupID, epoch uint64) map[model.ZoneID]message.GroupGossip {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
 	now := clock.Now()
-	notes := map[model.ZoneID]message.GroupGossip{}
+	gossipByZone := map[model.ZoneID]message.GroupGossip{}
 	for _, p := range f.peers.known {
-		zone := p.bulletin.Zone
-		if zone == f.options.Zone || !p.isAlive(now) || p.bulletin.ViewAge >= lease.Duration {
+		zone := p.gossip.Zone
+		if zone == f.options.Zone || !p.isAlive(now) || p.gossip.ViewAge >= lease.Duration {
 			continue
 		}
-		if note, found := p.note(name, epoch); found && note.Observers > notes[zone].Observers {
-			notes[zone] = note
+		if groupGossip, found := p.groupGossip(name, epoch); found && groupGossip.Observers > gossipByZone[zone].Observers {
+			gossipByZone[zone] = groupGossip
 		}
 	}
-	return notes
+	return gossipByZone
 }
 
 // encode writes a value for a row.
@@ -135,10 +135,10 @@
 }
 
 // write carries out a change of the store.
-func (f *Fleet) write(ctx context.Context, change store.Transaction) (uint64, error) {
+func (f *Fleet) write(ctx context.Context, tx store.Transaction) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	version, err := f.options.Store.Write(ctx, change)
-	f.noteStored(err)
+	version, err := f.options.Store.Write(ctx, tx)
+	f.recordStoreOutcome(err)
 	return version, err
 }
--- a/internal/node/fleet/steward_change.go
+++ b/internal/node/fleet/steward_change.go
@@ -15,87 +15,87 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// change replaces the primary of a group.
-func (f *Fleet) change(ctx context.Context, name model.GroupID, row lease.GroupRow, duty lease.CoordinatorLease, reason string) {
-	began, evidence := clock.Now(), f.evidence(name, row)
-	f.note(event.ChangeBegun, event.F("group", name), event.F("epoch", row.Epoch), event.F("primary", row.Primary),
+// failover replaces the primary of a group.
+func (f *Fleet) failover(ctx context.Context, name model.GroupID, row lease.GroupRow, coordinatorLease lease.CoordinatorLease, reason string) {
+	startedAt, evidence := clock.Now(), f.evidence(name, row)
+	f.logEvent(event.ChangeBegun, event.F("group", name), event.F("epoch", row.Epoch), event.F("primary", row.Primary),
 		event.F("reason", reason), event.F("witnesses", evidence.Observers), event.F("silent", evidence.UnansweredObservers))
 	record := f.newRecord(name, row, reason, evidence)
-	claimed, ok := f.claim(ctx, name, row, duty, reason)
+	claimed, ok := f.claim(ctx, name, row, coordinatorLease, reason)
 	if !ok {
 		return
 	}
-	answers := f.inquirePrimary(ctx, name, row.Primary)
-	f.awaitRevoked(ctx, name, claimed.Version, duty.Holder == f.options.StartID)
-	old := f.stepDown(ctx, name, answers)
-	if !old.IsZero() {
-		record.FencedDatabases = []engine.FencedDatabase{{Database: row.Primary, Position: old.String()}}
+	primaryStatus := f.queryPrimary(ctx, name, row.Primary)
+	f.awaitRevoked(ctx, name, claimed.Version, coordinatorLease.Holder == f.options.StartID)
+	oldPosition := f.stepDown(ctx, name, primaryStatus)
+	if !oldPosition.IsZero() {
+		record.FencedDatabases = []engine.FencedDatabase{{Database: row.Primary, Position: oldPosition.String()}}
 	}
-	chosen, ok := f.choose(ctx, name, claimed, old)
+	chosen, ok := f.chooseSuccessor(ctx, name, claimed, oldPosition)
 	if !ok {
-		f.note(event.ChangeFailed, event.F("group", name), event.F("why", "no database can take over"))
-		sleep(ctx, resumeAfter)
+		f.logEvent(event.ChangeFailed, event.F("group", name), event.F("why", "no database can take over"))
+		sleep(ctx, failoverRetryDelay)
 		return
 	}
-	term := chosen.standing.Term
-	if !chosen.leads {
-		term, ok = f.promote(ctx, name, chosen.standingOf)
+	term := chosen.status.Term
+	if !chosen.isPrimary {
+		term, ok = f.promote(ctx, name, chosen.databaseStatus)
 	}
 	if !ok {
-		sleep(ctx, resumeAfter)
+		sleep(ctx, failoverRetryDelay)
 		return
 	}
-	next := lease.GroupRow{
+	newRow := lease.GroupRow{
 		Epoch: claimed.Epoch + 1, Phase: lease.PhaseStable, Primary: chosen.database.ID, Term: term,
 		Coordinator: f.options.StartID, Reason: reason,
 	}
-	record.Primary, record.Term, record.Position = chosen.database.ID, term, chosen.standing.ReceivedPosition.String()
+	record.Primary, record.Term, record.Position = chosen.database.ID, term, chosen.status.ReceivedPosition.String()
 	record.PromotedAt = time.Now()
-	for ctx.Err() == nil && !f.finish(ctx, name, claimed, next, record) {
-		sleep(ctx, stewardPause)
+	for ctx.Err() == nil && !f.recordNewPrimary(ctx, name, claimed, newRow, record) {
+		sleep(ctx, failoverPollInterval)
 	}
-	f.note(event.ChangeEnded, event.F("group", name), event.F("epoch", next.Epoch), event.F("primary", chosen.database.ID),
-		event.F("before", row.Primary), event.F("term", term), event.F("received", chosen.standing.ReceivedPosition.String()),
-		event.F("took", clock.Since(began).String()))
-	f.awaitEpoch(ctx, name, next.Epoch)
+	f.logEvent(event.ChangeEnded, event.F("group", name), event.F("epoch", newRow.Epoch), event.F("primary", chosen.database.ID),
+		event.F("before", row.Primary), event.F("term", term), event.F("received", chosen.status.ReceivedPosition.String()),
+		event.F("took", clock.Since(startedAt).String()))
+	f.awaitEpoch(ctx, name, newRow.Epoch)
 }
 
 // awaitEpoch waits until the view shows an epoch of a group's row, for rowSeenWait
 // at most: an older view would have this instance begin the change once more.
 func (f *Fleet) awaitEpoch(ctx context.Context, name model.GroupID, epoch uint64) {
-	deadline := clock.Now().Add(rowSeenWait)
+	deadline := clock.Now().Add(rowVisibleTimeout)
 	for ctx.Err() == nil && clock.Now().Before(deadline) {
 		if row, found := f.Leases.Row(name); found && row.Epoch >= epoch {
 			return
 		}
-		sleep(ctx, stewardPause/2)
+		sleep(ctx, failoverPollInterval/2)
 	}
 }
 
 // awaitRevoked waits until no instance uses the old primary and no earlier holder
 // of the duty acts: all views from before the claim have run out, or, where this
 // instance held the duty already, all members say that they have seen the claim.
-func (f *Fleet) awaitRevoked(ctx context.Context, name model.GroupID, version uint64, held bool) {
-	began := clock.Now()
-	for clock.Since(began) < lease.Duration && ctx.Err() == nil {
-		changed := f.peers.awaitNews()
-		if held && f.areRevoked(version) {
+func (f *Fleet) awaitRevoked(ctx context.Context, name model.GroupID, version uint64, wasHolder bool) {
+	startedAt := clock.Now()
+	for clock.Since(startedAt) < lease.Duration && ctx.Err() == nil {
+		gossipReceived := f.peers.nextGossip()
+		if wasHolder && f.isSeenByAll(version) {
 			break
 		}
-		left := time.NewTimer(lease.Duration - clock.Since(began))
+		expiry := time.NewTimer(lease.Duration - clock.Since(startedAt))
 		select {
-		case <-changed:
-		case <-left.C:
+		case <-gossipReceived:
+		case <-expiry.C:
 		case <-ctx.Done():
 		}
-		left.Stop()
+		expiry.Stop()
 	}
-	f.note(event.LeasesRevoked, event.F("group", name), event.F("waited", clock.Since(began).String()))
+	f.logEvent(event.LeasesRevoked, event.F("group", name), event.F("waited", clock.Since(startedAt).String()))
 }
 
-// areRevoked reports whether all members have seen a version of the table of
+// isSeenByAll reports whether all members have seen a version of the table of
 // groups. The members are those of a read after it.
-func (f *Fleet) areRevoked(version uint64) bool {
+func (f *Fleet) isSeenByAll(version uint64) bool {
 	if f.Leases.View().Version < version {
 		return false
 	}
@@ -104,15 +104,15 @@
 	if f.peers.membersVersion < version {
 		return false
 	}
-	seen, floors := f.peers.seen(), map[model.ZoneID]uint64{}
+	viewVersions, zoneMinVersions := f.peers.viewVersions(), map[model.ZoneID]uint64{}
 	for _, p := range f.peers.known {
-		zone := p.bulletin.Zone
-		if p.bulletin.MinViewMembersHash == f.peers.membersOf(f.options, zone) {
-			floors[zone] = max(floors[zone], p.bulletin.MinViewVersion)
+		zone := p.gossip.Zone
+		if p.gossip.MinViewMembersHash == f.peers.membersHash(f.options, zone) {
+			zoneMinVersions[zone] = max(zoneMinVersions[zone], p.gossip.MinViewVersion)
 		}
 	}
 	for name, m := range f.peers.members {
-		if seen[name] < version && floors[m.Zone] < version {
+		if viewVersions[name] < version && zoneMinVersions[m.Zone] < version {
 			return false
 		}
 	}
@@ -121,81 +121,81 @@
 
 // claim marks the group's row as changing and makes this instance the holder of
 // the duty, in one transaction. It returns the row as written.
-func (f *Fleet) claim(ctx context.Context, name model.GroupID, row lease.GroupRow, duty lease.CoordinatorLease, reason string) (lease.GroupRow, bool) {
+func (f *Fleet) claim(ctx context.Context, name model.GroupID, row lease.GroupRow, coordinatorLease lease.CoordinatorLease, reason string) (lease.GroupRow, bool) {
 	claimed := lease.GroupRow{
 		Epoch: row.Epoch + 1, Phase: lease.PhaseChanging, Primary: row.Primary, Term: row.Term,
 		Coordinator: f.options.StartID, Reason: reason,
 	}
-	change := store.Transaction{
+	tx := store.Transaction{
 		Preconditions: []store.Row{
 			{Table: groupTable, Key: groupKey(name), Version: row.Version},
-			{Table: groupTable, Key: dutyKey, Version: duty.Version},
+			{Table: groupTable, Key: coordinatorLeaseKey, Version: coordinatorLease.Version},
 		},
 		Upserts: []store.Row{{Table: groupTable, Key: groupKey(name), Value: f.encode(&claimed)}},
 	}
-	if duty.Holder != f.options.StartID {
-		mine := lease.CoordinatorLease{Holder: f.options.StartID, HolderName: f.options.InstanceName, FencingToken: duty.FencingToken + 1}
-		change.Upserts = append(change.Upserts, store.Row{Table: groupTable, Key: dutyKey, Value: f.encode(&mine)})
+	if coordinatorLease.Holder != f.options.StartID {
+		ownLease := lease.CoordinatorLease{Holder: f.options.StartID, HolderName: f.options.InstanceName, FencingToken: coordinatorLease.FencingToken + 1}
+		tx.Upserts = append(tx.Upserts, store.Row{Table: groupTable, Key: coordinatorLeaseKey, Value: f.encode(&ownLease)})
 	}
-	version, err := f.write(ctx, change)
-	f.noteRow(name, claimed, err)
-	f.wantRenewal()
+	version, err := f.write(ctx, tx)
+	f.logRowWrite(name, claimed, err)
+	f.requestRenewal()
 	if err == nil {
 		claimed.Version = version
 		return claimed, true
 	}
 	// A claim of unknown outcome is found by the next look at the rows, which
 	// shows a change that is left unfinished.
-	sleep(ctx, resumeAfter)
+	sleep(ctx, failoverRetryDelay)
 	return claimed, false
 }
 
-// finish writes the row of the new primary and the record of the change. It
+// recordNewPrimary writes the row of the new primary and the record of the change. It
 // reports true also where another instance has gone on with the change.
-func (f *Fleet) finish(ctx context.Context, name model.GroupID, claimed, next lease.GroupRow, record engine.PromotionRecord) bool {
+func (f *Fleet) recordNewPrimary(ctx context.Context, name model.GroupID, claimed, newRow lease.GroupRow, record engine.PromotionRecord) bool {
 	_, err := f.write(ctx, store.Transaction{
 		Preconditions: []store.Row{{Table: groupTable, Key: groupKey(name), Version: claimed.Version}},
 		Upserts: []store.Row{
-			{Table: groupTable, Key: groupKey(name), Value: f.encode(&next)},
-			f.recordRow(record, next.Epoch),
+			{Table: groupTable, Key: groupKey(name), Value: f.encode(&newRow)},
+			f.recordRow(record, newRow.Epoch),
 		},
 	})
-	f.noteRow(name, next, err)
-	f.wantRenewal()
+	f.logRowWrite(name, newRow, err)
+	f.requestRenewal()
 	return err == nil || store.OutcomeOf(err) == store.OutcomeConflict
 }
 
-// inquirePrimary asks the old primary for its standing while the leases run out;
+// queryPrimary asks the old primary for its standing while the leases run out;
 // the channel gets its answer, if there is one.
-func (f *Fleet) inquirePrimary(ctx context.Context, name model.GroupID, id model.DatabaseID) <-chan standingOf {
-	answers := make(chan standingOf, 1)
+func (f *Fleet) queryPrimary(ctx context.Context, name model.GroupID, id model.DatabaseID) <-chan databaseStatus {
+	statuses := make(chan databaseStatus, 1)
 	for _, d := range f.databasesOf(name) {
 		if d.ID != id {
 			continue
 		}
 		go func() {
-			if standing, err := f.ask(ctx, d, statement.QueryStatus{}); err == nil {
-				answers <- standingOf{database: d, standing: standing}
+			if status, err := f.sendControl(ctx, d, statement.QueryStatus{}); err == nil {
+				statuses <- databaseStatus{database: d, status: status}
 			}
 		}()
 	}
-	return answers
+	return statuses
 }
 
 // stepDown tells the old primary to lead no more where it answers and still
 // leads, and returns how far its log reaches.
-func (f *Fleet) stepDown(ctx context.Context, name model.GroupID, answers <-chan standingOf) model.Position {
+func (f *Fleet) stepDown(ctx context.Context, name model.GroupID, primaryStatus <-chan databaseStatus) model.Position {
 	wait := time.NewTimer(stepDownWait)
 	defer wait.Stop()
 	select {
-	case old := <-answers:
-		if old.standing.Role != model.RolePrimary {
-			return old.standing.ReceivedPosition
+	case old := <-primaryStatus:
+		if old.status.Role != model.RolePrimary {
+			return old.status.ReceivedPosition
 		}
-		standing, err := f.ask(ctx, old.database, statement.StepDown{Term: old.standing.Term + 1})
-		f.note(event.PrimarySteppedDown, event.F("group", name), event.F("database", old.database.ID),
-			event.F("received", standing.ReceivedPosition.String()), event.F("outcome", outcome(err)))
-		return standing.ReceivedPosition
+		status, err := f.sendControl(ctx, old.database, statement.StepDown{Term: old.status.Term + 1})
+		f.logEvent(event.PrimarySteppedDown, event.F("group", name), event.F("database", old.database.ID),
+			event.F("received", status.ReceivedPosition.String()), event.F("outcome", outcome(err)))
+		return status.ReceivedPosition
 	case <-wait.C:
 		return model.Position{}
 	}
@@ -203,54 +203,54 @@
 
 // successor is the database that takes over.
 type successor struct {
-	standingOf
-	// leads says that an unfinished change has promoted it already.
-	leads bool
+	databaseStatus
+	// isPrimary says that an unfinished change has promoted it already.
+	isPrimary bool
 }
 
-// choose asks the other databases how far their logs reach and returns the one
+// chooseSuccessor asks the other databases how far their logs reach and returns the one
 // to promote. It waits a little for one that has all that the old primary has.
-func (f *Fleet) choose(ctx context.Context, name model.GroupID, row lease.GroupRow, old model.Position) (successor, bool) {
-	deadline := clock.Now().Add(catchUpLimit)
+func (f *Fleet) chooseSuccessor(ctx context.Context, name model.GroupID, row lease.GroupRow, oldPosition model.Position) (successor, bool) {
+	deadline := clock.Now().Add(catchUpTimeout)
 	for {
-		standings := f.inquireAll(ctx, name, row.Primary)
-		leader, hasLeader := soleLeader(standings, f.countOthers(name, row.Primary))
+		statuses := f.queryAllStatus(ctx, name, row.Primary)
+		primary, hasSolePrimary := solePrimary(statuses, f.countOthers(name, row.Primary))
 		var candidates []succession.Candidate
-		for _, s := range standings {
+		for _, s := range statuses {
 			candidates = append(candidates, succession.Candidate{
-				ID: s.database.ID, ReceivedPosition: s.standing.ReceivedPosition, Leaving: s.database.Leaving,
-				IsPrimary: s.standing.Role == model.RolePrimary,
+				ID: s.database.ID, ReceivedPosition: s.status.ReceivedPosition, Leaving: s.database.Leaving,
+				IsPrimary: s.status.Role == model.RolePrimary,
 			})
 		}
-		id, found := succession.ChooseCandidate(candidates, f.acknowledged(name))
-		i := slices.IndexFunc(standings, func(s standingOf) bool { return s.database.ID == id })
-		late := clock.Now().After(deadline) || ctx.Err() != nil
-		if found && (late || !standings[i].standing.ReceivedPosition.Less(old)) {
+		id, found := succession.ChooseCandidate(candidates, f.acknowledgedPosition(name))
+		i := slices.IndexFunc(statuses, func(s databaseStatus) bool { return s.database.ID == id })
+		isOverdue := clock.Now().After(deadline) || ctx.Err() != nil
+		if found && (isOverdue || !statuses[i].status.ReceivedPosition.Less(oldPosition)) {
 			// A term above the old primary's comes from a promotion after it.
-			leads := hasLeader && leader == id && standings[i].standing.Term > row.Term
-			return successor{standingOf: standings[i], leads: leads}, true
+			isPrimary := hasSolePrimary && primary == id && statuses[i].status.Term > row.Term
+			return successor{databaseStatus: statuses[i], isPrimary: isPrimary}, true
 		}
-		if late {
+		if isOverdue {
 			return successor{}, false
 		}
-		sleep(ctx, stewardPause)
+		sleep(ctx, failoverPollInterval)
 	}
 }
 
 // countOthers returns the number of a group's databases but for one.
-func (f *Fleet) countOthers(name model.GroupID, but model.DatabaseID) int {
+func (f *Fleet) countOthers(name model.GroupID, excluded model.DatabaseID) int {
 	count := 0
 	for _, d := range f.databasesOf(name) {
-		if d.ID != but {
+		if d.ID != excluded {
 			count++
 		}
 	}
 	return count
 }
 
-// acknowledged returns the position that the log of a new primary must hold,
-// where the databases promise that a replica has every acknowledged commit.
-func (f *Fleet) acknowledged(name model.GroupID) model.Position {
+// acknowledgedPosition returns the position that the log of a new primary must hold,
+// where the databases promise that a replica has every acknowledgedPosition commit.
+func (f *Fleet) acknowledgedPosition(name model.GroupID) model.Position {
 	f.directory.mu.Lock()
 	synchronous := f.directory.configuration.Groups[name].SynchronousReplication
 	f.directory.mu.Unlock()
@@ -264,32 +264,32 @@
 // promote has the platform promote a database and waits until it leads. It
 // returns the term. The platform changes nothing where the database is the
 // primary already: then no newer term comes in the time that a promotion takes.
-func (f *Fleet) promote(ctx context.Context, name model.GroupID, chosen standingOf) (model.Term, bool) {
-	deadline := clock.Now().Add(leadTimeout)
+func (f *Fleet) promote(ctx context.Context, name model.GroupID, chosen databaseStatus) (model.Term, bool) {
+	deadline := clock.Now().Add(becomePrimaryTimeout)
 	accepted := false
-	var last statement.ServerStatus
+	var lastStatus statement.ServerStatus
 	for clock.Now().Before(deadline) && ctx.Err() == nil {
 		if !accepted {
 			err := f.callPromote(ctx, name, chosen.database.ID)
-			f.note(event.PromotionCalled, event.F("group", name), event.F("database", chosen.database.ID), event.F("outcome", outcome(err)))
+			f.logEvent(event.PromotionCalled, event.F("group", name), event.F("database", chosen.database.ID), event.F("outcome", outcome(err)))
 			if err != nil && store.OutcomeOf(err) == store.OutcomeRefused {
 				return 0, false
 			}
 			if accepted = err == nil; accepted {
-				deadline = clock.Now().Add(leadTimeout)
+				deadline = clock.Now().Add(becomePrimaryTimeout)
 			}
 		}
-		standing, err := f.ask(ctx, chosen.database, statement.QueryStatus{})
-		if err == nil && standing.Role == model.RolePrimary && standing.Term > chosen.standing.Term {
-			return standing.Term, true
+		status, err := f.sendControl(ctx, chosen.database, statement.QueryStatus{})
+		if err == nil && status.Role == model.RolePrimary && status.Term > chosen.status.Term {
+			return status.Term, true
 		}
-		last = standing
-		sleep(ctx, stewardPause)
+		lastStatus = status
+		sleep(ctx, failoverPollInterval)
 	}
-	if accepted && ctx.Err() == nil && last.Role == model.RolePrimary {
-		return last.Term, true
+	if accepted && ctx.Err() == nil && lastStatus.Role == model.RolePrimary {
+		return lastStatus.Term, true
 	}
-	f.note(event.ChangeFailed, event.F("group", name), event.F("why", "the promoted database does not lead"))
+	f.logEvent(event.ChangeFailed, event.F("group", name), event.F("why", "the promoted database does not lead"))
 	return 0, false
 }
 
@@ -303,16 +303,16 @@
 	if view.CoordinatorLease.Holder != f.options.StartID {
 		return &store.Error{Outcome: store.OutcomeRefused, Cause: &CoordinatorReplacedError{Holder: view.CoordinatorLease.Holder}}
 	}
-	left := view.ReadStartedAt.Add(lease.Duration).Sub(clock.Now())
-	ctx, cancel := context.WithTimeout(ctx, min(left, promoteTimeout))
+	remaining := view.ReadStartedAt.Add(lease.Duration).Sub(clock.Now())
+	ctx, cancel := context.WithTimeout(ctx, min(remaining, promoteTimeout))
 	defer cancel()
 	return f.options.Promoter.Promote(ctx, store.Promotion{
 		Group: name, Database: id, Holder: view.CoordinatorLease.HolderName, FencingToken: view.CoordinatorLease.FencingToken,
 	})
 }
 
-func (f *Fleet) noteRow(name model.GroupID, row lease.GroupRow, err error) {
-	f.note(event.GroupRowWritten,
+func (f *Fleet) logRowWrite(name model.GroupID, row lease.GroupRow, err error) {
+	f.logEvent(event.GroupRowWritten,
 		event.F("group", name), event.F("epoch", row.Epoch), event.F("phase", row.Phase.String()),
 		event.F("primary", row.Primary), event.F("term", row.Term), event.F("reason", row.Reason),
 		event.F("outcome", outcome(err)))
--- a/internal/node/fleet/steward_duty.go
+++ b/internal/node/fleet/steward_duty.go
@@ -10,70 +10,70 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// isSteward reports whether changes of primary are this instance's to make: it
+// isCoordinator reports whether changes of primary are this instance's to make: it
 // holds the duty, or the holder is not there and it is the first of those that
 // are. Without a majority that does not hear the holder, it is challenged first.
-func (f *Fleet) isSteward(ctx context.Context, duty lease.CoordinatorLease) bool {
+func (f *Fleet) isCoordinator(ctx context.Context, held lease.CoordinatorLease) bool {
 	switch {
-	case duty.Holder == f.options.StartID:
+	case held.Holder == f.options.StartID:
 		return true
 	case !f.isFirst():
 		return false
-	case duty.Holder == "":
+	case held.Holder == "":
 		return true
-	case f.hears(duty.Holder) || f.peersHear(duty.Holder):
+	case f.isAvailable(held.Holder) || f.isReportedAlive(held.Holder):
 		return false
-	case f.isMajority():
+	case f.isMajorityAlive():
 		return true
 	default:
-		return f.hasChallenged(ctx, duty)
+		return f.hasChallenged(ctx, held)
 	}
 }
 
 // hasChallenged reports whether this instance's challenge of the holder has stood
 // for long; it makes one where there is none.
-func (f *Fleet) hasChallenged(ctx context.Context, duty lease.CoordinatorLease) bool {
-	s := &f.stewardship
-	if s.challenge == duty.Version {
-		return clock.Since(s.challenged) > challengeWait
+func (f *Fleet) hasChallenged(ctx context.Context, held lease.CoordinatorLease) bool {
+	c := &f.coordination
+	if c.challengeVersion == held.Version {
+		return clock.Since(c.challengedAt) > challengeWait
 	}
-	duty.Challenger = f.options.StartID
-	if version, err := f.writeDuty(ctx, duty); err == nil {
-		s.challenge, s.challenged = version, clock.Now()
+	held.Challenger = f.options.StartID
+	if version, err := f.writeCoordinatorLease(ctx, held); err == nil {
+		c.challengeVersion, c.challengedAt = version, clock.Now()
 	}
 	return false
 }
 
-// answerChallenge takes a challenge of this instance as the duty's holder away.
-func (f *Fleet) answerChallenge(ctx context.Context, duty lease.CoordinatorLease) {
-	if duty.Holder != f.options.StartID || duty.Challenger == "" {
+// clearChallenge takes a challenge of this instance as the duty's holder away.
+func (f *Fleet) clearChallenge(ctx context.Context, held lease.CoordinatorLease) {
+	if held.Holder != f.options.StartID || held.Challenger == "" {
 		return
 	}
-	duty.Challenger = ""
+	held.Challenger = ""
 	// Where the write fails, the next view shows the challenge again.
-	_, _ = f.writeDuty(ctx, duty)
+	_, _ = f.writeCoordinatorLease(ctx, held)
 }
 
-// writeDuty replaces the duty's row as it was seen.
-func (f *Fleet) writeDuty(ctx context.Context, duty lease.CoordinatorLease) (uint64, error) {
+// writeCoordinatorLease replaces the duty's row as it was seen.
+func (f *Fleet) writeCoordinatorLease(ctx context.Context, updated lease.CoordinatorLease) (uint64, error) {
 	version, err := f.write(ctx, store.Transaction{
-		Preconditions: []store.Row{{Table: groupTable, Key: dutyKey, Version: duty.Version}},
-		Upserts:       []store.Row{{Table: groupTable, Key: dutyKey, Value: f.encode(&duty)}},
+		Preconditions: []store.Row{{Table: groupTable, Key: coordinatorLeaseKey, Version: updated.Version}},
+		Upserts:       []store.Row{{Table: groupTable, Key: coordinatorLeaseKey, Value: f.encode(&updated)}},
 	})
-	f.note(event.CoordinatorLeaseWritten, event.F("holder", duty.Holder), event.F("token", duty.FencingToken),
-		event.F("challenger", duty.Challenger), event.F("outcome", outcome(err)))
-	f.wantRenewal()
+	f.logEvent(event.CoordinatorLeaseWritten, event.F("holder", updated.Holder), event.F("token", updated.FencingToken),
+		event.F("challenger", updated.Challenger), event.F("outcome", outcome(err)))
+	f.requestRenewal()
 	return version, err
 }
 
-// peersHear reports whether a live peer has heard the holder of the duty. The
+// isReportedAlive reports whether a live peer has heard the holder of the duty. The
 // holder's word of itself does not count: it was heard here already.
-func (f *Fleet) peersHear(holder model.InstanceID) bool {
+func (f *Fleet) isReportedAlive(holder model.InstanceID) bool {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
 	now := clock.Now()
 	for id, p := range f.peers.known {
-		if id != holder && p.isAlive(now) && p.bulletin.CoordinatorLease.Holder == holder && p.bulletin.HolderAlive {
+		if id != holder && p.isAlive(now) && p.gossip.CoordinatorLease.Holder == holder && p.gossip.HolderAlive {
 			return true
 		}
 	}
--- a/internal/node/fleet/steward_test.go
+++ b/internal/node/fleet/steward_test.go
@@ -26,23 +26,23 @@
 		"another one tells of a former": {message.GossipState{StoreReachable: false}, message.GossipState{HolderAlive: true, CoordinatorLease: lease.CoordinatorLease{Holder: "z1-9"}}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newMember(1, 3)
+			f := newUnstartedFleet(1, 3)
 			c.holder.CoordinatorLease.Holder = holder
 			if c.witness.CoordinatorLease.Holder == "" {
 				c.witness.CoordinatorLease.Holder = holder
 			}
-			f.tell(holder, c.holder)
-			f.tell(witness, c.witness)
-			if diff := cmp.Diff(c.want, f.hears(holder) || f.peersHear(holder)); diff != "" {
+			f.receiveGossip(holder, c.holder)
+			f.receiveGossip(witness, c.witness)
+			if diff := cmp.Diff(c.want, f.isAvailable(holder) || f.isReportedAlive(holder)); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
-	f := newMember(1, 3)
-	told := []bool{f.hears(f.options.StartID)}
-	f.stored.Store(true)
-	told = append(told, f.hears(f.options.StartID))
-	if diff := cmp.Diff([]bool{false, true}, told); diff != "" {
+	f := newUnstartedFleet(1, 3)
+	available := []bool{f.isAvailable(f.options.StartID)}
+	f.storeReachable.Store(true)
+	available = append(available, f.isAvailable(f.options.StartID))
+	if diff := cmp.Diff([]bool{false, true}, available); diff != "" {
 		t.Errorf("of itself: %s", diff)
 	}
 }
--- a/internal/node/fleet/survey.go
+++ b/internal/node/fleet/survey.go
@@ -15,16 +15,16 @@
 const (
 	// surveyPause is the pause after a survey that proved nothing.
 	surveyPause = 25 * time.Millisecond
-	// surveyFor is how long after the last proven view the list of databases is
+	// maxSurveyViewAge is how long after the last proven view the list of databases is
 	// trusted to be whole: a database that registers itself later could be
 	// promoted without being asked.
-	surveyFor = 15 * time.Second
-	// toldWait bounds the wait for the survey of a peer: a question to databases
+	maxSurveyViewAge = 15 * time.Second
+	// peerSurveyTimeout bounds the wait for the survey of a peer: a question to databases
 	// and the way to the peer and back. After it the databases are asked here.
-	toldWait = inquireTimeout + 100*time.Millisecond
-	// surveyRecent is how long after a survey that proved a primary the
+	peerSurveyTimeout = controlTimeout + 100*time.Millisecond
+	// recentSurveyAge is how long after a survey that proved a primary the
 	// instance counts as able to prove them.
-	surveyRecent = 600 * time.Millisecond
+	recentSurveyAge = 600 * time.Millisecond
 )
 
 // surveys proves primaries while neither the store nor a peer can: where all
@@ -35,43 +35,43 @@
 type surveys struct {
 	mu     sync.Mutex
 	rounds map[model.GroupID]*round
-	// proved is when a round last proved each group's primary.
-	proved map[model.GroupID]time.Time
-	// asked holds the questions to peers that wait for their answers.
-	asked map[time.Duration]chan message.PrimarySurveyResponse
+	// confirmed is when a round last confirmed each group's primary.
+	confirmed map[model.GroupID]time.Time
+	// pending holds the questions to peers that wait for their answers.
+	pending map[time.Duration]chan message.PrimarySurveyResponse
 }
 
 // round is one question to all databases of a group, for all that wait.
 type round struct {
-	began time.Time
-	done  chan struct{}
+	startedAt time.Time
+	done      chan struct{}
 	// primary leads alone where proved is set.
-	primary model.DatabaseID
-	proved  bool
+	primary   model.DatabaseID
+	confirmed bool
 }
 
 // confirm reports whether a round that began after answered has shown the
 // primary of grant to lead alone.
-func (s *surveys) confirm(ctx context.Context, f *Fleet, grant lease.Grant, answered time.Time) bool {
-	r, found := s.after(ctx, f, grant.Group, answered)
-	return found && r.proved && r.primary == grant.Primary
+func (s *surveys) confirm(ctx context.Context, f *Fleet, grant lease.Grant, answeredAt time.Time) bool {
+	r, found := s.roundAfter(ctx, f, grant.Group, answeredAt)
+	return found && r.confirmed && r.primary == grant.Primary
 }
 
-// after returns the first round that began after a moment, unless ctx ends before
+// roundAfter returns the first round that began roundAfter a moment, unless ctx ends before
 // it does.
-func (s *surveys) after(ctx context.Context, f *Fleet, name model.GroupID, moment time.Time) (*round, bool) {
+func (s *surveys) roundAfter(ctx context.Context, f *Fleet, name model.GroupID, moment time.Time) (*round, bool) {
 	for ctx.Err() == nil {
-		r, mine := s.join(name)
-		if mine {
-			f.survey(ctx, name, r)
-			s.end(name, r)
+		r, isNew := s.join(name)
+		if isNew {
+			f.runRound(ctx, name, r)
+			s.endRound(name, r)
 		}
 		select {
 		case <-r.done:
 		case <-ctx.Done():
 			return nil, false
 		}
-		if r.began.After(moment) {
+		if r.startedAt.After(moment) {
 			return r, true
 		}
 	}
@@ -86,17 +86,17 @@
 	if r, found := s.rounds[name]; found {
 		return r, false
 	}
-	r := &round{began: clock.Now(), done: make(chan struct{})}
+	r := &round{startedAt: clock.Now(), done: make(chan struct{})}
 	s.rounds[name] = r
 	return r, true
 }
 
-func (s *surveys) end(name model.GroupID, r *round) {
+func (s *surveys) endRound(name model.GroupID, r *round) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.rounds, name)
-	if r.proved {
-		s.proved[name] = clock.Now()
+	if r.confirmed {
+		s.confirmed[name] = clock.Now()
 	}
 	close(r.done)
 }
@@ -105,112 +105,112 @@
 func (s *surveys) isRecent(now time.Time, name model.GroupID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Sub(s.proved[name]) < surveyRecent
+	return now.Sub(s.confirmed[name]) < recentSurveyAge
 }
 
-// run runs a round unless one is running.
-func (s *surveys) run(ctx context.Context, f *Fleet, name model.GroupID) {
-	if r, mine := s.join(name); mine {
-		f.survey(ctx, name, r)
-		s.end(name, r)
+// runIfIdle runs a round unless one is running.
+func (s *surveys) runIfIdle(ctx context.Context, f *Fleet, name model.GroupID) {
+	if r, isNew := s.join(name); isNew {
+		f.runRound(ctx, name, r)
+		s.endRound(name, r)
 	}
 }
 
-// survey runs a round. It outlives the request that began it, since others wait
+// runRound runs a round. It outlives the request that began it, since others wait
 // for it as well.
-func (f *Fleet) survey(ctx context.Context, name model.GroupID, r *round) {
+func (f *Fleet) runRound(ctx context.Context, name model.GroupID, r *round) {
 	ctx = context.WithoutCancel(ctx)
 	view := f.Leases.View()
-	if !view.IsMember || clock.Since(view.ReadStartedAt) > surveyFor {
+	if !view.IsMember || clock.Since(view.ReadStartedAt) > maxSurveyViewAge {
 		return
 	}
-	if told, found := f.askSurvey(ctx, name); found {
-		r.primary, r.proved = told.Primary, told.Confirmed
+	if response, found := f.requestPeerSurvey(ctx, name); found {
+		r.primary, r.confirmed = response.Primary, response.Confirmed
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, inquireTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	databases := f.databasesOf(name)
-	standings := f.inquireAll(ctx, name, "")
-	r.primary, r.proved = soleLeader(standings, len(databases))
-	f.note(event.GroupSurveyed, event.F("group", name), event.F("databases", len(databases)),
-		event.F("answered", len(standings)), event.F("primary", r.primary), event.F("proved", r.proved),
+	statuses := f.queryAllStatus(ctx, name, "")
+	r.primary, r.confirmed = solePrimary(statuses, len(databases))
+	f.logEvent(event.GroupSurveyed, event.F("group", name), event.F("databases", len(databases)),
+		event.F("answered", len(statuses)), event.F("primary", r.primary), event.F("proved", r.confirmed),
 		event.F("age", clock.Since(view.ReadStartedAt).String()))
 }
 
-// askSurvey has the first instance of the own availability zone survey a group,
+// requestPeerSurvey has the first instance of the own availability zone survey a group,
 // where that is another one. What it then finds holds for all that was answered
 // before it was asked.
-func (f *Fleet) askSurvey(ctx context.Context, name model.GroupID) (message.PrimarySurveyResponse, bool) {
-	near, isNear := f.firstOf(func(p *peer) bool { return p.bulletin.Zone == f.options.Zone })
-	if isNear {
+func (f *Fleet) requestPeerSurvey(ctx context.Context, name model.GroupID) (message.PrimarySurveyResponse, bool) {
+	zoneFirst, isZoneFirst := f.firstOf(func(p *peer) bool { return p.gossip.Zone == f.options.Zone })
+	if isZoneFirst {
 		return message.PrimarySurveyResponse{}, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, toldWait)
+	ctx, cancel := context.WithTimeout(ctx, peerSurveyTimeout)
 	defer cancel()
-	sent, answer := sinceBoot(clock.Now()), make(chan message.PrimarySurveyResponse, 1)
+	sentAt, answered := sinceBoot(clock.Now()), make(chan message.PrimarySurveyResponse, 1)
 	f.surveys.mu.Lock()
-	f.surveys.asked[sent] = answer
+	f.surveys.pending[sentAt] = answered
 	f.surveys.mu.Unlock()
 	defer func() {
 		f.surveys.mu.Lock()
 		defer f.surveys.mu.Unlock()
-		delete(f.surveys.asked, sent)
+		delete(f.surveys.pending, sentAt)
 	}()
-	f.peers.links.HandleAction(message.SendPeer{To: near, Body: message.PrimarySurveyRequest{Group: name, SenderClock: sent}})
+	f.peers.links.HandleAction(message.SendPeer{To: zoneFirst, Body: message.PrimarySurveyRequest{Group: name, SenderClock: sentAt}})
 	select {
-	case told := <-answer:
-		return told, told.Group == name
+	case response := <-answered:
+		return response, response.Group == name
 	case <-ctx.Done():
 		return message.PrimarySurveyResponse{}, false
 	}
 }
 
-// hearSurvey passes a peer's answer on to whoever waits for it.
-func (f *Fleet) hearSurvey(told message.PrimarySurveyResponse) {
+// handleSurveyResponse passes a peer's answer on to whoever waits for it.
+func (f *Fleet) handleSurveyResponse(response message.PrimarySurveyResponse) {
 	f.surveys.mu.Lock()
 	defer f.surveys.mu.Unlock()
-	if answer, waits := f.surveys.asked[told.SenderClock]; waits {
+	if answer, found := f.surveys.pending[response.SenderClock]; found {
 		// It has room for one; a second answer to the same question is dropped.
 		select {
-		case answer <- told:
+		case answer <- response:
 		default:
 		}
 	}
 }
 
 // answerSurvey surveys a group for a peer.
-func (f *Fleet) answerSurvey(from model.InstanceID, wanted message.PrimarySurveyRequest) {
-	heard := clock.Now()
+func (f *Fleet) answerSurvey(from model.InstanceID, request message.PrimarySurveyRequest) {
+	receivedAt := clock.Now()
 	f.running.Add(1)
 	go func() {
 		defer f.running.Done()
-		ctx, cancel := context.WithTimeout(f.life, toldWait)
+		ctx, cancel := context.WithTimeout(f.lifetime, peerSurveyTimeout)
 		defer cancel()
-		told := message.PrimarySurveyResponse{Group: wanted.Group, SenderClock: wanted.SenderClock}
-		if r, found := f.surveys.after(ctx, f, wanted.Group, heard); found {
-			told.Primary, told.Confirmed = r.primary, r.proved
+		response := message.PrimarySurveyResponse{Group: request.Group, SenderClock: request.SenderClock}
+		if r, found := f.surveys.roundAfter(ctx, f, request.Group, receivedAt); found {
+			response.Primary, response.Confirmed = r.primary, r.confirmed
 		}
-		f.peers.links.HandleAction(message.SendPeer{To: from, Body: told})
+		f.peers.links.HandleAction(message.SendPeer{To: from, Body: response})
 	}()
 }
 
-// soleLeader returns the database that leads alone, where all have answered and
+// solePrimary returns the database that leads alone, where all have answered and
 // are in one term.
-func soleLeader(standings []standingOf, all int) (model.DatabaseID, bool) {
-	if len(standings) == 0 || len(standings) != all {
+func solePrimary(statuses []databaseStatus, total int) (model.DatabaseID, bool) {
+	if len(statuses) == 0 || len(statuses) != total {
 		return "", false
 	}
-	var leader model.DatabaseID
-	leaders := 0
-	for _, s := range standings {
-		if s.standing.Term != standings[0].standing.Term {
+	var primary model.DatabaseID
+	primaries := 0
+	for _, s := range statuses {
+		if s.status.Term != statuses[0].status.Term {
 			return "", false
 		}
-		if s.standing.Role == model.RolePrimary {
-			leader = s.database.ID
-			leaders++
+		if s.status.Role == model.RolePrimary {
+			primary = s.database.ID
+			primaries++
 		}
 	}
-	return leader, leaders == 1
+	return primary, primaries == 1
 }
--- a/internal/node/fleet/survey_test.go
+++ b/internal/node/fleet/survey_test.go
@@ -13,12 +13,12 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/statement"
 )
 
-// peerThat answers messages to a peer in place of the links.
-type peerThat func(send message.SendPeer)
+// sendFunc answers messages to a peer in place of the links.
+type sendFunc func(send message.SendPeer)
 
 // HandleAction implements Links.
-func (p peerThat) HandleAction(action message.Action) bool {
-	if send, is := action.(message.SendPeer); is {
+func (p sendFunc) HandleAction(action message.Action) bool {
+	if send, ok := action.(message.SendPeer); ok {
 		p(send)
 	}
 	return true
@@ -26,12 +26,12 @@
 
 // The first instance of a zone asks the databases for all of it; where it does not
 // answer, each asks by itself.
-func TestSurveyThroughThePeer(t *testing.T) {
+func TestSurveyThroughPeer(t *testing.T) {
 	grant := lease.Grant{Group: "ratings", Primary: "a", Epoch: 1}
 	for name, c := range map[string]struct {
-		told  *message.PrimarySurveyResponse
-		stale bool
-		want  bool
+		response *message.PrimarySurveyResponse
+		stale    bool
+		want     bool
 	}{
 		"proved":                 {&message.PrimarySurveyResponse{Group: "ratings", Primary: "a", Confirmed: true}, false, true},
 		"another one leads":      {&message.PrimarySurveyResponse{Group: "ratings", Primary: "b", Confirmed: true}, false, false},
@@ -41,20 +41,20 @@
 		"no answer":              {nil, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newMember(5, 9)
-			f.Attach(peerThat(func(send message.SendPeer) {
-				wanted, is := send.Body.(message.PrimarySurveyRequest)
-				if !is || c.told == nil {
+			f := newUnstartedFleet(5, 9)
+			f.Attach(sendFunc(func(send message.SendPeer) {
+				request, is := send.Body.(message.PrimarySurveyRequest)
+				if !is || c.response == nil {
 					return
 				}
-				told := *c.told
-				told.SenderClock = wanted.SenderClock
+				response := *c.response
+				response.SenderClock = request.SenderClock
 				if c.stale {
-					told.SenderClock--
+					response.SenderClock--
 				}
-				go f.Post(message.PeerMessageReceived{From: send.To, Body: told})
+				go f.Post(message.PeerMessageReceived{From: send.To, Body: response})
 			}), idleSessions{})
-			f.tell("z1-1", message.GossipState{})
+			f.receiveGossip("z1-1", message.GossipState{})
 			f.Leases.Update(lease.View{
 				Version: 1, ReadStartedAt: clock.Now(), IsMember: true,
 				Rows: map[model.GroupID]lease.GroupRow{"ratings": {Epoch: 1, Primary: "a"}},
@@ -67,48 +67,48 @@
 }
 
 // A survey for a peer begins after the question was heard.
-func TestSurveyForAPeer(t *testing.T) {
-	f := newMember(1, 3)
+func TestSurveyForPeerStartsAfterRequest(t *testing.T) {
+	f := newUnstartedFleet(1, 3)
 	answers := make(chan message.PrimarySurveyResponse, 1)
-	f.Attach(peerThat(func(send message.SendPeer) {
-		if told, is := send.Body.(message.PrimarySurveyResponse); is {
-			answers <- told
+	f.Attach(sendFunc(func(send message.SendPeer) {
+		if response, is := send.Body.(message.PrimarySurveyResponse); is {
+			answers <- response
 		}
 	}), idleSessions{})
-	running, mine := f.surveys.join("ratings")
-	if !mine {
+	running, isNew := f.surveys.join("ratings")
+	if !isNew {
 		t.Fatal("a round runs already")
 	}
 	f.Post(message.PeerMessageReceived{From: "z1-2", Body: message.PrimarySurveyRequest{Group: "ratings", SenderClock: 7}})
-	running.primary, running.proved = "a", true
-	f.surveys.end("ratings", running)
+	running.primary, running.confirmed = "a", true
+	f.surveys.endRound("ratings", running)
 	if diff := cmp.Diff(message.PrimarySurveyResponse{Group: "ratings", SenderClock: 7}, <-answers); diff != "" {
 		t.Errorf("the round that ran already was taken: %s", diff)
 	}
 }
 
-func TestSoleLeader(t *testing.T) {
-	standing := func(id model.DatabaseID, role model.Role, term model.Term) standingOf {
-		s := standingOf{standing: statement.ServerStatus{Role: role, Term: term}}
+func TestSolePrimary(t *testing.T) {
+	status := func(id model.DatabaseID, role model.Role, term model.Term) databaseStatus {
+		s := databaseStatus{status: statement.ServerStatus{Role: role, Term: term}}
 		s.database.ID = id
 		return s
 	}
-	primary, replica := standing("a", model.RolePrimary, 2), standing("b", model.RoleReplica, 2)
+	primary, replica := status("a", model.RolePrimary, 2), status("b", model.RoleReplica, 2)
 	for name, c := range map[string]struct {
-		heard []standingOf
+		heard []databaseStatus
 		all   int
 		want  bool
 	}{
-		"it leads alone":               {[]standingOf{primary, replica}, 2, true},
-		"one did not answer":           {[]standingOf{primary, replica}, 3, false},
+		"it leads alone":               {[]databaseStatus{primary, replica}, 2, true},
+		"one did not answer":           {[]databaseStatus{primary, replica}, 3, false},
 		"nobody answered":              {nil, 0, false},
-		"one is in another term":       {[]standingOf{primary, standing("c", model.RoleReplica, 3)}, 2, false},
-		"two lead":                     {[]standingOf{primary, standing("c", model.RolePrimary, 2)}, 2, false},
-		"nobody leads":                 {[]standingOf{replica}, 1, false},
-		"a former primary still leads": {[]standingOf{primary, standing("c", model.RolePrimary, 1), replica}, 3, false},
+		"one is in another term":       {[]databaseStatus{primary, status("c", model.RoleReplica, 3)}, 2, false},
+		"two lead":                     {[]databaseStatus{primary, status("c", model.RolePrimary, 2)}, 2, false},
+		"nobody leads":                 {[]databaseStatus{replica}, 1, false},
+		"a former primary still leads": {[]databaseStatus{primary, status("c", model.RolePrimary, 1), replica}, 3, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, got := soleLeader(c.heard, c.all)
+			_, got := solePrimary(c.heard, c.all)
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Error(diff)
 			}
--- a/internal/node/fleet/watch_test.go
+++ b/internal/node/fleet/watch_test.go
@@ -10,7 +10,7 @@
 // One instance asks the store for all: what the others cost is their start.
 func TestCallsDoNotGrowWithInstances(t *testing.T) {
 	const instances, span, changes = 6, 4 * time.Second, 8
-	w := newWorld(t, instances)
+	w := newTestFleets(t, instances)
 	eventually(t, "all to be members", func() bool {
 		for _, f := range w.fleets {
 			if !f.isMember() {
@@ -20,33 +20,33 @@
 		return true
 	})
 	time.Sleep(time.Second)
-	before := w.store.count()
+	initialCalls := w.store.callCount()
 	for range changes {
 		w.store.put("databases", "b", "ratings")
 		time.Sleep(span / changes)
 	}
 	// The first instance reads the groups each renewAge, and watches two tables.
-	most := int(span/renewAge) + 2*int(span/watchWait) + changes + 4
-	if calls := w.store.count() - before; calls > most {
-		t.Errorf("%d calls of %d instances in %v, want %d at most", calls, instances, span, most)
+	maxCalls := int(span/renewAge) + 2*int(span/watchWait) + changes + 4
+	if calls := w.store.callCount() - initialCalls; calls > maxCalls {
+		t.Errorf("%d calls of %d instances in %v, want %d at most", calls, instances, span, maxCalls)
 	}
 	for _, f := range w.fleets {
-		if age := clock.Since(f.configurationConfirmed()); age > spareAge+readTimeout {
+		if age := clock.Since(f.configurationConfirmedAt()); age > fallbackReadAge+readTimeout {
 			t.Errorf("%s has not heard for %v that its configuration is the newest", f.options.InstanceName, age)
 		}
 	}
 }
 
 func TestConfigurationReachesAll(t *testing.T) {
-	for name, disturb := range map[string]func(w *world){
-		"calm":                             func(*world) {},
-		"the first instance is cut off":    func(w *world) { w.hub.setCut("i1", true) },
-		"the others hear nobody":           func(w *world) { w.hub.setCut("i2", true); w.hub.setCut("i3", true) },
-		"the store was away for a moment":  func(w *world) { w.store.down(true); time.Sleep(time.Second); w.store.down(false) },
-		"a database came at the same time": func(w *world) { w.store.put("databases", "b", "ratings") },
+	for name, disturb := range map[string]func(w *testFleets){
+		"calm":                             func(*testFleets) {},
+		"the first instance is cut off":    func(w *testFleets) { w.hub.setPartitioned("i1", true) },
+		"the others hear nobody":           func(w *testFleets) { w.hub.setPartitioned("i2", true); w.hub.setPartitioned("i3", true) },
+		"the store was away for a moment":  func(w *testFleets) { w.store.setDown(true); time.Sleep(time.Second); w.store.setDown(false) },
+		"a database came at the same time": func(w *testFleets) { w.store.put("databases", "b", "ratings") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, 3)
+			w := newTestFleets(t, 3)
 			disturb(w)
 			w.store.put("configurations", "current", "2")
 			for _, f := range w.fleets {
@@ -58,14 +58,14 @@
 
 // An entry that vanishes while nobody watches is noticed by the read that begins
 // the next watch, and peers hear of it.
-func TestVanishedEntryReachesAll(t *testing.T) {
-	w := newWorld(t, 3)
+func TestMissingEntryReachesAll(t *testing.T) {
+	w := newTestFleets(t, 3)
 	for _, f := range w.fleets {
-		eventually(t, "the database", func() bool { return f.isKnown("a") })
+		eventually(t, "the database", func() bool { return f.isConnectable("a") })
 	}
-	w.hub.setCut("i1", true)
+	w.hub.setPartitioned("i1", true)
 	w.store.remove("databases", "a")
 	for _, f := range w.fleets[1:] {
-		eventually(t, "the database to be gone", func() bool { return !f.isKnown("a") })
+		eventually(t, "the database to be gone", func() bool { return !f.isConnectable("a") })
 	}
 }
--- a/internal/node/fleet/world_test.go
+++ b/internal/node/fleet/world_test.go
@@ -20,15 +20,15 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/eventlog"
 )
 
-// soon bounds what a test waits for: far more than it takes on a busy machine.
-const soon = 30 * time.Second
+// eventuallyTimeout bounds what a test waits for: far more than it takes on a busy machine.
+const eventuallyTimeout = 30 * time.Second
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(soon); !holds(); time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("not in time: %s", what)
+	for deadline := time.Now().Add(eventuallyTimeout); !holds(); time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatalf("not in time: %s", condition)
 		}
 	}
 }
@@ -70,21 +70,21 @@
 	s.set(store.Row{Table: table, Key: key, Deleted: true})
 }
 
-// count returns the number of calls so far.
-func (s *memoryStore) count() int {
+// callCount returns the number of calls so far.
+func (s *memoryStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-func (s *memoryStore) down(isDown bool) {
+func (s *memoryStore) setDown(isDown bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.isDown = isDown
 }
 
-// begin counts a call; the error is that of a store that is down.
-func (s *memoryStore) begin() error {
+// startCall counts a call; the error is that of a store that is down.
+func (s *memoryStore) startCall() error {
 	s.calls++
 	if s.isDown {
 		return &store.Error{Outcome: store.OutcomeRefused, Cause: context.DeadlineExceeded}
@@ -96,15 +96,15 @@
 func (s *memoryStore) Read(_ context.Context, table string) (store.Rows, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.startCall(); err != nil {
 		return store.Rows{}, err
 	}
-	rows := slices.DeleteFunc(s.since(table, 0), func(row store.Row) bool { return row.Deleted })
+	rows := slices.DeleteFunc(s.changedSince(table, 0), func(row store.Row) bool { return row.Deleted })
 	return store.Rows{Version: s.version, Rows: rows}, nil
 }
 
-// since returns the rows of a table that changed after a version.
-func (s *memoryStore) since(table string, after uint64) []store.Row {
+// changedSince returns the rows of a table that changed after a version.
+func (s *memoryStore) changedSince(table string, after uint64) []store.Row {
 	var rows []store.Row
 	for _, row := range s.rows {
 		if row.Table == table && row.Version > after {
@@ -121,11 +121,11 @@
 	defer timer.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.startCall(); err != nil {
 		return store.Rows{}, err
 	}
 	for {
-		if rows := s.since(table, after); len(rows) > 0 {
+		if rows := s.changedSince(table, after); len(rows) > 0 {
 			return store.Rows{Version: s.version, Rows: rows}, nil
 		}
 		changed := s.changed
@@ -149,7 +149,7 @@
 func (s *memoryStore) Write(_ context.Context, change store.Transaction) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := s.begin(); err != nil {
+	if err := s.startCall(); err != nil {
 		return 0, err
 	}
 	for _, row := range change.Preconditions {
@@ -168,14 +168,14 @@
 	return s.version, nil
 }
 
-// testSource decodes a configuration that is only a version, and entries that
+// testSchema decodes a configuration that is only a version, and entries that
 // are only the group.
-type testSource struct{}
+type testSchema struct{}
 
-func (testSource) ConfigurationTable() (table, key string) { return "configurations", "current" }
-func (testSource) DatabaseTable() string                   { return "databases" }
+func (testSchema) ConfigurationTable() (table, key string) { return "configurations", "current" }
+func (testSchema) DatabaseTable() string                   { return "databases" }
 
-func (testSource) DecodeConfiguration(body []byte) (route.Configuration, error) {
+func (testSchema) DecodeConfiguration(body []byte) (route.Configuration, error) {
 	var version uint64
 	if _, err := fmt.Sscan(string(body), &version); err != nil {
 		return route.Configuration{}, err
@@ -183,7 +183,7 @@
 	return route.Configuration{Version: version, Groups: map[model.GroupID]route.Group{"ratings": {MaxConnections: 20}}}, nil
 }
 
-func (testSource) DecodeDatabase(id string, body []byte) (placement.Database, error) {
+func (testSchema) DecodeDatabase(id string, body []byte) (placement.Database, error) {
 	return placement.Database{
 		ID: model.DatabaseID(id), Group: model.GroupID(body), Slots: 3, Address: netip.MustParseAddrPort("127.0.0.1:1"),
 	}, nil
@@ -194,11 +194,11 @@
 	mu     sync.Mutex
 	fleets map[model.InstanceID]*Fleet
 	order  []model.InstanceID
-	// offersTake is the time of an answer with content to the first instance; to
+	// offerDelay is the time of an answer with content to the first instance; to
 	// each further one it takes as much longer.
-	offersTake time.Duration
-	// cut holds the instances that hear nobody, and that nobody hears.
-	cut map[model.InstanceID]bool
+	offerDelay time.Duration
+	// partitioned holds the instances that hear nobody, and that nobody hears.
+	partitioned map[model.InstanceID]bool
 	// sent counts the messages by their type.
 	sent map[reflect.Type]int
 }
@@ -210,35 +210,35 @@
 	clear(h.sent)
 }
 
-// count returns how many messages of a type were sent.
-func (h *hub) count(like message.PeerMessage) int {
+// sentCount returns how many messages of a type were sent.
+func (h *hub) sentCount(sample message.PeerMessage) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.sent[reflect.TypeOf(like)]
+	return h.sent[reflect.TypeOf(sample)]
 }
 
-// hubEnd is one instance's end of a hub.
-type hubEnd struct {
+// hubLinks is one instance's end of a hub.
+type hubLinks struct {
 	hub  *hub
 	self model.InstanceID
 }
 
 // HandleAction implements Links.
-func (e hubEnd) HandleAction(action message.Action) bool {
-	send, is := action.(message.SendPeer)
-	if !is {
+func (e hubLinks) HandleAction(action message.Action) bool {
+	send, ok := action.(message.SendPeer)
+	if !ok {
 		return true
 	}
 	e.hub.mu.Lock()
 	to, found := e.hub.fleets[send.To]
-	isCut := e.hub.cut[e.self] || e.hub.cut[send.To]
+	isPartitioned := e.hub.partitioned[e.self] || e.hub.partitioned[send.To]
 	e.hub.sent[reflect.TypeOf(send.Body)]++
-	takes := e.hub.offersTake * time.Duration(slices.Index(e.hub.order, send.To))
+	delay := e.hub.offerDelay * time.Duration(slices.Index(e.hub.order, send.To))
 	e.hub.mu.Unlock()
-	if found && !isCut {
+	if found && !isPartitioned {
 		go func() {
-			if _, is := send.Body.(message.ManifestOffer); is {
-				time.Sleep(takes)
+			if _, ok := send.Body.(message.ManifestOffer); ok {
+				time.Sleep(delay)
 			}
 			to.Post(message.PeerMessageReceived{From: e.self, Body: send.Body})
 		}()
@@ -246,10 +246,10 @@
 	return true
 }
 
-func (h *hub) setCut(id model.InstanceID, isCut bool) {
+func (h *hub) setPartitioned(id model.InstanceID, isPartitioned bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.cut[id] = isCut
+	h.partitioned[id] = isPartitioned
 }
 
 // idleSessions are sessions of which none is open.
@@ -257,20 +257,20 @@
 
 func (idleSessions) CloseIdleSessions() {}
 
-// world is several fleets with one store.
-type world struct {
+// testFleets is several fleets with one store.
+type testFleets struct {
 	store  *memoryStore
 	hub    *hub
 	fleets []*Fleet
 }
 
-// newWorld starts fleets named i1 and so on, with one group of databases that
+// newTestFleets starts fleets named i1 and so on, with one group of databases that
 // nobody can reach.
-func newWorld(t *testing.T, instances int) *world {
+func newTestFleets(t *testing.T, instances int) *testFleets {
 	t.Helper()
-	w := &world{
+	w := &testFleets{
 		store: newMemoryStore(),
-		hub:   &hub{fleets: map[model.InstanceID]*Fleet{}, cut: map[model.InstanceID]bool{}, sent: map[reflect.Type]int{}},
+		hub:   &hub{fleets: map[model.InstanceID]*Fleet{}, partitioned: map[model.InstanceID]bool{}, sent: map[reflect.Type]int{}},
 	}
 	w.store.put("configurations", "current", "1")
 	w.store.put("databases", "a", "ratings")
@@ -281,10 +281,10 @@
 		f := New(Options{
 			StartID: name, InstanceName: name, Zone: "lanier", ExpectedInstances: instances, Store: w.store,
 			PeerAddress: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(i+1)),
-			Schema:      testSource{}, MaxConfigurationAge: time.Second,
+			Schema:      testSchema{}, MaxConfigurationAge: time.Second,
 			Log: eventlog.NewWriter(logr.Discard(), eventlog.DefaultLinesPerSecond),
 		})
-		f.Attach(hubEnd{hub: w.hub, self: name}, idleSessions{})
+		f.Attach(hubLinks{hub: w.hub, self: name}, idleSessions{})
 		w.hub.mu.Lock()
 		w.hub.fleets[name] = f
 		w.hub.order = append(w.hub.order, name)
