--- a/internal/node/fleet/directory.go
+++ b/internal/node/fleet/directory.go
@@ -69,8 +69,9 @@
 }
 
 // recordIfDue reports whether a version is to be requested now, and records the
-// request if so. Only one peer at a time is asked for the same version, since
-// all peers that have it announce it at once.
+// request if so. While a request is recent, neither the same version nor an
+// older one is requested from another peer, since all peers that have a version
+// announce it at once.
 func (r *versionRequest) recordIfDue(version uint64, now time.Time) bool {
 	if version <= r.version && now.Sub(r.sentAt) < peerRetryInterval {
 		return false
@@ -83,7 +84,8 @@
 type entry struct {
 	placement.Database
 	version uint64
-	raw     []byte
+	// raw is the entry, encoded as the database wrote it.
+	raw []byte
 	// missingSince is when the entry was found missing, leavingSince when it
 	// first marked the database as leaving; both are zero otherwise.
 	missingSince, leavingSince time.Time
--- a/internal/node/fleet/directory_test.go
+++ b/internal/node/fleet/directory_test.go
@@ -28,17 +28,17 @@
 // its peers announce it.
 func TestConfigurationIsSentOnce(t *testing.T) {
 	const instances = 8
-	w := newTestFleets(t, instances)
-	w.hub.reset()
-	w.hub.mu.Lock()
-	w.hub.offerDelay = 20 * time.Millisecond
-	w.hub.mu.Unlock()
-	w.store.put("configurations", "current", "2")
-	for _, f := range w.fleets {
+	tf := newTestFleets(t, instances)
+	tf.hub.reset()
+	tf.hub.mu.Lock()
+	tf.hub.offerDelay = 20 * time.Millisecond
+	tf.hub.mu.Unlock()
+	tf.store.put("configurations", "current", "2")
+	for _, f := range tf.fleets {
 		eventually(t, "version 2", func() bool { return f.ConfigurationVersion() == 2 })
 	}
 	time.Sleep(gossipInterval)
-	if offers := w.hub.sentCount(message.ManifestOffer{}); offers > instances {
+	if offers := tf.hub.sentCount(message.ManifestOffer{}); offers > instances {
 		t.Errorf("%d messages with one configuration to %d instances", offers, instances)
 	}
 }
@@ -62,7 +62,7 @@
 	f := newUnstartedFleet(5, 9)
 	requests := 0
 	f.Attach(sendFunc(func(send message.SendPeer) {
-		if _, is := send.Body.(message.DatabasesRequest); is {
+		if _, ok := send.Body.(message.DatabasesRequest); ok {
 			requests++
 		}
 	}), idleSessions{})
--- a/internal/node/fleet/fleet.go
+++ b/internal/node/fleet/fleet.go
@@ -1,4 +1,4 @@
-// Package fleet keeps the last observed state of the fleet at one instance: the
+// Package fleet holds the state of the fleet as one instance observes it: the
 // configuration in force, the databases, their primaries, and the other instances.
 //
 // # Data flow
@@ -103,7 +103,7 @@
 	Log                 *eventlog.Writer
 }
 
-// Fleet is what one instance knows of the fleet. New creates one.
+// Fleet is the state of the fleet as one instance observes it. New creates one.
 type Fleet struct {
 	options   Options
 	Leases    *lease.Table
@@ -123,9 +123,10 @@
 	// storeReachable is set if the store has answered the last call.
 	storeReachable atomic.Bool
 	ready          atomic.Bool
-	running        sync.WaitGroup
-	// lifetime is the context of the work that peers request; cancel ends it
-	// when the fleet stops.
+	// running counts the goroutines of the fleet.
+	running sync.WaitGroup
+	// lifetime is the context of work that is started on request, such as
+	// surveys for peers; cancel ends it when the fleet stops.
 	lifetime  context.Context
 	cancel    context.CancelFunc
 	startedAt time.Time
@@ -137,7 +138,7 @@
 	samples   map[model.GroupID]*fresh.PositionSamples
 }
 
-// New returns a Fleet that has not started and knows nothing yet.
+// New returns a Fleet that has not been started and has no state yet.
 func New(options Options) *Fleet {
 	leases := lease.NewTable()
 	lifetime, cancel := context.WithCancel(context.Background())
--- a/internal/node/fleet/logbook.go
+++ b/internal/node/fleet/logbook.go
@@ -38,7 +38,7 @@
 }
 
 // newRecord returns the record of a failover that this instance claims now. The
-// fields of its result are set later.
+// fields about the new primary are set later.
 func (f *Fleet) newRecord(name model.GroupID, row lease.GroupRow, reason string, evidence succession.Evidence) engine.PromotionRecord {
 	now := time.Now()
 	record := engine.PromotionRecord{
--- a/internal/node/fleet/peers.go
+++ b/internal/node/fleet/peers.go
@@ -54,7 +54,7 @@
 	// lostAt holds when a link to an address was last lost or could not be
 	// made.
 	lostAt map[netip.AddrPort]time.Time
-	// viewRequestedAt is when a peer was last asked for its view.
+	// viewRequestedAt is when a view was last requested from a peer.
 	viewRequestedAt time.Time
 	// gossipReceived is closed, and replaced, when gossip is received.
 	gossipReceived chan struct{}
@@ -69,6 +69,8 @@
 
 // peer is the state of another instance.
 type peer struct {
+	// isLinked is set while there is a link; lastMessageAt is when the last
+	// message arrived.
 	isLinked      bool
 	lastMessageAt time.Time
 	gossip        message.GossipState
@@ -147,7 +149,7 @@
 	return ok
 }
 
-// instanceCount returns the number of instanceCount that share the databases.
+// instanceCount returns the number of instances that share the databases.
 func (f *Fleet) instanceCount() int {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
--- a/internal/node/fleet/peers_bulletin.go
+++ b/internal/node/fleet/peers_bulletin.go
@@ -23,8 +23,9 @@
 type groupGossip struct {
 	mu          sync.Mutex
 	groupGossip []message.GroupGossip
-	view        uint64
-	builtAt     time.Time
+	// view is the version of the view whose groups are cached.
+	view    uint64
+	builtAt time.Time
 }
 
 // invalidate makes the next gossip message contain the present state.
@@ -148,9 +149,9 @@
 
 // countObservers counts, in this instance's availability zone, the instances
 // that know whether a group's primary of an epoch answers, and those of them
-// that it does not answer. ownFailure is the failure duration at this instance,
-// negative if it is unknown. Peers whose view is older than a lease do not
-// count, since such a view confirms nothing.
+// that it has not answered for succession.SilenceThreshold. ownFailure is the
+// failure duration at this instance, negative if it is unknown. Peers whose
+// view is older than a lease do not count, since such a view confirms nothing.
 func (f *Fleet) countObservers(name model.GroupID, epoch uint64, ownFailure time.Duration) (observers, unanswered int) {
 	count := func(failureDuration time.Duration) {
 		if failureDuration >= 0 {
@@ -221,7 +222,8 @@
 	return viewVersions
 }
 
-// sinceBoot converts a time of package clock to a form that can be sent.
+// sinceBoot returns a time of package clock as the duration since the clock's
+// zero, a form that can be sent.
 func sinceBoot(t time.Time) time.Duration { return t.Sub(time.Unix(0, 0)) }
 
 // nextGossip returns a channel that is closed when gossip is next received.
--- a/internal/node/fleet/peers_bulletin_test.go
+++ b/internal/node/fleet/peers_bulletin_test.go
@@ -25,8 +25,8 @@
 	ages := []time.Duration{first[0].SampleAge}
 	positions := []uint64{first[0].SampledPosition.Offset}
 	record := func(view lease.View, at time.Time) {
-		note := f.cachedGroupGossip(view, at)[0]
-		ages, positions = append(ages, note.SampleAge), append(positions, note.SampledPosition.Offset)
+		gossip := f.cachedGroupGossip(view, at)[0]
+		ages, positions = append(ages, gossip.SampleAge), append(positions, gossip.SampledPosition.Offset)
 	}
 	record(view, now.Add(maxGroupGossipAge/2))
 	record(view, now.Add(maxGroupGossipAge))
--- a/internal/node/fleet/peers_link_test.go
+++ b/internal/node/fleet/peers_link_test.go
@@ -46,7 +46,7 @@
 // The number of an instance's links must stay bounded as the number of
 // instances grows: only a head links to other zones, and only to their heads.
 func TestLinksOfAnInstance(t *testing.T) {
-	headAddresses := func(zone, from, to int) []netip.AddrPort {
+	addressRange := func(zone, from, to int) []netip.AddrPort {
 		var addresses []netip.AddrPort
 		for i := from; i <= to; i++ {
 			addresses = append(addresses, addressOf(zone, i))
@@ -58,12 +58,12 @@
 		lost       []netip.AddrPort
 		want       []netip.AddrPort
 	}{
-		"all are heads of a small zone":  {1, 2, nil, slices.Concat(headAddresses(1, 2, 2), headAddresses(2, 1, 2), headAddresses(3, 1, 2))},
-		"a head of a large zone":         {1, 9, nil, slices.Concat(headAddresses(1, 2, 3), headAddresses(2, 1, 3), headAddresses(3, 1, 3))},
-		"not a head":                     {5, 9, nil, headAddresses(1, 1, 3)},
-		"not a head, one head lost":      {5, 9, headAddresses(1, 2, 2), headAddresses(1, 1, 4)},
-		"a head in place of a lost one":  {4, 9, headAddresses(1, 2, 2), slices.Concat(headAddresses(1, 1, 3), headAddresses(2, 1, 3), headAddresses(3, 1, 3))},
-		"a head of another zone is lost": {1, 9, headAddresses(3, 1, 1), slices.Concat(headAddresses(1, 2, 3), headAddresses(2, 1, 3), headAddresses(3, 1, 4))},
+		"all are heads of a small zone":  {1, 2, nil, slices.Concat(addressRange(1, 2, 2), addressRange(2, 1, 2), addressRange(3, 1, 2))},
+		"a head of a large zone":         {1, 9, nil, slices.Concat(addressRange(1, 2, 3), addressRange(2, 1, 3), addressRange(3, 1, 3))},
+		"not a head":                     {5, 9, nil, addressRange(1, 1, 3)},
+		"not a head, one head lost":      {5, 9, addressRange(1, 2, 2), addressRange(1, 1, 4)},
+		"a head in place of a lost one":  {4, 9, addressRange(1, 2, 2), slices.Concat(addressRange(1, 1, 3), addressRange(2, 1, 3), addressRange(3, 1, 3))},
+		"a head of another zone is lost": {1, 9, addressRange(3, 1, 1), slices.Concat(addressRange(1, 2, 3), addressRange(2, 1, 3), addressRange(3, 1, 4))},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newUnstartedFleet(c.n, c.perZone)
@@ -94,9 +94,9 @@
 func TestRevocationThroughHeads(t *testing.T) {
 	const version = 20
 	for name, c := range map[string]struct {
-		floor   uint64
-		unknown bool
-		want    bool
+		minViewVersion   uint64
+		hasUnknownMember bool
+		want             bool
 	}{
 		"all have seen it":                {version, false, true},
 		"one of them has an older view":   {version - 1, false, false},
@@ -113,11 +113,11 @@
 				f.receiveGossip(model.InstanceID(fmt.Sprintf("z1-%d", i)), message.GossipState{ViewVersion: version})
 			}
 			for _, zone := range []model.ZoneID{"z2", "z3"} {
-				b := message.GossipState{ViewVersion: version, MinViewVersion: c.floor, MinViewMembersHash: f.peers.membersHash(f.options, zone)}
-				if c.unknown {
-					b.MinViewMembersHash++
+				state := message.GossipState{ViewVersion: version, MinViewVersion: c.minViewVersion, MinViewMembersHash: f.peers.membersHash(f.options, zone)}
+				if c.hasUnknownMember {
+					state.MinViewMembersHash++
 				}
-				f.receiveGossip(model.InstanceID(zone+"-1"), b)
+				f.receiveGossip(model.InstanceID(zone+"-1"), state)
 			}
 			if diff := cmp.Diff(c.want, f.isSeenByAll(version)); diff != "" {
 				t.Error(diff)
@@ -132,11 +132,11 @@
 func TestEvidenceOfAllZones(t *testing.T) {
 	row := lease.GroupRow{Epoch: 4, Primary: "a"}
 	for name, c := range map[string]struct {
-		near, far   time.Duration
-		farCount    [2]int
-		farViewAge  time.Duration
-		needed      bool
-		otherEpochs bool
+		ownZone, otherZone time.Duration
+		otherObservers     [2]int
+		otherViewAge       time.Duration
+		needed             bool
+		isEarlierEpoch     bool
 	}{
 		"unanswered in the own zone only":         {succession.SilenceThreshold, 0, [2]int{9, 0}, 0, false, false},
 		"unanswered in all zones":                 {succession.SilenceThreshold, succession.SilenceThreshold, [2]int{9, 9}, 0, true, false},
@@ -150,16 +150,16 @@
 			f.directory.entries["a"].Group, f.directory.entries["a"].ID = "ratings", "a"
 			f.directory.entries["b"] = &entry{}
 			f.directory.entries["b"].Group, f.directory.entries["b"].ID = "ratings", "b"
-			note := message.GroupGossip{Group: "ratings", Row: row, UnansweredFor: c.near}
-			f.receiveGossip("z1-2", message.GossipState{Groups: []message.GroupGossip{note}})
-			f.receiveGossip("z1-3", message.GossipState{Groups: []message.GroupGossip{note}})
-			note.UnansweredFor, note.Observers, note.UnansweredObservers = c.far, c.farCount[0], c.farCount[1]
-			if c.otherEpochs {
-				note.Row.Epoch--
+			groupGossip := message.GroupGossip{Group: "ratings", Row: row, UnansweredFor: c.ownZone}
+			f.receiveGossip("z1-2", message.GossipState{Groups: []message.GroupGossip{groupGossip}})
+			f.receiveGossip("z1-3", message.GossipState{Groups: []message.GroupGossip{groupGossip}})
+			groupGossip.UnansweredFor, groupGossip.Observers, groupGossip.UnansweredObservers = c.otherZone, c.otherObservers[0], c.otherObservers[1]
+			if c.isEarlierEpoch {
+				groupGossip.Row.Epoch--
 			}
-			f.receiveGossip("z2-1", message.GossipState{Groups: []message.GroupGossip{note}, ViewAge: c.farViewAge})
-			note.Observers, note.UnansweredObservers = 1, 1
-			f.receiveGossip("z2-2", message.GossipState{Groups: []message.GroupGossip{note}, ViewAge: c.farViewAge})
+			f.receiveGossip("z2-1", message.GossipState{Groups: []message.GroupGossip{groupGossip}, ViewAge: c.otherViewAge})
+			groupGossip.Observers, groupGossip.UnansweredObservers = 1, 1
+			f.receiveGossip("z2-2", message.GossipState{Groups: []message.GroupGossip{groupGossip}, ViewAge: c.otherViewAge})
 			if _, needed := succession.FailoverReason(f.evidence("ratings", row)); needed != c.needed {
 				t.Errorf("a failover is needed: %v, want %v (%+v)", needed, c.needed, f.evidence("ratings", row))
 			}
--- a/internal/node/fleet/peers_member.go
+++ b/internal/node/fleet/peers_member.go
@@ -84,8 +84,8 @@
 	return f.peers.isListed && clock.Since(f.peers.membersReadAt) < maxMembersAge
 }
 
-// updateMembers updates the members to those of a version of the table of
-// groups.
+// updateMembers replaces the members by those read at a version of the table of
+// groups, unless members of a newer version are known.
 func (f *Fleet) updateMembers(members map[model.InstanceID]member, version uint64) {
 	_, isListed := members[f.options.InstanceName]
 	delete(members, f.options.InstanceName)
--- a/internal/node/fleet/prove.go
+++ b/internal/node/fleet/prove.go
@@ -90,8 +90,8 @@
 	if failureDuration < partitionedAfter {
 		return false
 	}
-	// Gossip that a peer sent before it had queried the primary as well is no
-	// evidence.
+	// known is the time from which on a peer has queried the primary as well.
+	// Gossip that arrived earlier is no evidence.
 	known := now.Add(peerProbedAfter - failureDuration)
 	epoch := f.Leases.View().Rows[name].Epoch
 	f.peers.mu.Lock()
--- a/internal/node/fleet/steward_change.go
+++ b/internal/node/fleet/steward_change.go
@@ -123,7 +123,7 @@
 
 // claim marks the group's row as changing and makes this instance the holder of
 // the coordinator lease, in one transaction. It returns the row as written, and
-// whether it was.
+// whether the write succeeded.
 func (f *Fleet) claim(ctx context.Context, name model.GroupID, row lease.GroupRow, coordinatorLease lease.CoordinatorLease, reason string) (lease.GroupRow, bool) {
 	claimed := lease.GroupRow{
 		Epoch: row.Epoch + 1, Phase: lease.PhaseChanging, Primary: row.Primary, Term: row.Term,
--- a/internal/node/fleet/steward_duty.go
+++ b/internal/node/fleet/steward_duty.go
@@ -12,8 +12,8 @@
 
 // isCoordinator reports whether failovers are to be carried out by this
 // instance: it holds the coordinator lease, or the holder is not available and
-// this instance is the first of those that are. If the live instances are no
-// majority, the holder is challenged first.
+// this instance is the first of those that are. If the live instances are not a
+// majority of all, the holder is challenged first.
 func (f *Fleet) isCoordinator(ctx context.Context, held lease.CoordinatorLease) bool {
 	switch {
 	case held.Holder == f.options.StartID:
--- a/internal/node/fleet/steward_test.go
+++ b/internal/node/fleet/steward_test.go
@@ -14,10 +14,10 @@
 // complete a failover. It must not count as available, neither by its messages
 // nor by its own report, so that another instance takes over.
 func TestHolderWithoutTheStore(t *testing.T) {
-	const holder, witness = model.InstanceID("z1-2"), model.InstanceID("z1-3")
+	const holder, other = model.InstanceID("z1-2"), model.InstanceID("z1-3")
 	for name, c := range map[string]struct {
-		holder, witness message.GossipState
-		want            bool
+		holder, other message.GossipState
+		want          bool
 	}{
 		"it reaches the store":            {message.GossipState{StoreReachable: true, HolderAlive: true}, message.GossipState{}, true},
 		"it does not reach the store":     {message.GossipState{StoreReachable: false, HolderAlive: true}, message.GossipState{}, false},
@@ -29,11 +29,11 @@
 		t.Run(name, func(t *testing.T) {
 			f := newUnstartedFleet(1, 3)
 			c.holder.CoordinatorLease.Holder = holder
-			if c.witness.CoordinatorLease.Holder == "" {
-				c.witness.CoordinatorLease.Holder = holder
+			if c.other.CoordinatorLease.Holder == "" {
+				c.other.CoordinatorLease.Holder = holder
 			}
 			f.receiveGossip(holder, c.holder)
-			f.receiveGossip(witness, c.witness)
+			f.receiveGossip(other, c.other)
 			if diff := cmp.Diff(c.want, f.isAvailable(holder) || f.isReportedAlive(holder)); diff != "" {
 				t.Error(diff)
 			}
--- a/internal/node/fleet/survey.go
+++ b/internal/node/fleet/survey.go
@@ -154,9 +154,9 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerSurveyTimeout)
 	defer cancel()
-	sentAt, answered := sinceBoot(clock.Now()), make(chan message.PrimarySurveyResponse, 1)
+	sentAt, responses := sinceBoot(clock.Now()), make(chan message.PrimarySurveyResponse, 1)
 	f.surveys.mu.Lock()
-	f.surveys.pending[sentAt] = answered
+	f.surveys.pending[sentAt] = responses
 	f.surveys.mu.Unlock()
 	defer func() {
 		f.surveys.mu.Lock()
@@ -165,7 +165,7 @@
 	}()
 	f.peers.links.HandleAction(message.SendPeer{To: zoneFirst, Body: message.PrimarySurveyRequest{Group: name, SenderClock: sentAt}})
 	select {
-	case response := <-answered:
+	case response := <-responses:
 		return response, response.Group == name
 	case <-ctx.Done():
 		return message.PrimarySurveyResponse{}, false
@@ -177,10 +177,10 @@
 func (f *Fleet) handleSurveyResponse(response message.PrimarySurveyResponse) {
 	f.surveys.mu.Lock()
 	defer f.surveys.mu.Unlock()
-	if answer, found := f.surveys.pending[response.SenderClock]; found {
+	if responses, found := f.surveys.pending[response.SenderClock]; found {
 		// The channel holds one response; a second one to the request is dropped.
 		select {
-		case answer <- response:
+		case responses <- response:
 		default:
 		}
 	}
--- a/internal/node/fleet/survey_test.go
+++ b/internal/node/fleet/survey_test.go
@@ -13,13 +13,13 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/statement"
 )
 
-// sendFunc implements Links: it handles the messages to peers.
+// sendFunc is a Links that passes each message to a peer to the function.
 type sendFunc func(send message.SendPeer)
 
 // HandleAction implements Links.
-func (p sendFunc) HandleAction(action message.Action) bool {
+func (f sendFunc) HandleAction(action message.Action) bool {
 	if send, ok := action.(message.SendPeer); ok {
-		p(send)
+		f(send)
 	}
 	return true
 }
@@ -44,8 +44,8 @@
 		t.Run(name, func(t *testing.T) {
 			f := newUnstartedFleet(5, 9)
 			f.Attach(sendFunc(func(send message.SendPeer) {
-				request, is := send.Body.(message.PrimarySurveyRequest)
-				if !is || c.response == nil {
+				request, ok := send.Body.(message.PrimarySurveyRequest)
+				if !ok || c.response == nil {
 					return
 				}
 				response := *c.response
@@ -73,7 +73,7 @@
 	f := newUnstartedFleet(1, 3)
 	answers := make(chan message.PrimarySurveyResponse, 1)
 	f.Attach(sendFunc(func(send message.SendPeer) {
-		if response, is := send.Body.(message.PrimarySurveyResponse); is {
+		if response, ok := send.Body.(message.PrimarySurveyResponse); ok {
 			answers <- response
 		}
 	}), idleSessions{})
@@ -99,9 +99,9 @@
 	}
 	primary, replica := status("a", model.RolePrimary, 2), status("b", model.RoleReplica, 2)
 	for name, c := range map[string]struct {
-		heard []databaseStatus
-		all   int
-		want  bool
+		statuses []databaseStatus
+		total    int
+		want     bool
 	}{
 		"the only primary":                  {[]databaseStatus{primary, replica}, 2, true},
 		"one did not answer":                {[]databaseStatus{primary, replica}, 3, false},
@@ -112,7 +112,7 @@
 		"a former primary in an older term": {[]databaseStatus{primary, status("c", model.RolePrimary, 1), replica}, 3, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, got := solePrimary(c.heard, c.all)
+			_, got := solePrimary(c.statuses, c.total)
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Error(diff)
 			}
--- a/internal/node/fleet/watch_test.go
+++ b/internal/node/fleet/watch_test.go
@@ -11,9 +11,9 @@
 // calls of the others must be limited to their start.
 func TestCallsDoNotGrowWithInstances(t *testing.T) {
 	const instances, span, changes = 6, 4 * time.Second, 8
-	w := newTestFleets(t, instances)
+	tf := newTestFleets(t, instances)
 	eventually(t, "all instances to be members", func() bool {
-		for _, f := range w.fleets {
+		for _, f := range tf.fleets {
 			if !f.isMember() {
 				return false
 			}
@@ -21,18 +21,18 @@
 		return true
 	})
 	time.Sleep(time.Second)
-	initialCalls := w.store.callCount()
+	initialCalls := tf.store.callCount()
 	for range changes {
-		w.store.put("databases", "b", "ratings")
+		tf.store.put("databases", "b", "ratings")
 		time.Sleep(span / changes)
 	}
 	// The first instance reads the groups each renewAge, and watches two
 	// tables.
 	maxCalls := int(span/renewAge) + 2*int(span/watchWait) + changes + 4
-	if calls := w.store.callCount() - initialCalls; calls > maxCalls {
+	if calls := tf.store.callCount() - initialCalls; calls > maxCalls {
 		t.Errorf("%d calls of %d instances in %v, want %d at most", calls, instances, span, maxCalls)
 	}
-	for _, f := range w.fleets {
+	for _, f := range tf.fleets {
 		if age := clock.Since(f.configurationConfirmedAt()); age > fallbackReadAge+readTimeout {
 			t.Errorf("%s: the last confirmation of the configuration is %v old", f.options.InstanceName, age)
 		}
@@ -42,18 +42,18 @@
 // A new configuration must reach all instances even if some are partitioned or
 // the store fails for a while.
 func TestConfigurationReachesAll(t *testing.T) {
-	for name, disturb := range map[string]func(w *testFleets){
+	for name, disturb := range map[string]func(tf *testFleets){
 		"no disturbance":                        func(*testFleets) {},
-		"the first instance is partitioned":     func(w *testFleets) { w.hub.setPartitioned("i1", true) },
-		"the other instances are partitioned":   func(w *testFleets) { w.hub.setPartitioned("i2", true); w.hub.setPartitioned("i3", true) },
-		"the store was down for a second":       func(w *testFleets) { w.store.setDown(true); time.Sleep(time.Second); w.store.setDown(false) },
-		"a database registers at the same time": func(w *testFleets) { w.store.put("databases", "b", "ratings") },
+		"the first instance is partitioned":     func(tf *testFleets) { tf.hub.setPartitioned("i1", true) },
+		"the other instances are partitioned":   func(tf *testFleets) { tf.hub.setPartitioned("i2", true); tf.hub.setPartitioned("i3", true) },
+		"the store was down for a second":       func(tf *testFleets) { tf.store.setDown(true); time.Sleep(time.Second); tf.store.setDown(false) },
+		"a database registers at the same time": func(tf *testFleets) { tf.store.put("databases", "b", "ratings") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newTestFleets(t, 3)
-			disturb(w)
-			w.store.put("configurations", "current", "2")
-			for _, f := range w.fleets {
+			tf := newTestFleets(t, 3)
+			disturb(tf)
+			tf.store.put("configurations", "current", "2")
+			for _, f := range tf.fleets {
 				eventually(t, "version 2", func() bool { return f.ConfigurationVersion() == 2 })
 			}
 		})
@@ -63,13 +63,13 @@
 // An entry that vanishes while no instance watches the store must be detected
 // by the read that starts the next watch, and be reported to the peers.
 func TestMissingEntryReachesAll(t *testing.T) {
-	w := newTestFleets(t, 3)
-	for _, f := range w.fleets {
+	tf := newTestFleets(t, 3)
+	for _, f := range tf.fleets {
 		eventually(t, "the database", func() bool { return f.isConnectable("a") })
 	}
-	w.hub.setPartitioned("i1", true)
-	w.store.remove("databases", "a")
-	for _, f := range w.fleets[1:] {
+	tf.hub.setPartitioned("i1", true)
+	tf.store.remove("databases", "a")
+	for _, f := range tf.fleets[1:] {
 		eventually(t, "the database to be gone", func() bool { return !f.isConnectable("a") })
 	}
 }
--- a/internal/node/fleet/world_test.go
+++ b/internal/node/fleet/world_test.go
@@ -151,22 +151,22 @@
 }
 
 // Write implements store.Store.
-func (s *memoryStore) Write(_ context.Context, change store.Transaction) (uint64, error) {
+func (s *memoryStore) Write(_ context.Context, tx store.Transaction) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err := s.startCall(); err != nil {
 		return 0, err
 	}
-	for _, row := range change.Preconditions {
+	for _, row := range tx.Preconditions {
 		if s.rows[row.Table+"/"+row.Key].Version != row.Version {
 			return 0, &store.Error{Outcome: store.OutcomeConflict, Cause: context.Canceled}
 		}
 	}
 	s.version++
-	for _, row := range change.Upserts {
+	for _, row := range tx.Upserts {
 		s.set(row)
 	}
-	for _, row := range change.Deletes {
+	for _, row := range tx.Deletes {
 		row.Deleted = true
 		s.set(row)
 	}
@@ -229,23 +229,23 @@
 }
 
 // HandleAction implements Links.
-func (e hubLinks) HandleAction(action message.Action) bool {
+func (l hubLinks) HandleAction(action message.Action) bool {
 	send, ok := action.(message.SendPeer)
 	if !ok {
 		return true
 	}
-	e.hub.mu.Lock()
-	to, found := e.hub.fleets[send.To]
-	isPartitioned := e.hub.partitioned[e.self] || e.hub.partitioned[send.To]
-	e.hub.sent[reflect.TypeOf(send.Body)]++
-	delay := e.hub.offerDelay * time.Duration(slices.Index(e.hub.order, send.To))
-	e.hub.mu.Unlock()
+	l.hub.mu.Lock()
+	to, found := l.hub.fleets[send.To]
+	isPartitioned := l.hub.partitioned[l.self] || l.hub.partitioned[send.To]
+	l.hub.sent[reflect.TypeOf(send.Body)]++
+	delay := l.hub.offerDelay * time.Duration(slices.Index(l.hub.order, send.To))
+	l.hub.mu.Unlock()
 	if found && !isPartitioned {
 		go func() {
 			if _, ok := send.Body.(message.ManifestOffer); ok {
 				time.Sleep(delay)
 			}
-			to.Post(message.PeerMessageReceived{From: e.self, Body: send.Body})
+			to.Post(message.PeerMessageReceived{From: l.self, Body: send.Body})
 		}()
 	}
 	return true
@@ -273,32 +273,32 @@
 // that can't be reached. It waits until each has the first configuration.
 func newTestFleets(t *testing.T, instances int) *testFleets {
 	t.Helper()
-	w := &testFleets{
+	tf := &testFleets{
 		store: newMemoryStore(),
 		hub:   &hub{fleets: map[model.InstanceID]*Fleet{}, partitioned: map[model.InstanceID]bool{}, sent: map[reflect.Type]int{}},
 	}
-	w.store.put("configurations", "current", "1")
-	w.store.put("databases", "a", "ratings")
+	tf.store.put("configurations", "current", "1")
+	tf.store.put("databases", "a", "ratings")
 	ctx, cancel := context.WithCancel(context.Background())
 	var ends []<-chan error
 	for i := range instances {
 		name := model.InstanceID(fmt.Sprintf("i%d", i+1))
 		f := New(Options{
-			StartID: name, InstanceName: name, Zone: "lanier", ExpectedInstances: instances, Store: w.store,
+			StartID: name, InstanceName: name, Zone: "lanier", ExpectedInstances: instances, Store: tf.store,
 			PeerAddress: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), uint16(i+1)),
 			Schema:      testSchema{}, MaxConfigurationAge: time.Second,
 			Log: eventlog.NewWriter(logr.Discard(), eventlog.DefaultLinesPerSecond),
 		})
-		f.Attach(hubLinks{hub: w.hub, self: name}, idleSessions{})
-		w.hub.mu.Lock()
-		w.hub.fleets[name] = f
-		w.hub.order = append(w.hub.order, name)
-		w.hub.mu.Unlock()
-		w.fleets = append(w.fleets, f)
+		f.Attach(hubLinks{hub: tf.hub, self: name}, idleSessions{})
+		tf.hub.mu.Lock()
+		tf.hub.fleets[name] = f
+		tf.hub.order = append(tf.hub.order, name)
+		tf.hub.mu.Unlock()
+		tf.fleets = append(tf.fleets, f)
 	}
-	for _, f := range w.fleets {
+	for _, f := range tf.fleets {
 		ends = append(ends, f.Start(ctx))
-		for _, other := range w.fleets {
+		for _, other := range tf.fleets {
 			if other != f {
 				f.Post(message.PeerConnected{Peer: other.options.StartID})
 			}
@@ -310,8 +310,8 @@
 			<-ended
 		}
 	})
-	for _, f := range w.fleets {
+	for _, f := range tf.fleets {
 		eventually(t, "the first configuration", func() bool { return f.ConfigurationVersion() == 1 })
 	}
-	return w
+	return tf
 }
