--- a/internal/node/fleet/ask.go
+++ b/internal/node/fleet/ask.go
@@ -17,7 +17,9 @@
 
 // queryAllStatus queries the status of all databases of a group except
 // excluded, at the same time, and returns the responses of those that answered.
-func (f *Fleet) queryAllStatus(ctx context.Context, group model.GroupID, excluded model.DatabaseID) []databaseStatus {
+func (f *Fleet) queryAllStatus(
+	ctx context.Context, group model.GroupID, excluded model.DatabaseID,
+) []databaseStatus {
 	databases := f.databasesOf(group)
 	answers := make(chan databaseStatus, len(databases))
 	queried := 0
@@ -46,7 +48,9 @@
 
 // sendControl sends a control statement to a database and returns the status
 // that the database reports.
-func (f *Fleet) sendControl(ctx context.Context, d placement.Database, s statement.Statement) (statement.ServerStatus, error) {
+func (f *Fleet) sendControl(
+	ctx context.Context, d placement.Database, s statement.Statement,
+) (statement.ServerStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	conn, err := f.Pool.Get(ctx, d, nil)
@@ -69,9 +73,12 @@
 	return replies[0].ServerStatus, nil
 }
 
-func (f *Fleet) logControl(d placement.Database, s statement.Statement, status statement.ServerStatus, err error) {
+func (f *Fleet) logControl(
+	d placement.Database, s statement.Statement, status statement.ServerStatus, err error,
+) {
 	f.logEvent(event.DatabaseAsked, event.F("group", d.Group), event.F("database", d.ID),
-		event.F("statement", controlStatementName(s)), event.F("role", status.Role.String()), event.F("term", status.Term),
+		event.F("statement", controlStatementName(s)), event.F("role", status.Role.String()),
+		event.F("term", status.Term),
 		event.F("received", status.ReceivedPosition.String()), event.F("outcome", outcome(err)))
 }
 
--- a/internal/node/fleet/directory_configuration.go
+++ b/internal/node/fleet/directory_configuration.go
@@ -26,7 +26,8 @@
 func (f *Fleet) adoptConfiguration(body []byte, source string) {
 	decoded, err := f.options.Schema.DecodeConfiguration(body)
 	if err != nil {
-		f.logEvent(event.ContentRejected, event.F("table", "configuration"), event.F("key", source), event.F("error", err.Error()))
+		f.logEvent(event.ContentRejected, event.F("table", "configuration"), event.F("key", source),
+			event.F("error", err.Error()))
 		return
 	}
 	d := &f.directory
@@ -44,7 +45,8 @@
 	if isNewer {
 		f.broadcast()
 		f.logEvent(event.ConfigurationAdopted,
-			event.F("version", decoded.Version), event.F("before", previousVersion), event.F("routes", len(decoded.Routes)),
+			event.F("version", decoded.Version), event.F("before", previousVersion),
+			event.F("routes", len(decoded.Routes)),
 			event.F("source", source))
 	}
 }
@@ -155,7 +157,8 @@
 	table, key := f.options.Schema.ConfigurationTable()
 	rows, err := f.readTable(ctx, table)
 	if err != nil {
-		f.logEvent(event.DependencyLost, event.F("dependency", "store/"+table), event.F("error", err.Error()))
+		f.logEvent(event.DependencyLost, event.F("dependency", "store/"+table),
+			event.F("error", err.Error()))
 		return
 	}
 	f.applyConfigurationRows(rows, key)
--- a/internal/node/fleet/directory_database.go
+++ b/internal/node/fleet/directory_database.go
@@ -78,7 +78,8 @@
 func (f *Fleet) applyEntry(row store.Row) {
 	decoded, err := f.options.Schema.DecodeDatabase(row.Key, row.Value)
 	if err != nil {
-		f.logEvent(event.ContentRejected, event.F("table", row.Table), event.F("key", row.Key), event.F("error", err.Error()))
+		f.logEvent(event.ContentRejected, event.F("table", row.Table), event.F("key", row.Key),
+			event.F("error", err.Error()))
 		return
 	}
 	d := &f.directory
@@ -92,8 +93,9 @@
 	}
 	if current.Database != decoded {
 		f.logEvent(event.DatabaseKnown,
-			event.F("group", decoded.Group), event.F("database", decoded.ID), event.F("zone", decoded.Zone),
-			event.F("leaving", decoded.Leaving), event.F("primary", decoded.ClaimsPrimary), event.F("born", decoded.Incarnation),
+			event.F("group", decoded.Group), event.F("database", decoded.ID),
+			event.F("zone", decoded.Zone), event.F("leaving", decoded.Leaving),
+			event.F("primary", decoded.ClaimsPrimary), event.F("born", decoded.Incarnation),
 			event.F("source", row.Table))
 	}
 	if decoded.Leaving && current.leavingSince.IsZero() {
@@ -131,7 +133,8 @@
 			continue
 		}
 		hasChanged = true
-		f.logEvent(event.DatabaseGone, event.F("group", e.Group), event.F("database", id), event.F("why", reason))
+		f.logEvent(event.DatabaseGone, event.F("group", e.Group), event.F("database", id),
+			event.F("why", reason))
 	}
 	if hasChanged {
 		f.publishDatabases()
--- a/internal/node/fleet/directory_peer.go
+++ b/internal/node/fleet/directory_peer.go
@@ -20,7 +20,8 @@
 	d := &f.directory
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if confirmedAt := echoedAt.Add(-state.DatabasesAge); state.DatabasesVersion == d.listed && confirmedAt.After(d.listConfirmedAt) {
+	if confirmedAt := echoedAt.Add(-state.DatabasesAge); state.DatabasesVersion == d.listed &&
+		confirmedAt.After(d.listConfirmedAt) {
 		d.listConfirmedAt = confirmedAt
 	}
 }
@@ -33,7 +34,8 @@
 	offer := message.DatabasesOffer{Version: d.listed}
 	for id, e := range d.entries {
 		if e.missingSince.IsZero() {
-			offer.Entries = append(offer.Entries, message.DatabaseEntry{Key: string(id), Value: e.raw, Version: e.version})
+			offer.Entries = append(offer.Entries,
+				message.DatabaseEntry{Key: string(id), Value: e.raw, Version: e.version})
 		}
 	}
 	return offer
@@ -47,7 +49,8 @@
 	}
 	rows := store.Rows{Version: offer.Version}
 	for _, e := range offer.Entries {
-		rows.Rows = append(rows.Rows, store.Row{Table: source, Key: e.Key, Value: e.Value, Version: e.Version})
+		rows.Rows = append(rows.Rows,
+			store.Row{Table: source, Key: e.Key, Value: e.Value, Version: e.Version})
 	}
 	f.applyDatabaseRows(rows, true)
 	f.directory.mu.Lock()
@@ -62,15 +65,22 @@
 	d := &f.directory
 	d.mu.Lock()
 	configurationVersion, listed := d.configuration.Version, d.listed
-	needsConfiguration := state.ConfigurationVersion > configurationVersion && d.configurationRequest.recordIfDue(state.ConfigurationVersion, now)
+	needsConfiguration := state.ConfigurationVersion > configurationVersion &&
+		d.configurationRequest.recordIfDue(state.ConfigurationVersion, now)
 	// All versions of the list share one request interval: each database
 	// changes the list when it starts.
 	needsDatabases := state.DatabasesVersion > listed && d.databasesRequest.recordIfDue(0, now)
 	d.mu.Unlock()
 	if needsConfiguration {
-		f.peers.links.HandleAction(message.SendPeer{To: peer, Body: message.ManifestRequest{NewerThan: configurationVersion}})
+		f.peers.links.HandleAction(message.SendPeer{
+			To:   peer,
+			Body: message.ManifestRequest{NewerThan: configurationVersion},
+		})
 	}
 	if needsDatabases {
-		f.peers.links.HandleAction(message.SendPeer{To: peer, Body: message.DatabasesRequest{NewerThan: listed}})
+		f.peers.links.HandleAction(message.SendPeer{
+			To:   peer,
+			Body: message.DatabasesRequest{NewerThan: listed},
+		})
 	}
 }
--- a/internal/node/fleet/fleet.go
+++ b/internal/node/fleet/fleet.go
@@ -153,7 +153,11 @@
 		directory:    newDirectory(),
 		renewal:      renewal{requested: make(chan struct{}, 1)},
 		peers:        newPeers(),
-		surveys:      surveys{rounds: map[model.GroupID]*round{}, confirmed: map[model.GroupID]time.Time{}, pending: map[time.Duration]chan message.PrimarySurveyResponse{}},
+		surveys: surveys{
+			rounds:    map[model.GroupID]*round{},
+			confirmed: map[model.GroupID]time.Time{},
+			pending:   map[time.Duration]chan message.PrimarySurveyResponse{},
+		},
 		coordination: coordination{active: map[model.GroupID]chan struct{}{}},
 		samples:      map[model.GroupID]*fresh.PositionSamples{},
 	}
@@ -181,10 +185,12 @@
 	configurationTable, key := f.options.Schema.ConfigurationTable()
 	for _, run := range []func(context.Context){
 		func(ctx context.Context) {
-			f.watchTable(ctx, configurationTable, f.configurationConfirmedAt, func(rows store.Rows, _ bool) { f.applyConfigurationRows(rows, key) })
+			f.watchTable(ctx, configurationTable, f.configurationConfirmedAt,
+				func(rows store.Rows, _ bool) { f.applyConfigurationRows(rows, key) })
 		},
 		func(ctx context.Context) {
-			f.watchTable(ctx, f.options.Schema.DatabaseTable(), f.databasesConfirmedAt, f.applyDatabaseList)
+			f.watchTable(ctx, f.options.Schema.DatabaseTable(), f.databasesConfirmedAt,
+				f.applyDatabaseList)
 		},
 		f.renewViews,
 		f.keepRegistered,
--- a/internal/node/fleet/leases.go
+++ b/internal/node/fleet/leases.go
@@ -65,7 +65,8 @@
 		switch {
 		case err == nil:
 			if !lostAt.IsZero() {
-				f.logEvent(event.DependencyBack, event.F("dependency", "store/"+groupTable), event.F("away", clock.Since(lostAt).String()))
+				f.logEvent(event.DependencyBack, event.F("dependency", "store/"+groupTable),
+					event.F("away", clock.Since(lostAt).String()))
 				lostAt = time.Time{}
 			}
 			pause.Reset()
@@ -75,7 +76,8 @@
 		default:
 			if lostAt.IsZero() {
 				lostAt = clock.Now()
-				f.logEvent(event.DependencyLost, event.F("dependency", "store/"+groupTable), event.F("error", err.Error()))
+				f.logEvent(event.DependencyLost, event.F("dependency", "store/"+groupTable),
+					event.F("error", err.Error()))
 			}
 			sleep(ctx, f.retryPause(pause))
 		}
@@ -133,7 +135,10 @@
 	}
 	f.peers.mu.Unlock()
 	if isDue {
-		f.peers.links.HandleAction(message.SendPeer{To: peer, Body: message.GossipStateRequest{SenderClock: sinceBoot(now)}})
+		f.peers.links.HandleAction(message.SendPeer{
+			To:   peer,
+			Body: message.GossipStateRequest{SenderClock: sinceBoot(now)},
+		})
 	}
 }
 
@@ -165,7 +170,10 @@
 	if err != nil {
 		return err
 	}
-	view := lease.View{Version: rows.Version, ReadStartedAt: startedAt, Rows: map[model.GroupID]lease.GroupRow{}}
+	view := lease.View{
+		Version: rows.Version, ReadStartedAt: startedAt,
+		Rows: map[model.GroupID]lease.GroupRow{},
+	}
 	members := map[model.InstanceID]member{}
 	for _, row := range rows.Rows {
 		f.decodeRow(row, &view, members)
@@ -207,7 +215,8 @@
 func (f *Fleet) decodeValue(row store.Row, target any) bool {
 	err := msgpack.Unmarshal(row.Value, target)
 	if err != nil {
-		f.logEvent(event.ContentRejected, event.F("table", row.Table), event.F("key", row.Key), event.F("error", err.Error()))
+		f.logEvent(event.ContentRejected, event.F("table", row.Table), event.F("key", row.Key),
+			event.F("error", err.Error()))
 	}
 	return err == nil
 }
@@ -234,7 +243,8 @@
 		changed = true
 		f.logEvent(event.GroupRowSeen,
 			event.F("group", name), event.F("epoch", row.Epoch), event.F("phase", row.Phase.String()),
-			event.F("primary", row.Primary), event.F("term", row.Term), event.F("steward", row.Coordinator),
+			event.F("primary", row.Primary), event.F("term", row.Term),
+			event.F("steward", row.Coordinator),
 			event.F("reason", row.Reason), event.F("source", source))
 	}
 	if changed {
@@ -253,7 +263,8 @@
 	}
 	for _, group := range f.uninitializedGroups(view) {
 		row := lease.GroupRow{
-			Epoch: 1, Phase: lease.PhaseStable, Primary: group.primary, Coordinator: f.options.StartID, Reason: "first row",
+			Epoch: 1, Phase: lease.PhaseStable, Primary: group.primary,
+			Coordinator: f.options.StartID, Reason: "first row",
 		}
 		tx := store.Transaction{
 			Preconditions: []store.Row{{Table: groupTable, Key: groupKey(group.name)}},
@@ -263,9 +274,13 @@
 			},
 		}
 		if coordinatorLease := view.CoordinatorLease; coordinatorLease.Holder == "" {
-			ownLease := lease.CoordinatorLease{Holder: f.options.StartID, HolderName: f.options.InstanceName, FencingToken: 1}
-			tx.Preconditions = append(tx.Preconditions, store.Row{Table: groupTable, Key: coordinatorLeaseKey})
-			tx.Upserts = append(tx.Upserts, store.Row{Table: groupTable, Key: coordinatorLeaseKey, Value: f.encode(&ownLease)})
+			ownLease := lease.CoordinatorLease{
+				Holder: f.options.StartID, HolderName: f.options.InstanceName, FencingToken: 1,
+			}
+			tx.Preconditions = append(tx.Preconditions,
+				store.Row{Table: groupTable, Key: coordinatorLeaseKey})
+			tx.Upserts = append(tx.Upserts,
+				store.Row{Table: groupTable, Key: coordinatorLeaseKey, Value: f.encode(&ownLease)})
 			view.CoordinatorLease = ownLease
 		}
 		_, err := f.write(ctx, tx)
--- a/internal/node/fleet/logbook.go
+++ b/internal/node/fleet/logbook.go
@@ -39,15 +39,18 @@
 
 // newRecord returns the record of a failover that this instance claims now. The
 // fields about the new primary are set later.
-func (f *Fleet) newRecord(name model.GroupID, row lease.GroupRow, reason string, evidence succession.Evidence) engine.PromotionRecord {
+func (f *Fleet) newRecord(
+	name model.GroupID, row lease.GroupRow, reason string, evidence succession.Evidence,
+) engine.PromotionRecord {
 	now := time.Now()
 	record := engine.PromotionRecord{
 		Group: name, PreviousPrimary: row.Primary, Coordinator: f.options.StartID, Reason: reason,
 		SuspectedAt: now.Add(-max(f.Scheduler.FailureDuration(name), 0)), ClaimedAt: now,
 	}
 	if evidence.UnansweredObservers > 0 {
-		record.Evidence = append(record.Evidence, fmt.Sprintf("no answer to %d of the %d instances that asked it, for %v or longer",
-			evidence.UnansweredObservers, evidence.Observers, succession.SilenceThreshold))
+		record.Evidence = append(record.Evidence,
+			fmt.Sprintf("no answer to %d of the %d instances that asked it, for %v or longer",
+				evidence.UnansweredObservers, evidence.Observers, succession.SilenceThreshold))
 	}
 	return record
 }
@@ -55,7 +58,8 @@
 // firstRecord returns the record of a group's first row.
 func (f *Fleet) firstRecord(name model.GroupID, row lease.GroupRow) engine.PromotionRecord {
 	return engine.PromotionRecord{
-		Group: name, Primary: row.Primary, Coordinator: row.Coordinator, Reason: row.Reason, PromotedAt: time.Now(),
+		Group: name, Primary: row.Primary, Coordinator: row.Coordinator, Reason: row.Reason,
+		PromotedAt: time.Now(),
 	}
 }
 
@@ -70,7 +74,8 @@
 	for _, row := range rows.Rows {
 		var record engine.PromotionRecord
 		if err := json.Unmarshal(row.Value, &record); err != nil {
-			f.logEvent(event.ContentRejected, event.F("table", row.Table), event.F("key", row.Key), event.F("error", err.Error()))
+			f.logEvent(event.ContentRejected, event.F("table", row.Table), event.F("key", row.Key),
+				event.F("error", err.Error()))
 			continue
 		}
 		if name == "" || string(record.Group) == name {
--- a/internal/node/fleet/peers.go
+++ b/internal/node/fleet/peers.go
@@ -104,7 +104,10 @@
 }
 
 func newPeers() peers {
-	return peers{known: map[model.InstanceID]*peer{}, lostAt: map[netip.AddrPort]time.Time{}, gossipReceived: make(chan struct{})}
+	return peers{
+		known: map[model.InstanceID]*peer{}, lostAt: map[netip.AddrPort]time.Time{},
+		gossipReceived: make(chan struct{}),
+	}
 }
 
 // first returns the live instance with the lowest ID, among those that reach
@@ -153,7 +156,9 @@
 func (f *Fleet) instanceCount() int {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
-	_, count := f.peers.sizes(f.options, func(p *peer, now time.Time) bool { return now.Sub(p.lastMessageAt) < shareRetention })
+	_, count := f.peers.sizes(f.options, func(p *peer, now time.Time) bool {
+		return now.Sub(p.lastMessageAt) < shareRetention
+	})
 	for _, p := range f.peers.known {
 		if clock.Since(p.lastMessageAt) < shareRetention {
 			count = max(count, p.gossip.FleetSize)
--- a/internal/node/fleet/peers_bulletin.go
+++ b/internal/node/fleet/peers_bulletin.go
@@ -64,7 +64,8 @@
 // sendGossip completes the gossip for one peer, which has sent lastReceived,
 // and sends it.
 func (f *Fleet) sendGossip(
-	to model.InstanceID, state, lastReceived message.GossipState, members map[model.InstanceID]member, areMembersRecent bool,
+	to model.InstanceID, state, lastReceived message.GossipState,
+	members map[model.InstanceID]member, areMembersRecent bool,
 ) {
 	_, isListed := members[lastReceived.Instance]
 	state.EchoedClock, state.ReceiverIsMember = lastReceived.SenderClock, isListed && areMembersRecent
@@ -101,12 +102,18 @@
 		Instance: f.options.InstanceName, Zone: f.options.Zone, PeerAddress: f.options.PeerAddress,
 		SenderClock: sinceBoot(now), Leaving: f.leaving.Load(), StoreReachable: f.storeReachable.Load(),
 		ConfigurationVersion: f.ConfigurationVersion(), DatabasesVersion: f.databasesVersion(),
-		ConfigurationAge: now.Sub(f.configurationConfirmedAt()), DatabasesAge: now.Sub(f.databasesConfirmedAt()),
-		ViewVersion: view.Version, ViewAge: now.Sub(view.ReadStartedAt), CoordinatorLease: view.CoordinatorLease, HolderAlive: f.isAvailable(view.CoordinatorLease.Holder),
+		ConfigurationAge: now.Sub(f.configurationConfirmedAt()),
+		DatabasesAge:     now.Sub(f.databasesConfirmedAt()),
+		ViewVersion:      view.Version,
+		ViewAge:          now.Sub(view.ReadStartedAt),
+		CoordinatorLease: view.CoordinatorLease,
+		HolderAlive:      f.isAvailable(view.CoordinatorLease.Holder),
 	}
 	state.MinViewVersion, state.MinViewMembersHash = f.minViewVersion(view.Version)
 	f.peers.mu.Lock()
-	state.ZoneSize, state.FleetSize = f.peers.sizes(f.options, func(p *peer, now time.Time) bool { return now.Sub(p.lastMessageAt) < shareRetention })
+	state.ZoneSize, state.FleetSize = f.peers.sizes(f.options, func(p *peer, now time.Time) bool {
+		return now.Sub(p.lastMessageAt) < shareRetention
+	})
 	f.peers.mu.Unlock()
 	state.Groups = f.cachedGroupGossip(view, now)
 	return state
@@ -137,8 +144,11 @@
 		// The coordinator and the reason only serve the logs of the instances
 		// that read the row from the store.
 		row.Coordinator, row.Reason = "", ""
-		gossip := message.GroupGossip{Group: name, Row: row, UnansweredFor: f.Scheduler.FailureDuration(name)}
-		gossip.Observers, gossip.UnansweredObservers = f.countObservers(name, row.Epoch, gossip.UnansweredFor)
+		gossip := message.GroupGossip{
+			Group: name, Row: row, UnansweredFor: f.Scheduler.FailureDuration(name),
+		}
+		gossip.Observers, gossip.UnansweredObservers = f.countObservers(name, row.Epoch,
+			gossip.UnansweredFor)
 		if sample, found := f.SamplesOf(name).Newest(); found {
 			gossip.SampledPosition, gossip.SampleAge = sample.Position, now.Sub(sample.At)
 		}
@@ -152,7 +162,9 @@
 // that it has not answered for succession.SilenceThreshold. ownFailure is the
 // failure duration at this instance, negative if it is unknown. Peers whose
 // view is older than a lease do not count, since such a view confirms nothing.
-func (f *Fleet) countObservers(name model.GroupID, epoch uint64, ownFailure time.Duration) (observers, unanswered int) {
+func (f *Fleet) countObservers(
+	name model.GroupID, epoch uint64, ownFailure time.Duration,
+) (observers, unanswered int) {
 	count := func(failureDuration time.Duration) {
 		if failureDuration >= 0 {
 			observers++
@@ -251,7 +263,10 @@
 		f.handleSurveyResponse(body)
 	case message.ManifestRequest:
 		if version, raw := f.rawConfiguration(); version > body.NewerThan {
-			f.peers.links.HandleAction(message.SendPeer{To: from, Body: message.ManifestOffer{Number: version, Body: raw}})
+			f.peers.links.HandleAction(message.SendPeer{
+				To:   from,
+				Body: message.ManifestOffer{Number: version, Body: raw},
+			})
 		}
 	case message.ManifestOffer:
 		f.adoptConfiguration(body.Body, string(from))
@@ -293,8 +308,10 @@
 func (f *Fleet) applyPeerView(from model.InstanceID, echoedAt time.Time, state message.GossipState) {
 	if state.ViewVersion > 0 {
 		view := lease.View{
-			Version: state.ViewVersion, ReadStartedAt: echoedAt.Add(-state.ViewAge), CoordinatorLease: state.CoordinatorLease, IsMember: state.ReceiverIsMember || f.wasListedRecently(),
-			Rows: make(map[model.GroupID]lease.GroupRow, len(state.Groups)),
+			Version: state.ViewVersion, ReadStartedAt: echoedAt.Add(-state.ViewAge),
+			CoordinatorLease: state.CoordinatorLease,
+			IsMember:         state.ReceiverIsMember || f.wasListedRecently(),
+			Rows:             make(map[model.GroupID]lease.GroupRow, len(state.Groups)),
 		}
 		for _, group := range state.Groups {
 			view.Rows[group.Group] = group.Row
@@ -303,7 +320,9 @@
 	}
 	for _, group := range state.Groups {
 		if !group.SampledPosition.IsZero() {
-			f.SamplesOf(group.Group).AddSpaced(fresh.PositionSample{At: echoedAt.Add(-group.SampleAge), Position: group.SampledPosition})
+			f.SamplesOf(group.Group).AddSpaced(fresh.PositionSample{
+				At: echoedAt.Add(-group.SampleAge), Position: group.SampledPosition,
+			})
 		}
 	}
 }
--- a/internal/node/fleet/peers_member.go
+++ b/internal/node/fleet/peers_member.go
@@ -22,7 +22,8 @@
 			continue
 		}
 		_, err := f.write(ctx, store.Transaction{Upserts: []store.Row{{
-			Table: groupTable, Key: memberPrefix + string(f.options.InstanceName), Value: f.encode(&member{Address: f.options.PeerAddress, Zone: f.options.Zone}),
+			Table: groupTable, Key: memberPrefix + string(f.options.InstanceName),
+			Value: f.encode(&member{Address: f.options.PeerAddress, Zone: f.options.Zone}),
 		}}})
 		if err == nil {
 			pause.Reset()
@@ -30,7 +31,8 @@
 			sleep(ctx, writeTimeout)
 			continue
 		}
-		f.logEvent(event.DependencyLost, event.F("dependency", "store/member"), event.F("error", err.Error()))
+		f.logEvent(event.DependencyLost, event.F("dependency", "store/member"),
+			event.F("error", err.Error()))
 		sleep(ctx, pause.NextBackOff())
 	}
 }
@@ -60,7 +62,8 @@
 		return
 	}
 	if _, err := f.write(ctx, store.Transaction{Deletes: expired}); err != nil {
-		f.logEvent(event.DependencyLost, event.F("dependency", "store/member"), event.F("error", err.Error()))
+		f.logEvent(event.DependencyLost, event.F("dependency", "store/member"),
+			event.F("error", err.Error()))
 	}
 	f.requestRenewal()
 }
--- a/internal/node/fleet/prove.go
+++ b/internal/node/fleet/prove.go
@@ -36,7 +36,9 @@
 // ConfirmPrimary implements session.PrimaryConfirmer. A view of the table of
 // groups confirms the primary; if none arrives within viewWait, the status of
 // all databases of the group is queried.
-func (f *Fleet) ConfirmPrimary(ctx context.Context, grant lease.Grant, answeredAt time.Time) lease.Validity {
+func (f *Fleet) ConfirmPrimary(
+	ctx context.Context, grant lease.Grant, answeredAt time.Time,
+) lease.Validity {
 	if validity := f.Leases.Validate(grant, answeredAt); validity != lease.ValidityPending {
 		return validity
 	}
@@ -51,7 +53,9 @@
 
 // confirmBySurvey surveys the group repeatedly until a survey confirms the
 // primary, a view decides, or ctx ends.
-func (f *Fleet) confirmBySurvey(ctx context.Context, grant lease.Grant, answeredAt time.Time) lease.Validity {
+func (f *Fleet) confirmBySurvey(
+	ctx context.Context, grant lease.Grant, answeredAt time.Time,
+) lease.Validity {
 	for {
 		if f.surveys.confirm(ctx, f, grant, answeredAt) {
 			return lease.ValidityConfirmed
--- a/internal/node/fleet/readiness.go
+++ b/internal/node/fleet/readiness.go
@@ -29,7 +29,8 @@
 	}
 	ready := hasConfiguration && databases > 0 && !isUnconfirmedTooLong && !f.leaving.Load()
 	if f.ready.Swap(ready) != ready {
-		f.logEvent(event.ReadinessChanged, event.F("ready", ready), event.F("configuration", f.ConfigurationVersion()),
+		f.logEvent(event.ReadinessChanged, event.F("ready", ready),
+			event.F("configuration", f.ConfigurationVersion()),
 			event.F("databases", databases), event.F("proven", isConfirmed))
 	}
 }
--- a/internal/node/fleet/steward.go
+++ b/internal/node/fleet/steward.go
@@ -93,7 +93,8 @@
 // evidence collects what is known about a group's primary.
 func (f *Fleet) evidence(name model.GroupID, row lease.GroupRow) succession.Evidence {
 	e := succession.Evidence{}
-	e.Observers, e.UnansweredObservers = f.countObservers(name, row.Epoch, f.Scheduler.FailureDuration(name))
+	e.Observers, e.UnansweredObservers = f.countObservers(name, row.Epoch,
+		f.Scheduler.FailureDuration(name))
 	for _, groupGossip := range f.otherZoneGossip(name, row.Epoch) {
 		e.Observers += groupGossip.Observers
 		e.UnansweredObservers += groupGossip.UnansweredObservers
--- a/internal/node/fleet/steward_change.go
+++ b/internal/node/fleet/steward_change.go
@@ -16,10 +16,14 @@
 )
 
 // failover replaces the primary of a group.
-func (f *Fleet) failover(ctx context.Context, name model.GroupID, row lease.GroupRow, coordinatorLease lease.CoordinatorLease, reason string) {
+func (f *Fleet) failover(
+	ctx context.Context, name model.GroupID, row lease.GroupRow,
+	coordinatorLease lease.CoordinatorLease, reason string,
+) {
 	startedAt, evidence := clock.Now(), f.evidence(name, row)
-	f.logEvent(event.ChangeBegun, event.F("group", name), event.F("epoch", row.Epoch), event.F("primary", row.Primary),
-		event.F("reason", reason), event.F("witnesses", evidence.Observers), event.F("silent", evidence.UnansweredObservers))
+	f.logEvent(event.ChangeBegun, event.F("group", name), event.F("epoch", row.Epoch),
+		event.F("primary", row.Primary), event.F("reason", reason),
+		event.F("witnesses", evidence.Observers), event.F("silent", evidence.UnansweredObservers))
 	record := f.newRecord(name, row, reason, evidence)
 	claimed, ok := f.claim(ctx, name, row, coordinatorLease, reason)
 	if !ok {
@@ -29,11 +33,15 @@
 	f.awaitRevoked(ctx, name, claimed.Version, coordinatorLease.Holder == f.options.StartID)
 	oldPosition := f.stepDown(ctx, name, primaryStatus)
 	if !oldPosition.IsZero() {
-		record.FencedDatabases = []engine.FencedDatabase{{Database: row.Primary, Position: oldPosition.String()}}
+		record.FencedDatabases = []engine.FencedDatabase{{
+			Database: row.Primary,
+			Position: oldPosition.String(),
+		}}
 	}
 	chosen, ok := f.chooseSuccessor(ctx, name, claimed, oldPosition)
 	if !ok {
-		f.logEvent(event.ChangeFailed, event.F("group", name), event.F("why", "no database can take over"))
+		f.logEvent(event.ChangeFailed, event.F("group", name),
+			event.F("why", "no database can take over"))
 		sleep(ctx, failoverRetryDelay)
 		return
 	}
@@ -49,13 +57,15 @@
 		Epoch: claimed.Epoch + 1, Phase: lease.PhaseStable, Primary: chosen.database.ID, Term: term,
 		Coordinator: f.options.StartID, Reason: reason,
 	}
-	record.Primary, record.Term, record.Position = chosen.database.ID, term, chosen.status.ReceivedPosition.String()
+	record.Primary, record.Term, record.Position = chosen.database.ID, term,
+		chosen.status.ReceivedPosition.String()
 	record.PromotedAt = time.Now()
 	for ctx.Err() == nil && !f.recordNewPrimary(ctx, name, claimed, newRow, record) {
 		sleep(ctx, failoverPollInterval)
 	}
-	f.logEvent(event.ChangeEnded, event.F("group", name), event.F("epoch", newRow.Epoch), event.F("primary", chosen.database.ID),
-		event.F("before", row.Primary), event.F("term", term), event.F("received", chosen.status.ReceivedPosition.String()),
+	f.logEvent(event.ChangeEnded, event.F("group", name), event.F("epoch", newRow.Epoch),
+		event.F("primary", chosen.database.ID), event.F("before", row.Primary), event.F("term", term),
+		event.F("received", chosen.status.ReceivedPosition.String()),
 		event.F("took", clock.Since(startedAt).String()))
 	f.awaitEpoch(ctx, name, newRow.Epoch)
 }
@@ -92,7 +102,8 @@
 		}
 		expiry.Stop()
 	}
-	f.logEvent(event.LeasesRevoked, event.F("group", name), event.F("waited", clock.Since(startedAt).String()))
+	f.logEvent(event.LeasesRevoked, event.F("group", name),
+		event.F("waited", clock.Since(startedAt).String()))
 }
 
 // isSeenByAll reports whether all members have seen a version of the table of
@@ -124,7 +135,10 @@
 // claim marks the group's row as changing and makes this instance the holder of
 // the coordinator lease, in one transaction. It returns the row as written, and
 // whether the write succeeded.
-func (f *Fleet) claim(ctx context.Context, name model.GroupID, row lease.GroupRow, coordinatorLease lease.CoordinatorLease, reason string) (lease.GroupRow, bool) {
+func (f *Fleet) claim(
+	ctx context.Context, name model.GroupID, row lease.GroupRow,
+	coordinatorLease lease.CoordinatorLease, reason string,
+) (lease.GroupRow, bool) {
 	claimed := lease.GroupRow{
 		Epoch: row.Epoch + 1, Phase: lease.PhaseChanging, Primary: row.Primary, Term: row.Term,
 		Coordinator: f.options.StartID, Reason: reason,
@@ -137,8 +151,12 @@
 		Upserts: []store.Row{{Table: groupTable, Key: groupKey(name), Value: f.encode(&claimed)}},
 	}
 	if coordinatorLease.Holder != f.options.StartID {
-		ownLease := lease.CoordinatorLease{Holder: f.options.StartID, HolderName: f.options.InstanceName, FencingToken: coordinatorLease.FencingToken + 1}
-		tx.Upserts = append(tx.Upserts, store.Row{Table: groupTable, Key: coordinatorLeaseKey, Value: f.encode(&ownLease)})
+		ownLease := lease.CoordinatorLease{
+			Holder: f.options.StartID, HolderName: f.options.InstanceName,
+			FencingToken: coordinatorLease.FencingToken + 1,
+		}
+		tx.Upserts = append(tx.Upserts,
+			store.Row{Table: groupTable, Key: coordinatorLeaseKey, Value: f.encode(&ownLease)})
 	}
 	version, err := f.write(ctx, tx)
 	f.logRowWrite(name, claimed, err)
@@ -156,7 +174,10 @@
 // recordNewPrimary writes the row of the new primary and the record of the
 // failover, in one transaction. It also reports true if another instance has
 // continued the failover.
-func (f *Fleet) recordNewPrimary(ctx context.Context, name model.GroupID, claimed, newRow lease.GroupRow, record engine.PromotionRecord) bool {
+func (f *Fleet) recordNewPrimary(
+	ctx context.Context, name model.GroupID, claimed, newRow lease.GroupRow,
+	record engine.PromotionRecord,
+) bool {
 	_, err := f.write(ctx, store.Transaction{
 		Preconditions: []store.Row{{Table: groupTable, Key: groupKey(name), Version: claimed.Version}},
 		Upserts: []store.Row{
@@ -171,7 +192,9 @@
 
 // queryPrimary queries the status of the old primary while the leases expire.
 // The channel receives the response, if there is one.
-func (f *Fleet) queryPrimary(ctx context.Context, name model.GroupID, id model.DatabaseID) <-chan databaseStatus {
+func (f *Fleet) queryPrimary(
+	ctx context.Context, name model.GroupID, id model.DatabaseID,
+) <-chan databaseStatus {
 	statuses := make(chan databaseStatus, 1)
 	for _, d := range f.databasesOf(name) {
 		if d.ID != id {
@@ -189,7 +212,9 @@
 // stepDown makes the old primary step down if it answers and is still primary.
 // It returns how far the log of the old primary reaches, or zero if there is no
 // answer within stepDownWait.
-func (f *Fleet) stepDown(ctx context.Context, name model.GroupID, primaryStatus <-chan databaseStatus) model.Position {
+func (f *Fleet) stepDown(
+	ctx context.Context, name model.GroupID, primaryStatus <-chan databaseStatus,
+) model.Position {
 	wait := time.NewTimer(stepDownWait)
 	defer wait.Stop()
 	select {
@@ -198,7 +223,8 @@
 			return old.status.ReceivedPosition
 		}
 		status, err := f.sendControl(ctx, old.database, statement.StepDown{Term: old.status.Term + 1})
-		f.logEvent(event.PrimarySteppedDown, event.F("group", name), event.F("database", old.database.ID),
+		f.logEvent(event.PrimarySteppedDown, event.F("group", name),
+			event.F("database", old.database.ID),
 			event.F("received", status.ReceivedPosition.String()), event.F("outcome", outcome(err)))
 		return status.ReceivedPosition
 	case <-wait.C:
@@ -217,7 +243,9 @@
 // chooseSuccessor queries how far the logs of the other databases reach and
 // returns the database to promote. It waits up to catchUpTimeout for one that
 // has all that the old primary has. It returns false if there is no candidate.
-func (f *Fleet) chooseSuccessor(ctx context.Context, name model.GroupID, row lease.GroupRow, oldPosition model.Position) (successor, bool) {
+func (f *Fleet) chooseSuccessor(
+	ctx context.Context, name model.GroupID, row lease.GroupRow, oldPosition model.Position,
+) (successor, bool) {
 	deadline := clock.Now().Add(catchUpTimeout)
 	for {
 		statuses := f.queryAllStatus(ctx, name, row.Primary)
@@ -225,8 +253,8 @@
 		var candidates []succession.Candidate
 		for _, s := range statuses {
 			candidates = append(candidates, succession.Candidate{
-				ID: s.database.ID, ReceivedPosition: s.status.ReceivedPosition, Leaving: s.database.Leaving,
-				IsPrimary: s.status.Role == model.RolePrimary,
+				ID: s.database.ID, ReceivedPosition: s.status.ReceivedPosition,
+				Leaving: s.database.Leaving, IsPrimary: s.status.Role == model.RolePrimary,
 			})
 		}
 		id, found := succession.ChooseCandidate(candidates, f.acknowledgedPosition(name))
@@ -274,14 +302,17 @@
 // primary in a new term, which it returns. The platform changes nothing if the
 // database is primary already: then no newer term appears within the time of a
 // promotion, and promote returns the present term.
-func (f *Fleet) promote(ctx context.Context, name model.GroupID, chosen databaseStatus) (model.Term, bool) {
+func (f *Fleet) promote(
+	ctx context.Context, name model.GroupID, chosen databaseStatus,
+) (model.Term, bool) {
 	deadline := clock.Now().Add(becomePrimaryTimeout)
 	accepted := false
 	var lastStatus statement.ServerStatus
 	for clock.Now().Before(deadline) && ctx.Err() == nil {
 		if !accepted {
 			err := f.callPromote(ctx, name, chosen.database.ID)
-			f.logEvent(event.PromotionCalled, event.F("group", name), event.F("database", chosen.database.ID), event.F("outcome", outcome(err)))
+			f.logEvent(event.PromotionCalled, event.F("group", name),
+				event.F("database", chosen.database.ID), event.F("outcome", outcome(err)))
 			if err != nil && store.OutcomeOf(err) == store.OutcomeRefused {
 				return 0, false
 			}
@@ -299,7 +330,8 @@
 	if accepted && ctx.Err() == nil && lastStatus.Role == model.RolePrimary {
 		return lastStatus.Term, true
 	}
-	f.logEvent(event.ChangeFailed, event.F("group", name), event.F("why", "the promoted database has not become primary"))
+	f.logEvent(event.ChangeFailed, event.F("group", name),
+		event.F("why", "the promoted database has not become primary"))
 	return 0, false
 }
 
@@ -318,7 +350,8 @@
 	ctx, cancel := context.WithTimeout(ctx, min(remaining, promoteTimeout))
 	defer cancel()
 	return f.options.Promoter.Promote(ctx, store.Promotion{
-		Group: name, Database: id, Holder: view.CoordinatorLease.HolderName, FencingToken: view.CoordinatorLease.FencingToken,
+		Group: name, Database: id, Holder: view.CoordinatorLease.HolderName,
+		FencingToken: view.CoordinatorLease.FencingToken,
 	})
 }
 
--- a/internal/node/fleet/steward_duty.go
+++ b/internal/node/fleet/steward_duty.go
@@ -58,12 +58,19 @@
 
 // writeCoordinatorLease replaces the row of the coordinator lease, if it is
 // still at the version of updated.
-func (f *Fleet) writeCoordinatorLease(ctx context.Context, updated lease.CoordinatorLease) (uint64, error) {
+func (f *Fleet) writeCoordinatorLease(
+	ctx context.Context, updated lease.CoordinatorLease,
+) (uint64, error) {
 	version, err := f.write(ctx, store.Transaction{
-		Preconditions: []store.Row{{Table: groupTable, Key: coordinatorLeaseKey, Version: updated.Version}},
-		Upserts:       []store.Row{{Table: groupTable, Key: coordinatorLeaseKey, Value: f.encode(&updated)}},
+		Preconditions: []store.Row{{
+			Table: groupTable, Key: coordinatorLeaseKey, Version: updated.Version,
+		}},
+		Upserts: []store.Row{{
+			Table: groupTable, Key: coordinatorLeaseKey, Value: f.encode(&updated),
+		}},
 	})
-	f.logEvent(event.CoordinatorLeaseWritten, event.F("holder", updated.Holder), event.F("token", updated.FencingToken),
+	f.logEvent(event.CoordinatorLeaseWritten, event.F("holder", updated.Holder),
+		event.F("token", updated.FencingToken),
 		event.F("challenger", updated.Challenger), event.F("outcome", outcome(err)))
 	f.requestRenewal()
 	return version, err
--- a/internal/node/fleet/survey.go
+++ b/internal/node/fleet/survey.go
@@ -63,7 +63,9 @@
 
 // roundAfter returns the first round that started after a moment, and runs
 // rounds itself if none is running. It returns false if ctx ends first.
-func (s *surveys) roundAfter(ctx context.Context, f *Fleet, name model.GroupID, moment time.Time) (*round, bool) {
+func (s *surveys) roundAfter(
+	ctx context.Context, f *Fleet, name model.GroupID, moment time.Time,
+) (*round, bool) {
 	for ctx.Err() == nil {
 		r, isNew := s.join(name)
 		if isNew {
@@ -140,14 +142,17 @@
 	statuses := f.queryAllStatus(ctx, name, "")
 	r.primary, r.confirmed = solePrimary(statuses, len(databases))
 	f.logEvent(event.GroupSurveyed, event.F("group", name), event.F("databases", len(databases)),
-		event.F("answered", len(statuses)), event.F("primary", r.primary), event.F("proved", r.confirmed),
+		event.F("answered", len(statuses)), event.F("primary", r.primary),
+		event.F("proved", r.confirmed),
 		event.F("age", clock.Since(view.ReadStartedAt).String()))
 }
 
 // requestPeerSurvey requests a survey of a group from the first instance of
 // this availability zone, unless that is this instance. The result is valid for
 // all answers of the primary that were received before the request.
-func (f *Fleet) requestPeerSurvey(ctx context.Context, name model.GroupID) (message.PrimarySurveyResponse, bool) {
+func (f *Fleet) requestPeerSurvey(
+	ctx context.Context, name model.GroupID,
+) (message.PrimarySurveyResponse, bool) {
 	zoneFirst, isZoneFirst := f.firstOf(func(p *peer) bool { return p.gossip.Zone == f.options.Zone })
 	if isZoneFirst {
 		return message.PrimarySurveyResponse{}, false
@@ -163,7 +168,10 @@
 		defer f.surveys.mu.Unlock()
 		delete(f.surveys.pending, sentAt)
 	}()
-	f.peers.links.HandleAction(message.SendPeer{To: zoneFirst, Body: message.PrimarySurveyRequest{Group: name, SenderClock: sentAt}})
+	f.peers.links.HandleAction(message.SendPeer{
+		To:   zoneFirst,
+		Body: message.PrimarySurveyRequest{Group: name, SenderClock: sentAt},
+	})
 	select {
 	case response := <-responses:
 		return response, response.Group == name
--- a/internal/node/fleet/watch.go
+++ b/internal/node/fleet/watch.go
@@ -52,7 +52,10 @@
 // readAll set, and then those that change. Only the first instance watches the
 // store. The others receive the changes from it, and read the table when their
 // content has not been confirmed for fallbackReadAge.
-func (f *Fleet) watchTable(ctx context.Context, table string, confirmedAt func() time.Time, apply func(rows store.Rows, readAll bool)) {
+func (f *Fleet) watchTable(
+	ctx context.Context, table string, confirmedAt func() time.Time,
+	apply func(rows store.Rows, readAll bool),
+) {
 	pause := newBackoff()
 	var version uint64
 	readAll := true
@@ -68,7 +71,8 @@
 		rows, err := f.readOrWatch(ctx, table, version, readAll)
 		if err == nil {
 			if !lostAt.IsZero() {
-				f.logEvent(event.DependencyBack, event.F("dependency", "store/"+table), event.F("away", clock.Since(lostAt).String()))
+				f.logEvent(event.DependencyBack, event.F("dependency", "store/"+table),
+					event.F("away", clock.Since(lostAt).String()))
 				lostAt = time.Time{}
 			}
 			pause.Reset()
@@ -86,7 +90,8 @@
 		}
 		if lostAt.IsZero() {
 			lostAt = clock.Now()
-			f.logEvent(event.DependencyLost, event.F("dependency", "store/"+table), event.F("error", err.Error()))
+			f.logEvent(event.DependencyLost, event.F("dependency", "store/"+table),
+				event.F("error", err.Error()))
 		}
 		sleep(ctx, f.retryPause(pause))
 	}
@@ -103,7 +108,9 @@
 
 // readOrWatch reads all rows of a table if readAll is set, otherwise it waits
 // for the next changes.
-func (f *Fleet) readOrWatch(ctx context.Context, table string, version uint64, readAll bool) (store.Rows, error) {
+func (f *Fleet) readOrWatch(
+	ctx context.Context, table string, version uint64, readAll bool,
+) (store.Rows, error) {
 	if readAll {
 		return f.readTable(ctx, table)
 	}
--- a/internal/node/fleet/world_test.go
+++ b/internal/node/fleet/world_test.go
@@ -121,7 +121,9 @@
 }
 
 // Watch implements store.Store.
-func (s *memoryStore) Watch(ctx context.Context, table string, after uint64, wait time.Duration) (store.Rows, error) {
+func (s *memoryStore) Watch(
+	ctx context.Context, table string, after uint64, wait time.Duration,
+) (store.Rows, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	s.mu.Lock()
