--- a/internal/node/fleet/steward.go
+++ b/internal/node/fleet/steward.go
@@ -15,54 +15,59 @@
 )
 
 const (
-	// inquireTimeout bounds the question for a database's standing.
-	inquireTimeout = 400 * time.Millisecond
-	// stepDownWait is how long a change waits for the old primary's standing once
-	// nobody uses it any more. One that answers at all answers within it.
+	// controlTimeout bounds a control statement to a database.
+	controlTimeout = 400 * time.Millisecond
+	// stepDownWait is how long a failover waits for the old primary's status
+	// once no instance uses that primary any more. A primary that answers at
+	// all answers within this time.
 	stepDownWait = 60 * time.Millisecond
-	// catchUpLimit is how long a planned change waits for a replica to receive
-	// all that the old primary has: several times the delay of a slow link.
-	catchUpLimit = 600 * time.Millisecond
+	// catchUpTimeout is how long a planned failover waits for a replica to
+	// receive all that the old primary has: several times the delay of a slow
+	// link.
+	catchUpTimeout = 600 * time.Millisecond
 	// promoteTimeout bounds one call to the platform.
 	promoteTimeout = 900 * time.Millisecond
-	// leadTimeout is how long a promoted database may take to lead: three times
-	// what the platform states.
-	leadTimeout = 3 * time.Second
-	// stewardPause is the pause between two looks during a change.
-	stewardPause = 50 * time.Millisecond
-	// rowSeenWait bounds the wait for one's own row in a view: two reads of it.
-	rowSeenWait = 2 * renewTimeout
-	// challengeWait is how long a challenge of the duty's holder stands before
-	// the challenger takes the duty: the holder sees it within a renewal.
+	// becomePrimaryTimeout is how long a promoted database may take to become
+	// primary: three times what the platform states.
+	becomePrimaryTimeout = 3 * time.Second
+	// failoverPollInterval is the time between two checks during a failover.
+	failoverPollInterval = 50 * time.Millisecond
+	// rowVisibleTimeout bounds the wait until a view shows a row that this
+	// instance has written: two reads of the table.
+	rowVisibleTimeout = 2 * renewTimeout
+	// challengeWait is how long a challenge of the holder of the coordinator
+	// lease must stand before the challenger takes the lease: the holder sees
+	// it within a renewal.
 	challengeWait = 1600 * time.Millisecond
-	// resumeAfter is how long a change that nobody works on rests before this
-	// instance begins it anew.
-	resumeAfter = 500 * time.Millisecond
+	// failoverRetryDelay is how long this instance waits before it starts an
+	// unfinished failover again.
+	failoverRetryDelay = 500 * time.Millisecond
 )
 
-// stewardship is the state of the changes that this instance makes.
-type stewardship struct {
-	// busy holds the groups that a goroutine changes; it belongs to the tick.
-	busy map[model.GroupID]chan struct{}
-	// challenge is the version of the duty's row that holds this instance's
-	// challenge, since when.
-	challenge  uint64
-	challenged time.Time
+// coordination is the state of the failovers that this instance carries out.
+type coordination struct {
+	// active holds, for each group with a failover running here, a channel that
+	// is closed at its end. Only startFailovers uses it.
+	active map[model.GroupID]chan struct{}
+	// challengeVersion is the version of the coordinator lease's row with this
+	// instance's challenge, which was written at challengedAt.
+	challengeVersion uint64
+	challengedAt     time.Time
 }
 
-// steward begins changes of primary where they are needed and this instance's
-// to make.
-func (f *Fleet) steward(ctx context.Context) {
+// startFailovers starts the failovers that are needed, if this instance is the
+// coordinator.
+func (f *Fleet) startFailovers(ctx context.Context) {
 	view := f.Leases.View()
 	if f.leaving.Load() || !f.Leases.IsConfirmed(clock.Now()) {
 		return
 	}
-	f.answerChallenge(ctx, view.CoordinatorLease)
+	f.clearChallenge(ctx, view.CoordinatorLease)
 	for name, row := range view.Rows {
-		if ended, found := f.stewardship.busy[name]; found {
+		if ended, found := f.coordination.active[name]; found {
 			select {
 			case <-ended:
-				delete(f.stewardship.busy, name)
+				delete(f.coordination.active, name)
 			default:
 				continue
 			}
@@ -71,27 +76,28 @@
 		if !needed {
 			reason, needed = succession.FailoverReason(f.evidence(name, row))
 		}
-		if !needed || !f.isSteward(ctx, view.CoordinatorLease) {
+		if !needed || !f.isCoordinator(ctx, view.CoordinatorLease) {
 			continue
 		}
 		ended := make(chan struct{})
-		f.stewardship.busy[name] = ended
+		f.coordination.active[name] = ended
 		f.running.Add(1)
 		go func() {
 			defer f.running.Done()
 			defer close(ended)
-			f.change(ctx, name, row, view.CoordinatorLease, reason)
+			f.failover(ctx, name, row, view.CoordinatorLease, reason)
 		}()
 	}
 }
 
-// evidence gathers what is known of a group's primary.
+// evidence collects what is known about a group's primary.
 func (f *Fleet) evidence(name model.GroupID, row lease.GroupRow) succession.Evidence {
 	e := succession.Evidence{}
-	e.Observers, e.UnansweredObservers = f.witnessed(name, row.Epoch, f.Scheduler.FailureDuration(name))
-	for _, note := range f.otherZones(name, row.Epoch) {
-		e.Observers += note.Observers
-		e.UnansweredObservers += note.UnansweredObservers
+	e.Observers, e.UnansweredObservers = f.countObservers(name, row.Epoch,
+		f.Scheduler.FailureDuration(name))
+	for _, groupGossip := range f.otherZoneGossip(name, row.Epoch) {
+		e.Observers += groupGossip.Observers
+		e.UnansweredObservers += groupGossip.UnansweredObservers
 	}
 	for _, d := range f.databasesOf(name) {
 		switch {
@@ -105,40 +111,41 @@
 	return e
 }
 
-// otherZones returns what is known of a group's primary in each other availability
-// zone: the word of the instance there that has heard the most of them.
-func (f *Fleet) otherZones(name model.GroupID, epoch uint64) map[model.ZoneID]message.GroupGossip {
+// otherZoneGossip returns the gossip about a group's primary for each other
+// availability zone: that of the peer there which counts the most observers.
+func (f *Fleet) otherZoneGossip(name model.GroupID, epoch uint64) map[model.ZoneID]message.GroupGossip {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
 	now := clock.Now()
-	notes := map[model.ZoneID]message.GroupGossip{}
+	gossipByZone := map[model.ZoneID]message.GroupGossip{}
 	for _, p := range f.peers.known {
-		zone := p.bulletin.Zone
-		if zone == f.options.Zone || !p.isAlive(now) || p.bulletin.ViewAge >= lease.Duration {
+		zone := p.gossip.Zone
+		if zone == f.options.Zone || !p.isAlive(now) || p.gossip.ViewAge >= lease.Duration {
 			continue
 		}
-		if note, found := p.note(name, epoch); found && note.Observers > notes[zone].Observers {
-			notes[zone] = note
+		if groupGossip, found := p.groupGossip(name, epoch); found && groupGossip.Observers > gossipByZone[zone].Observers {
+			gossipByZone[zone] = groupGossip
 		}
 	}
-	return notes
+	return gossipByZone
 }
 
-// encode writes a value for a row.
+// encode encodes the value of a row.
 func (f *Fleet) encode(value any) []byte {
 	body, err := msgpack.Marshal(value)
 	if err != nil {
-		// The values are of this package's own plain types.
+		// The values are plain types of this package, which can always be
+		// encoded.
 		panic(err)
 	}
 	return body
 }
 
-// write carries out a change of the store.
-func (f *Fleet) write(ctx context.Context, change store.Transaction) (uint64, error) {
+// write carries out a transaction of the store and returns its version.
+func (f *Fleet) write(ctx context.Context, tx store.Transaction) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	version, err := f.options.Store.Write(ctx, change)
-	f.noteStored(err)
+	version, err := f.options.Store.Write(ctx, tx)
+	f.recordStoreOutcome(err)
 	return version, err
 }
--- a/internal/node/fleet/survey_test.go
+++ b/internal/node/fleet/survey_test.go
@@ -13,48 +13,49 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/statement"
 )
 
-// peerThat answers messages to a peer in place of the links.
-type peerThat func(send message.SendPeer)
+// sendFunc is a Links that passes each message to a peer to the function.
+type sendFunc func(send message.SendPeer)
 
 // HandleAction implements Links.
-func (p peerThat) HandleAction(action message.Action) bool {
-	if send, is := action.(message.SendPeer); is {
-		p(send)
+func (f sendFunc) HandleAction(action message.Action) bool {
+	if send, ok := action.(message.SendPeer); ok {
+		f(send)
 	}
 	return true
 }
 
-// The first instance of a zone asks the databases for all of it; where it does not
-// answer, each asks by itself.
-func TestSurveyThroughThePeer(t *testing.T) {
+// The first instance of a zone surveys the databases for all instances of the
+// zone. Only its response to the present request, about the same group and
+// primary, may confirm the primary.
+func TestSurveyThroughPeer(t *testing.T) {
 	grant := lease.Grant{Group: "ratings", Primary: "a", Epoch: 1}
 	for name, c := range map[string]struct {
-		told  *message.PrimarySurveyResponse
-		stale bool
-		want  bool
+		response *message.PrimarySurveyResponse
+		stale    bool
+		want     bool
 	}{
-		"proved":                 {&message.PrimarySurveyResponse{Group: "ratings", Primary: "a", Confirmed: true}, false, true},
-		"another one leads":      {&message.PrimarySurveyResponse{Group: "ratings", Primary: "b", Confirmed: true}, false, false},
-		"not proved":             {&message.PrimarySurveyResponse{Group: "ratings", Primary: "a"}, false, false},
-		"of another group":       {&message.PrimarySurveyResponse{Group: "results", Primary: "a", Confirmed: true}, false, false},
-		"of an earlier question": {&message.PrimarySurveyResponse{Group: "ratings", Primary: "a", Confirmed: true}, true, false},
-		"no answer":              {nil, false, false},
+		"confirmed":                   {&message.PrimarySurveyResponse{Group: "ratings", Primary: "a", Confirmed: true}, false, true},
+		"another database is primary": {&message.PrimarySurveyResponse{Group: "ratings", Primary: "b", Confirmed: true}, false, false},
+		"not confirmed":               {&message.PrimarySurveyResponse{Group: "ratings", Primary: "a"}, false, false},
+		"for another group":           {&message.PrimarySurveyResponse{Group: "results", Primary: "a", Confirmed: true}, false, false},
+		"for an earlier request":      {&message.PrimarySurveyResponse{Group: "ratings", Primary: "a", Confirmed: true}, true, false},
+		"no answer":                   {nil, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newMember(5, 9)
-			f.Attach(peerThat(func(send message.SendPeer) {
-				wanted, is := send.Body.(message.PrimarySurveyRequest)
-				if !is || c.told == nil {
+			f := newUnstartedFleet(5, 9)
+			f.Attach(sendFunc(func(send message.SendPeer) {
+				request, ok := send.Body.(message.PrimarySurveyRequest)
+				if !ok || c.response == nil {
 					return
 				}
-				told := *c.told
-				told.SenderClock = wanted.SenderClock
+				response := *c.response
+				response.SenderClock = request.SenderClock
 				if c.stale {
-					told.SenderClock--
+					response.SenderClock--
 				}
-				go f.Post(message.PeerMessageReceived{From: send.To, Body: told})
+				go f.Post(message.PeerMessageReceived{From: send.To, Body: response})
 			}), idleSessions{})
-			f.tell("z1-1", message.GossipState{})
+			f.receiveGossip("z1-1", message.GossipState{})
 			f.Leases.Update(lease.View{
 				Version: 1, ReadStartedAt: clock.Now(), IsMember: true,
 				Rows: map[model.GroupID]lease.GroupRow{"ratings": {Epoch: 1, Primary: "a"}},
@@ -66,49 +67,52 @@
 	}
 }
 
-// A survey for a peer begins after the question was heard.
-func TestSurveyForAPeer(t *testing.T) {
-	f := newMember(1, 3)
+// A survey for a peer must start after the request was received: a round that
+// was running already may have read states from before it.
+func TestSurveyForPeerStartsAfterRequest(t *testing.T) {
+	f := newUnstartedFleet(1, 3)
 	answers := make(chan message.PrimarySurveyResponse, 1)
-	f.Attach(peerThat(func(send message.SendPeer) {
-		if told, is := send.Body.(message.PrimarySurveyResponse); is {
-			answers <- told
+	f.Attach(sendFunc(func(send message.SendPeer) {
+		if response, ok := send.Body.(message.PrimarySurveyResponse); ok {
+			answers <- response
 		}
 	}), idleSessions{})
-	running, mine := f.surveys.join("ratings")
-	if !mine {
-		t.Fatal("a round runs already")
+	running, isNew := f.surveys.join("ratings")
+	if !isNew {
+		t.Fatal("a round is running already")
 	}
 	f.Post(message.PeerMessageReceived{From: "z1-2", Body: message.PrimarySurveyRequest{Group: "ratings", SenderClock: 7}})
-	running.primary, running.proved = "a", true
-	f.surveys.end("ratings", running)
+	running.primary, running.confirmed = "a", true
+	f.surveys.endRound("ratings", running)
 	if diff := cmp.Diff(message.PrimarySurveyResponse{Group: "ratings", SenderClock: 7}, <-answers); diff != "" {
-		t.Errorf("the round that ran already was taken: %s", diff)
+		t.Errorf("the response is that of the round that was already running: %s", diff)
 	}
 }
 
-func TestSoleLeader(t *testing.T) {
-	standing := func(id model.DatabaseID, role model.Role, term model.Term) standingOf {
-		s := standingOf{standing: statement.ServerStatus{Role: role, Term: term}}
+// A survey confirms a primary only if all databases have responded, are in one
+// term, and no other of them is primary.
+func TestSolePrimary(t *testing.T) {
+	status := func(id model.DatabaseID, role model.Role, term model.Term) databaseStatus {
+		s := databaseStatus{status: statement.ServerStatus{Role: role, Term: term}}
 		s.database.ID = id
 		return s
 	}
-	primary, replica := standing("a", model.RolePrimary, 2), standing("b", model.RoleReplica, 2)
+	primary, replica := status("a", model.RolePrimary, 2), status("b", model.RoleReplica, 2)
 	for name, c := range map[string]struct {
-		heard []standingOf
-		all   int
-		want  bool
+		statuses []databaseStatus
+		total    int
+		want     bool
 	}{
-		"it leads alone":               {[]standingOf{primary, replica}, 2, true},
-		"one did not answer":           {[]standingOf{primary, replica}, 3, false},
-		"nobody answered":              {nil, 0, false},
-		"one is in another term":       {[]standingOf{primary, standing("c", model.RoleReplica, 3)}, 2, false},
-		"two lead":                     {[]standingOf{primary, standing("c", model.RolePrimary, 2)}, 2, false},
-		"nobody leads":                 {[]standingOf{replica}, 1, false},
-		"a former primary still leads": {[]standingOf{primary, standing("c", model.RolePrimary, 1), replica}, 3, false},
+		"the only primary":                  {[]databaseStatus{primary, replica}, 2, true},
+		"one did not answer":                {[]databaseStatus{primary, replica}, 3, false},
+		"none answered":                     {nil, 0, false},
+		"one is in another term":            {[]databaseStatus{primary, status("c", model.RoleReplica, 3)}, 2, false},
+		"two primaries":                     {[]databaseStatus{primary, status("c", model.RolePrimary, 2)}, 2, false},
+		"no primary":                        {[]databaseStatus{replica}, 1, false},
+		"a former primary in an older term": {[]databaseStatus{primary, status("c", model.RolePrimary, 1), replica}, 3, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, got := soleLeader(c.heard, c.all)
+			_, got := solePrimary(c.statuses, c.total)
 			if diff := cmp.Diff(c.want, got); diff != "" {
 				t.Error(diff)
 			}
