--- a/internal/core/engine/constants.go
+++ b/internal/core/engine/constants.go
@@ -2,49 +2,50 @@
 
 import "time"
 
-// controlInterval is the least time between two runs of the control systems
-// while only requests arrive.
+// controlInterval is the minimum time between two runs of the control systems while
+// only requests arrive.
 const controlInterval = 5 * time.Millisecond
 
 // -----------------------------------------------------------------------------
 // Databases.
 
 const (
-	// probeInterval is the time between two questions for a database's status
-	// while nothing waits for an answer.
+	// probeInterval is the time between two status probes of a database while no
+	// read waits for a sample.
 	probeInterval = 250 * time.Millisecond
-	// probeTimeout bounds the wait for a status.
+	// probeTimeout bounds the wait for the response to a probe.
 	probeTimeout = 400 * time.Millisecond
-	// awaitTimeout bounds the wait for a replica to receive a position.
+	// awaitTimeout bounds the time that a replica waits to receive a position.
 	awaitTimeout = 500 * time.Millisecond
-	// controlTimeout bounds the wait for a fence, promotion, follow or settle.
+	// controlTimeout bounds the wait for a fence, a promotion, a follow or the
+	// resolution of an in-doubt commit.
 	controlTimeout = time.Second
-	// proofAge is the greatest age of the proof of a term under which new
-	// writes are sent.
-	proofAge = time.Second
-	// suspectAfter is the time without an answer after which a database is
-	// taken as unreachable.
-	suspectAfter = 600 * time.Millisecond
-	// silentAfter is the time without a byte of an answer after which the
+	// maxConfirmationAge is the maximum age of the confirmation of a term under
+	// which writes are still sent.
+	maxConfirmationAge = time.Second
+	// unreachableAfter is the time without a response after which a database with
+	// failed probes counts as unreachable.
+	unreachableAfter = 600 * time.Millisecond
+	// silenceTimeout is the time without a byte of a response after which the
 	// connection is checked.
-	silentAfter = time.Second
-	// readPatience is the longest time that a read waits for a replica to
-	// catch up, where its rank's target allows no less.
-	readPatience = 50 * time.Millisecond
-	// barrierBound is the staleness bound below which a read waits for a
+	silenceTimeout = time.Second
+	// maxReplicaWait is the maximum time that a read waits for a replica to catch
+	// up. The latency target of its rank may lower it.
+	maxReplicaWait = 50 * time.Millisecond
+	// barrierThreshold is the staleness bound below which a read waits for a
 	// position barrier instead of using earlier samples.
-	barrierBound = 20 * time.Millisecond
-	// staleMargin is taken off a staleness bound for the time that the answer
-	// travels.
-	staleMargin = 5 * time.Millisecond
-	// sampleSpacing is the least time between two kept samples of positions.
-	sampleSpacing = 5 * time.Millisecond
-	// sampleAge is the greatest age of a kept sample.
-	sampleAge = time.Minute
-	// maxBehind is the number of answers from lagging replicas after which a
-	// read goes to the primary.
-	maxBehind = 2
-	// maxAttempts bounds the tries of one request.
+	barrierThreshold = 20 * time.Millisecond
+	// stalenessMargin is subtracted from a staleness bound to allow for the travel
+	// time of the response.
+	stalenessMargin = 5 * time.Millisecond
+	// minSampleSpacing is the minimum time between two stored position samples.
+	minSampleSpacing = 5 * time.Millisecond
+	// maxSampleAge is the maximum age of a stored position sample.
+	maxSampleAge = time.Minute
+	// maxBehindAnswers is the number of responses from lagging replicas after which
+	// a read goes to the primary.
+	maxBehindAnswers = 2
+	// maxAttempts bounds the attempts of one request.
 	maxAttempts = 12
 )
 
@@ -52,60 +53,65 @@
 // Failover.
 
 const (
-	// streamLostAfter is the time for which all reachable replicas must report
-	// a lost stream before a promotion starts.
+	// streamLostAfter is the time for which all reachable replicas must report a
+	// lost replication stream before the primary is suspected.
 	streamLostAfter = 300 * time.Millisecond
-	// stewardStep is the time by which each next instance in the order of
-	// stewards waits longer before it claims.
-	stewardStep = 700 * time.Millisecond
-	// claimLease is the time after which an unchanged claim of another
-	// instance may be replaced.
-	claimLease = 2 * time.Second
-	// leavingGrace is the time for which a change of primary waits for a
-	// majority of databases that stay.
-	leavingGrace = 500 * time.Millisecond
-	// rowTimeout bounds a question to the platform during a failover.
+	// coordinatorStagger is the additional time that each further instance in the
+	// coordinator order waits before it claims a failover.
+	coordinatorStagger = 700 * time.Millisecond
+	// claimExpiry is the time after which an unchanged claim of another instance
+	// may be replaced.
+	claimExpiry = 2 * time.Second
+	// leavingGracePeriod is the time for which a failover waits for a majority of
+	// fenced databases that are neither leaving nor the replaced primary.
+	leavingGracePeriod = 500 * time.Millisecond
+	// rowTimeout bounds a request to the platform during a failover.
 	rowTimeout = time.Second
-	// retryPause is the pause before a failed step of a failover is repeated.
+	// retryPause is the pause before a failed step of a failover, a submission or
+	// the resolution of a commit is retried.
 	retryPause = 200 * time.Millisecond
-	// repairInterval is the least time between two repairs of one database.
+	// repairInterval is the minimum time between two repairs of one database.
 	repairInterval = time.Second
-	// logbookKept is the number of records an instance keeps for each group.
-	logbookKept = 64
+	// maxLogbookRecords is the maximum number of promotion records that an instance
+	// keeps for each group.
+	maxLogbookRecords = 64
 )
 
 // -----------------------------------------------------------------------------
 // Instances, platform, manifest, shutdown.
 
 const (
-	// heartbeatInterval is the time between heartbeats to one peer while the
-	// links are few.
+	// heartbeatInterval is the time between heartbeats to one peer while there are
+	// few links.
 	heartbeatInterval = 500 * time.Millisecond
-	// heartbeatLinks is the number of links beyond which heartbeats become
-	// rarer, so that their sum stays bounded.
-	heartbeatLinks = 8
-	// aliveFor is the number of heartbeat intervals for which an instance
-	// counts as alive after its last heartbeat.
-	aliveFor = 4
-	// maxLinks bounds the links that an instance keeps.
+	// heartbeatLinkThreshold is the number of links by which heartbeatInterval is
+	// lengthened by its own length once more, so that the total rate of heartbeats
+	// stays bounded.
+	heartbeatLinkThreshold = 8
+	// maxMissedHeartbeats is the number of heartbeat intervals for which an
+	// instance counts as alive after its last heartbeat.
+	maxMissedHeartbeats = 4
+	// maxLinks bounds the number of peer links of an instance.
 	maxLinks = 24
-	// maxKnown bounds the list of known peers in a heartbeat.
-	maxKnown = 8
-	// listInterval is the time between two reads of the platform's list.
+	// maxKnownPeers bounds the list of known peers in a heartbeat.
+	maxKnownPeers = 8
+	// listInterval is the time between two reads of the platform's list of
+	// instances.
 	listInterval = 10 * time.Second
-	// platformTimeout bounds a question to the platform outside a failover.
+	// platformTimeout bounds a request to the platform outside a failover.
 	platformTimeout = 3 * time.Second
 	// manifestInterval is the time between two reads of the manifest's row.
 	manifestInterval = 5 * time.Second
-	// manifestFirst is that time while no manifest is in force.
-	manifestFirst = 300 * time.Millisecond
-	// submitLimit is the time after which a submission of unknown outcome is
-	// reported as such.
-	submitLimit = 10 * time.Second
-	// drainLimit is the time after which a draining instance ends although
+	// initialManifestInterval is the time between two reads of the manifest's row
+	// while no manifest is in force.
+	initialManifestInterval = 300 * time.Millisecond
+	// submissionTimeout is the time after which a submission without a result is
+	// reported as unavailable or of unknown outcome.
+	submissionTimeout = 10 * time.Second
+	// drainTimeout is the time after which a draining instance terminates although
 	// requests remain.
-	drainLimit = 60 * time.Second
-	// drainQuiet is the least time between the announcement of leaving and
-	// the end.
-	drainQuiet = 500 * time.Millisecond
+	drainTimeout = 60 * time.Second
+	// minDrainTime is the minimum time between the start of draining and
+	// termination, so that the other instances learn of it.
+	minDrainTime = 500 * time.Millisecond
 )
--- a/internal/core/engine/engine.go
+++ b/internal/core/engine/engine.go
@@ -1,40 +1,42 @@
-// Package engine holds the decisions of one instance: which database serves a
-// read, when a commit may be acknowledged, who promotes which database, which
-// manifest is in force, and who is alive.
+// Package engine makes the decisions of one instance: which database serves a read,
+// when a commit may be acknowledged, which database is promoted when a primary
+// fails, which manifest is in force, and which other instances are alive.
 //
-// # What flows in and out
+// # Inputs and outputs
 //
-// Events of package message flow in by Step, together with the time; actions
-// flow out. The package has no clock, no network, no goroutine and no random
-// source: the same events at the same times give the same actions.
+// Step takes events of package message and the current time, and returns the
+// actions to carry out. The package has no clock, no network, no goroutine and no
+// random source: the same events at the same times give the same actions.
 //
-// # How it is laid out
+// # Structure
 //
-// Entities stand in tables (table_*.go): groups with their databases, sessions,
-// requests, instances. Systems (system_*.go) run over the tables, in a fixed
+// The state is kept in tables (table_*.go): groups with their databases, sessions,
+// requests and instances. Systems (system_*.go) process the tables in a fixed
 // order, once a step:
 //
-//	events ─> intake     each event changes the table that it speaks of
-//	          manifest   poll, adopt, submit                       (control)
-//	          member     heartbeats, who is alive, links to keep   (control)
-//	          watch      probes, terms, samples of positions       (control)
-//	          steward    failed primaries, promotion, repair       (control)
-//	          prove      held answers and commits whose position is proven
-//	          settle     commits whose outcome is not known
-//	          schedule   deadlines, grants, dispatches
-//	          drain      leaving in order
+//	events ─> intake      apply each event to its table
+//	          manifest    poll, adopt and submit manifests         (control)
+//	          member      heartbeats, live instances, links        (control)
+//	          watch       probes, terms, position samples          (control)
+//	          failover    failed primaries, promotion, repair      (control)
+//	          durability  release results and commits that a
+//	                      majority holds
+//	          resolve     commits whose outcome is unknown
+//	          schedule    deadlines, slot grants, dispatches
+//	          drain       graceful shutdown
 //	       ─> actions
 //
-// The control systems run once a tick and whenever something other than a
-// request has arrived.
+// The control systems run once per controlInterval, and in every step that has
+// received an event other than one of a request.
 //
 // # Why it is safe
 //
-// A position of term T is proven once a majority of the group, each still in
-// term T, holds an entry of T at or beyond it. A promotion fences a majority
-// first and chooses the longest log among it; both majorities share a database,
-// so what is proven survives. Nothing goes to a caller before it is proven.
-// Everything else in this package is about speed, never about safety.
+// A position of term T is durable once a majority of the group, each still in term
+// T, holds an entry of T at or beyond it. A promotion fences a majority first and
+// chooses the longest log among the fenced databases. Both majorities share a
+// database, so a durable position survives every promotion. Nothing is sent to a
+// caller before its position is durable. The rest of this package affects speed
+// only, not safety.
 //
 // # Usage
 //
@@ -55,45 +57,45 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// Options are what an instance knows of itself from its settings.
+// Options identify an instance. They come from its settings.
 type Options struct {
 	Instance model.InstanceID
 	Zone     model.ZoneID
 	// PeerAddress is the address at which other instances reach this one.
 	PeerAddress netip.AddrPort
-	// SeedAddresses are addresses of other instances, known from the settings.
+	// SeedAddresses are addresses of other instances, from the settings.
 	SeedAddresses []netip.AddrPort
-	// StartID distinguishes this start of the process from every other. It goes
-	// into nonces and seeds the jitter.
+	// StartID is unique to this start of the process. It is part of every nonce and
+	// seeds the jitter.
 	StartID string
 }
 
 // Engine is the state of one instance. It is not safe for concurrent use.
 type Engine struct {
-	options   Options
-	now       time.Time
-	out       []message.Action
-	scheduler *rank.Scheduler
-	groups    []*group
-	byGroup   map[model.GroupID]*group
-	databases map[model.DatabaseID]*database
-	sessions  map[model.SessionID]*session
-	requests  *requestTable
-	instances instanceTable
-	declared  manifestState
-	drain     drainState
-	lastAsk   uint64
-	lastNonce uint64
-	draws     uint64
-	// published are the databases as last told to the edges; republish is when
-	// they are compared next.
-	published []message.DatabaseTarget
-	republish time.Time
-	// learned says that something other than a request has arrived since the
-	// control systems ran at controlled.
-	learned    bool
-	controlled time.Time
-	// ready and names are the room for the candidates of one read.
+	options           Options
+	now               time.Time
+	actions           []message.Action
+	scheduler         *rank.Scheduler
+	groups            []*group
+	groupsByName      map[model.GroupID]*group
+	databases         map[model.DatabaseID]*database
+	sessions          map[model.SessionID]*session
+	requests          *requestTable
+	instances         instanceTable
+	manifests         manifestState
+	drain             drainState
+	lastCorrelationID uint64
+	lastNonce         uint64
+	jitterDraws       uint64
+	// publishedDatabases are the databases as last published. At republishAt they
+	// are compared with the tables again.
+	publishedDatabases []message.DatabaseTarget
+	republishAt        time.Time
+	// controlPending reports that an event other than a request has arrived since
+	// the control systems last ran, at lastControlRun.
+	controlPending bool
+	lastControlRun time.Time
+	// ready and names are reused buffers for the candidates of one read.
 	ready []*database
 	names []model.DatabaseID
 }
@@ -101,83 +103,83 @@
 // NewEngine returns the state of an instance that has no manifest yet.
 func NewEngine(options Options) *Engine {
 	return &Engine{
-		options:   options,
-		scheduler: rank.NewScheduler(options.Instance),
-		byGroup:   map[model.GroupID]*group{},
-		databases: map[model.DatabaseID]*database{},
-		sessions:  map[model.SessionID]*session{},
-		requests:  newRequestTable(),
-		instances: newInstanceTable(),
+		options:      options,
+		scheduler:    rank.NewScheduler(options.Instance),
+		groupsByName: map[model.GroupID]*group{},
+		databases:    map[model.DatabaseID]*database{},
+		sessions:     map[model.SessionID]*session{},
+		requests:     newRequestTable(),
+		instances:    newInstanceTable(),
 	}
 }
 
-// Step takes in events and runs every system once. The actions are valid until
-// the next Step.
+// Step applies the events and runs every system once. The returned actions are
+// valid until the next call of Step.
 func (e *Engine) Step(now time.Time, events []message.Event) []message.Action {
 	e.now = now
-	e.out = e.out[:0]
+	e.actions = e.actions[:0]
 	for _, incoming := range events {
-		e.take(incoming)
+		e.handleEvent(incoming)
 	}
 	if e.isControlDue() {
-		e.controlled = now
-		e.learned = false
+		e.lastControlRun = now
+		e.controlPending = false
 		e.runManifest()
 		e.runMember()
 		e.runWatch()
-		e.runSteward()
+		e.runFailover()
 	}
-	e.runProve()
-	e.runSettle()
+	e.runDurability()
+	e.runResolve()
 	e.runSchedule()
 	e.runDrain()
-	return e.out
+	return e.actions
 }
 
-// isControlDue reports whether the systems that do not serve requests shall run
-// in this step: at once when something was learnt, else once a tick, so that
-// their cost does not grow with the number of requests.
+// isControlDue reports whether the control systems run in this step: when something
+// other than a request has arrived, else once per controlInterval, so that their
+// cost does not grow with the number of requests.
 func (e *Engine) isControlDue() bool {
-	return e.learned || e.now.Sub(e.controlled) >= controlInterval
+	return e.controlPending || e.now.Sub(e.lastControlRun) >= controlInterval
 }
 
-// take lets one event change the table that it speaks of.
-func (e *Engine) take(incoming message.Event) {
+// handleEvent applies one event to the table that it concerns.
+func (e *Engine) handleEvent(incoming message.Event) {
 	switch incoming := incoming.(type) {
 	case message.SessionOpened, message.SessionClosed, message.RequestArrived, message.RequestCanceled:
-		e.takeCaller(incoming)
+		e.handleCallerEvent(incoming)
 	case message.ResultHeld:
-		e.takeHeld(incoming)
+		e.handleResultHeld(incoming)
 	case message.AttemptEnded:
-		e.takeAnswer(incoming)
+		e.handleAttemptEnded(incoming)
 	default:
-		e.learned = true
-		e.takeControl(incoming)
+		e.controlPending = true
+		e.handleControlEvent(incoming)
 	}
 }
 
-// takeControl lets an event that belongs to no request change its tables.
-func (e *Engine) takeControl(incoming message.Event) {
+// handleControlEvent applies an event that belongs to no request.
+func (e *Engine) handleControlEvent(incoming message.Event) {
 	switch incoming := incoming.(type) {
 	case message.ControlAnswered:
-		e.takeStatus(incoming)
+		e.handleControlAnswer(incoming)
 	case message.InDoubtResolved:
-		e.takeSettled(incoming)
+		e.handleInDoubtResolved(incoming)
 	case message.PeerMessageReceived, message.PeerConnected, message.PeerDisconnected:
-		e.takePeer(incoming)
+		e.handlePeerEvent(incoming)
 	case message.RowsRead, message.RowsWritten, message.ObjectRead, message.ObjectWritten, message.InstancesListed:
-		e.takePlatform(incoming)
+		e.handlePlatformEvent(incoming)
 	case message.ManifestSubmitted:
-		e.takeSubmission(incoming)
+		e.handleSubmission(incoming)
 	case message.ReportRequested:
-		e.do(message.ReportAnswered{CorrelationID: incoming.CorrelationID, Body: e.report(incoming)})
+		e.emit(message.ReportAnswered{CorrelationID: incoming.CorrelationID, Body: e.report(incoming)})
 	case message.DrainRequested:
-		e.takeDrain()
+		e.startDrain()
 	}
 }
 
-// takeCaller lets an event of a caller's connection change its tables.
-func (e *Engine) takeCaller(incoming message.Event) {
+// handleCallerEvent applies an event of a caller's connection.
+func (e *Engine) handleCallerEvent(incoming message.Event) {
 	switch incoming := incoming.(type) {
 	case message.SessionOpened:
 		e.openSession(incoming)
@@ -191,33 +193,34 @@
 }
 
 // -----------------------------------------------------------------------------
-// Small tools of all systems.
+// Helpers shared by all systems.
 
-// do adds an action to the step's outcome.
-func (e *Engine) do(action message.Action) { e.out = append(e.out, action) }
+// emit appends an action to those that Step returns.
+func (e *Engine) emit(action message.Action) { e.actions = append(e.actions, action) }
 
-// note adds a log line to the step's outcome.
-func (e *Engine) note(ev event.Event, fields ...event.Field) {
-	e.do(message.LogEvent{Event: ev, Fields: fields})
+// logEvent emits a log event.
+func (e *Engine) logEvent(ev event.Event, fields ...event.Field) {
+	e.emit(message.LogEvent{Event: ev, Fields: fields})
 }
 
-// ask returns a new number for a question.
-func (e *Engine) ask() uint64 {
-	e.lastAsk++
-	return e.lastAsk
+// correlationID returns a new ID that matches a response to its request.
+func (e *Engine) correlationID() uint64 {
+	e.lastCorrelationID++
+	return e.lastCorrelationID
 }
 
-// nonce returns a text that no other instance or start ever makes.
-func (e *Engine) nonce() model.Nonce {
+// newNonce returns a nonce that is unique across instances and process starts.
+func (e *Engine) newNonce() model.Nonce {
 	e.lastNonce++
 	return model.Nonce(string(e.options.Instance) + "." + e.options.StartID + "." + strconv.FormatUint(e.lastNonce, 10))
 }
 
-// jitter spreads d evenly between half and one and a half of it, so that
-// instances do not act in step. The sequence follows from Options.Start.
+// jitter returns a duration spread evenly between half of d and one and a half
+// times d, so that instances do not act at the same moment. The sequence is
+// determined by Options.StartID.
 func (e *Engine) jitter(d time.Duration) time.Duration {
-	e.draws++
+	e.jitterDraws++
 	const steps = 1 << 16
-	drawn := xxhash.Sum64String(e.options.StartID+strconv.FormatUint(e.draws, 10)) % steps
-	return d/2 + d*time.Duration(drawn)/steps
+	offset := xxhash.Sum64String(e.options.StartID+strconv.FormatUint(e.jitterDraws, 10)) % steps
+	return d/2 + d*time.Duration(offset)/steps
 }
--- a/internal/core/engine/report.go
+++ b/internal/core/engine/report.go
@@ -11,58 +11,59 @@
 // Reports for operators.
 
 // report returns the report on a topic.
-func (e *Engine) report(wanted message.ReportRequested) any {
-	switch wanted.Topic {
+func (e *Engine) report(requested message.ReportRequested) any {
+	switch requested.Topic {
 	case message.TopicLogbook:
-		return e.reportLogbook(wanted.Group)
+		return e.reportLogbook(requested.Group)
 	case message.TopicManifest:
-		s := &e.declared
-		return status.Manifest{Number: s.number, Digest: s.digest, Body: string(s.body)}
+		state := &e.manifests
+		return status.Manifest{Number: state.number, Digest: state.digest, Body: string(state.body)}
 	case message.TopicStatus:
 	}
-	return e.reportStatus(wanted.Group)
+	return e.reportStatus(requested.Group)
 }
 
 // reportStatus returns the state of the instance.
-func (e *Engine) reportStatus(only string) status.Status {
+func (e *Engine) reportStatus(groupName string) status.Status {
 	report := status.Status{
 		Instance: string(e.options.Instance), Zone: string(e.options.Zone),
-		ManifestNumber: e.declared.number, ManifestDigest: e.declared.digest, Draining: e.drain.started,
+		ManifestNumber: e.manifests.number, ManifestDigest: e.manifests.digest, Draining: e.drain.started,
 		OpenSessions: len(e.sessions), OpenRequests: len(e.requests.byID), Ranks: e.scheduler.Report(e.now),
 	}
 	for _, g := range e.groups {
-		if only == "" || only == string(g.name) {
+		if groupName == "" || groupName == string(g.name) {
 			report.Groups = append(report.Groups, e.reportGroup(g))
 		}
 	}
 	for _, entry := range e.instances.sorted() {
 		report.Peers = append(report.Peers, status.Peer{
-			Instance: string(entry.id), Zone: string(entry.zone), Address: entry.peer, Alive: entry.alive,
-			Leaving: entry.leaving, ManifestNumber: entry.manifest, TimeSinceHeartbeat: since(e.now, entry.heard),
+			Instance: string(entry.id), Zone: string(entry.zone), Address: entry.peerAddress, Alive: entry.alive,
+			Leaving: entry.leaving, ManifestNumber: entry.manifest, TimeSinceHeartbeat: elapsedSince(e.now, entry.lastHeartbeat),
 		})
 	}
 	return report
 }
 
-// since returns the time that has passed since then, or zero where then is none.
-func since(now, then time.Time) time.Duration {
-	if then.IsZero() {
+// elapsedSince returns the time from earlier to now, or zero if earlier is the zero
+// time.
+func elapsedSince(now, earlier time.Time) time.Duration {
+	if earlier.IsZero() {
 		return 0
 	}
-	return now.Sub(then)
+	return now.Sub(earlier)
 }
 
 // reportGroup returns the state of one group.
 func (e *Engine) reportGroup(g *group) status.Group {
 	report := status.Group{
-		Name: string(g.name), Term: uint64(g.term), Primary: string(g.primaryName()), DurablePosition: g.proven.String(),
-		CommitsAwaitingQuorum: len(g.proving), FailoverStep: g.steward.step.String(),
+		Name: string(g.name), Term: uint64(g.term), Primary: string(g.primaryName()), DurablePosition: g.durable.String(),
+		CommitsAwaitingQuorum: len(g.awaitingQuorum), FailoverStep: g.failover.step.String(),
 	}
-	report.TermConfirmationAge = since(e.now, g.proof)
-	if !g.steward.suspected.IsZero() {
-		report.Evidence = g.steward.evidence
+	report.TermConfirmationAge = elapsedSince(e.now, g.confirmedAt)
+	if !g.failover.suspectedAt.IsZero() {
+		report.Evidence = g.failover.evidence
 	}
-	for _, r := range e.requests.settling {
+	for _, r := range e.requests.inDoubt {
 		if r.group == g {
 			report.InDoubtCommits++
 		}
@@ -73,22 +74,22 @@
 			Role: d.status.Role.String(), Term: uint64(d.status.Term),
 			ReceivedPosition: d.status.Received.String(), AppliedPosition: d.applied.String(),
 			Streaming: d.status.Streaming, Leaving: d.isLeaving(), Reachable: d.isReachable(e.now),
-			TimeSinceAnswer: since(e.now, d.heard), ReplicationLag: d.lag, Latency: d.latency, RunningRequests: d.running,
+			TimeSinceAnswer: elapsedSince(e.now, d.answeredAt), ReplicationLag: d.lag, Latency: d.latency, RunningRequests: d.runningRequests,
 		})
 	}
 	return report
 }
 
-// reportLogbook returns the changes of primary that are known here, and asks
-// the platform for those that are not.
-func (e *Engine) reportLogbook(only string) status.Logbook {
+// reportLogbook returns the promotion records that this instance knows, and
+// requests the others from the platform for the next report.
+func (e *Engine) reportLogbook(groupName string) status.Logbook {
 	report := status.Logbook{Records: []any{}}
 	for _, g := range e.groups {
-		if only != "" && only != string(g.name) {
+		if groupName != "" && groupName != string(g.name) {
 			continue
 		}
-		e.readLogbook(g)
-		report.QueriedAt = g.logbookAt
+		e.requestLogbook(g)
+		report.QueriedAt = g.logbookReadAt
 		for _, record := range g.logbook {
 			report.Records = append(report.Records, record)
 		}
--- a/internal/core/engine/steward_claim.go
+++ b/internal/core/engine/steward_claim.go
@@ -8,172 +8,171 @@
 // -----------------------------------------------------------------------------
 // The row: read and claim.
 
-// readRow asks for the group's row.
-func (e *Engine) readRow(g *group) {
-	g.steward.ask = e.ask()
-	e.do(message.ReadRow{CorrelationID: g.steward.ask, Table: groupTable, Key: string(g.name), Timeout: rowTimeout})
+// requestGroupRow requests the group's row.
+func (e *Engine) requestGroupRow(g *group) {
+	g.failover.correlationID = e.correlationID()
+	e.emit(message.ReadRow{CorrelationID: g.failover.correlationID, Table: groupTable, Key: string(g.name), Timeout: rowTimeout})
 }
 
-// takeGroupRow decides after the row was read.
-func (e *Engine) takeGroupRow(g *group, read message.RowsRead) {
-	st := &g.steward
-	st.ask = 0
+// handleGroupRow continues the failover after the row was read.
+func (e *Engine) handleGroupRow(g *group, read message.RowsRead) {
+	st := &g.failover
+	st.correlationID = 0
 	if read.Err != message.PlatformOK && read.Err != message.PlatformNotFound {
-		e.waitFor(g, "the platform does not answer: "+read.Err.String())
-		e.giveUpUnneeded(g)
+		e.delayStep(g, "the platform does not answer: "+read.Err.String())
+		e.stopIfUnneeded(g)
 		return
 	}
-	e.keepRow(g, read)
-	if st.unsure {
-		e.resolveUnsure(g)
+	e.storeGroupRow(g, read)
+	if st.writeUncertain {
+		e.resolveUncertainWrite(g)
 		return
 	}
-	switch st.resume {
-	case conductClaim:
+	switch st.resumeStep {
+	case failoverClaim:
 		e.claimOrYield(g)
-	case conductNone:
-		e.recordQuiet(g)
-	case conductRead, conductFence, conductPromote, conductRecord:
-		st.step = st.resume
+	case failoverIdle:
+		e.backfillRecord(g)
+	case failoverReadRow, failoverFence, failoverPromote, failoverRecord:
+		st.step = st.resumeStep
 	}
 }
 
-// keepRow remembers the row and since when it stands as it is.
-func (e *Engine) keepRow(g *group, read message.RowsRead) {
-	st := &g.steward
-	st.checked = e.now
-	version, found := "", len(read.Rows) > 0
+// storeGroupRow stores the row and the time since which it has not changed.
+func (e *Engine) storeGroupRow(g *group, read message.RowsRead) {
+	st := &g.failover
+	st.rowCheckedAt = e.now
+	rowVersion, rowExists := "", len(read.Rows) > 0
 	var row groupRow
-	if found {
-		version = read.Rows[0].Version
+	if rowExists {
+		rowVersion = read.Rows[0].Version
 		row = decodeGroupRow(read.Rows[0].Body)
 	}
-	if version != st.version || st.seen.IsZero() {
-		st.seen = e.now
+	if rowVersion != st.rowVersion || st.rowUnchangedSince.IsZero() {
+		st.rowUnchangedSince = e.now
 	}
-	st.version, st.found, st.row = version, found, row
+	st.rowVersion, st.rowExists, st.row = rowVersion, rowExists, row
 }
 
-// resolveUnsure tells, after a lost answer, whether the write took effect: the
-// row holds this instance's nonce or it does not.
-func (e *Engine) resolveUnsure(g *group) {
-	st := &g.steward
-	st.unsure = false
-	mine := st.found && st.row.Nonce == st.claim.Nonce
+// resolveUncertainWrite determines, after a lost response, whether the write took
+// effect: it did if the row holds this instance's nonce.
+func (e *Engine) resolveUncertainWrite(g *group) {
+	st := &g.failover
+	st.writeUncertain = false
+	ownNonce := st.rowExists && st.row.Nonce == st.claim.Nonce
 	switch {
-	case st.resume == conductClaim && mine:
-		e.claimHolds(g)
-	case st.resume == conductClaim:
+	case st.resumeStep == failoverClaim && ownNonce:
+		e.startFencing(g)
+	case st.resumeStep == failoverClaim:
 		e.claimOrYield(g)
-	case mine && st.row.Phase == rowPromoted:
-		e.recordHolds(g)
-	case mine:
-		st.step = conductRecord
+	case ownNonce && st.row.Phase == rowPromoted:
+		e.finishFailover(g)
+	case ownNonce:
+		st.step = failoverRecord
 	default:
-		e.yield(g, "the row has moved on")
+		e.yieldFailover(g, "another instance has changed the group's row")
 	}
 }
 
-// claimOrYield claims the next term, unless another instance's claim is young
-// or the change has been made meanwhile.
+// claimOrYield claims the next term, unless another instance's claim is recent or
+// another instance has completed the failover meanwhile.
 func (e *Engine) claimOrYield(g *group) {
-	st := &g.steward
-	if st.suspected.IsZero() {
-		e.yield(g, "the primary is well again")
+	st := &g.failover
+	if st.suspectedAt.IsZero() {
+		e.yieldFailover(g, "the primary is no longer suspected")
 		return
 	}
-	foreign := st.row.Nonce != st.claim.Nonce
-	if st.found && st.row.Phase == rowClaimed && foreign && e.now.Sub(st.seen) < claimLease {
-		st.step = conductRead
+	foreignNonce := st.row.Nonce != st.claim.Nonce
+	if st.rowExists && st.row.Phase == rowClaimed && foreignNonce && e.now.Sub(st.rowUnchangedSince) < claimExpiry {
+		st.step = failoverReadRow
 		st.notBefore = e.now.Add(retryPause)
 		return
 	}
-	if st.found && st.row.Phase == rowPromoted && st.row.Term > g.term && e.now.Sub(st.seen) < claimLease {
+	if st.rowExists && st.row.Phase == rowPromoted && st.row.Term > g.term && e.now.Sub(st.rowUnchangedSince) < claimExpiry {
 		e.probeGroup(g)
-		st.step = conductRead
+		st.step = failoverReadRow
 		st.notBefore = e.now.Add(retryPause)
 		return
 	}
 	e.writeClaim(g)
 }
 
-// writeClaim writes a claim of a term above all that the row and the databases
-// have seen.
+// writeClaim writes a claim of a term above that of the row and of all databases.
 func (e *Engine) writeClaim(g *group) {
-	st := &g.steward
+	st := &g.failover
 	term := max(st.row.Term, g.term)
 	for _, d := range g.databases {
-		if d.known {
+		if d.statusKnown {
 			term = max(term, d.status.Term)
 		}
 	}
 	st.claim = groupRow{
 		Term: term + 1, Phase: rowClaimed, Primary: g.primaryName(),
-		Steward: e.options.Instance, Nonce: e.nonce(), Reason: st.reason,
+		Coordinator: e.options.Instance, Nonce: e.newNonce(), Reason: st.reason,
 	}
-	st.before = g.primaryName()
-	st.step = conductClaim
-	st.ask = e.ask()
-	e.do(message.WriteRows{
-		CorrelationID: st.ask,
-		Rows:          []message.Row{{Table: groupTable, Key: string(g.name), Version: st.version, Body: encode(st.claim)}},
+	st.previousPrimary = g.primaryName()
+	st.step = failoverClaim
+	st.correlationID = e.correlationID()
+	e.emit(message.WriteRows{
+		CorrelationID: st.correlationID,
+		Rows:          []message.Row{{Table: groupTable, Key: string(g.name), Version: st.rowVersion, Body: encode(st.claim)}},
 		Timeout:       rowTimeout,
 	})
 }
 
-// takeGroupWrite decides after the row was written.
-func (e *Engine) takeGroupWrite(g *group, written message.RowsWritten) {
-	st := &g.steward
-	st.ask = 0
+// handleGroupWrite continues the failover after the row was written.
+func (e *Engine) handleGroupWrite(g *group, written message.RowsWritten) {
+	st := &g.failover
+	st.correlationID = 0
 	switch written.Err {
 	case message.PlatformOK:
-		st.version = written.Rows[0].Version
+		st.rowVersion = written.Rows[0].Version
 		st.row = st.claim
-		st.found = true
-		st.seen = e.now
-		if st.step == conductRecord {
-			e.recordHolds(g)
+		st.rowExists = true
+		st.rowUnchangedSince = e.now
+		if st.step == failoverRecord {
+			e.finishFailover(g)
 			return
 		}
-		e.claimHolds(g)
+		e.startFencing(g)
 	case message.PlatformUnknown:
-		st.unsure = true
-		st.resume = st.step
-		st.step = conductRead
+		st.writeUncertain = true
+		st.resumeStep = st.step
+		st.step = failoverReadRow
 	case message.PlatformConflict:
-		st.resume = st.step
-		st.unsure = st.step == conductRecord
-		st.step = conductRead
+		st.resumeStep = st.step
+		st.writeUncertain = st.step == failoverRecord
+		st.step = failoverReadRow
 	case message.PlatformUnreachable, message.PlatformRefused, message.PlatformNotFound:
-		e.waitFor(g, "the platform does not take the row: "+written.Err.String())
-		e.giveUpUnneeded(g)
+		e.delayStep(g, "the platform does not accept the row: "+written.Err.String())
+		e.stopIfUnneeded(g)
 	}
 }
 
-// waitFor delays the next try of a step and says so once.
-func (e *Engine) waitFor(g *group, why string) {
-	st := &g.steward
+// delayStep delays the next attempt of a step and logs each new reason once.
+func (e *Engine) delayStep(g *group, reason string) {
+	st := &g.failover
 	st.notBefore = e.now.Add(e.jitter(retryPause))
-	if st.noted == why || st.resume == conductNone && st.step == conductRead {
+	if st.loggedReason == reason || st.resumeStep == failoverIdle && st.step == failoverReadRow {
 		return
 	}
-	st.noted = why
-	e.note(event.PromotionWaits, event.F("group", g.name), event.F("step", st.step.String()), event.F("why", why))
+	st.loggedReason = reason
+	e.logEvent(event.PromotionWaits, event.F("group", g.name), event.F("step", st.step.String()), event.F("why", reason))
 }
 
-// giveUpUnneeded ends an attempt that has claimed nothing and that nothing
-// speaks for any more.
-func (e *Engine) giveUpUnneeded(g *group) {
-	st := &g.steward
-	if st.suspected.IsZero() && !st.unsure && (st.step == conductRead || st.step == conductClaim) {
-		st.step = conductNone
+// stopIfUnneeded stops a failover that has not claimed a term, once the primary is
+// no longer suspected.
+func (e *Engine) stopIfUnneeded(g *group) {
+	st := &g.failover
+	if st.suspectedAt.IsZero() && !st.writeUncertain && (st.step == failoverReadRow || st.step == failoverClaim) {
+		st.step = failoverIdle
 	}
 }
 
-// yield ends this instance's part in a change.
-func (e *Engine) yield(g *group, why string) {
-	e.note(event.PromotionYielded, event.F("group", g.name), event.F("term", g.steward.claim.Term), event.F("why", why))
-	g.steward.step = conductNone
-	g.steward.notBefore = e.now.Add(retryPause)
+// yieldFailover ends this instance's part in a failover.
+func (e *Engine) yieldFailover(g *group, reason string) {
+	e.logEvent(event.PromotionYielded, event.F("group", g.name), event.F("term", g.failover.claim.Term), event.F("why", reason))
+	g.failover.step = failoverIdle
+	g.failover.notBefore = e.now.Add(retryPause)
 	e.probeGroup(g)
 }
--- a/internal/core/engine/steward_detect.go
+++ b/internal/core/engine/steward_detect.go
@@ -9,39 +9,40 @@
 )
 
 // -----------------------------------------------------------------------------
-// Detection.
+// Failure detection.
 
-// watchPrimary keeps the evidence against the primary up to date. A primary is
-// suspected on evidence of two kinds: the replicas that answer say that their
-// stream from it is gone, and either this instance's own probes of it fail or,
-// with a majority of the group cut off from it, no commit of it can be proven.
-func (e *Engine) watchPrimary(g *group) {
-	st := &g.steward
-	evidence, reason := e.evidenceAgainst(g)
+// updateSuspicion updates the evidence against the primary. A primary is suspected
+// on two kinds of evidence together: the replicas that respond report that their
+// stream from it is lost, and either this instance's own probes of it fail or,
+// because a majority of the group is partitioned from it, none of its commits can
+// become durable.
+func (e *Engine) updateSuspicion(g *group) {
+	st := &g.failover
+	evidence, reason := e.evidenceAgainstPrimary(g)
 	if evidence == nil {
-		st.suspected = time.Time{}
-		st.lost = time.Time{}
-		st.noted = ""
+		st.suspectedAt = time.Time{}
+		st.evidenceSince = time.Time{}
+		st.loggedReason = ""
 		return
 	}
-	if st.lost.IsZero() {
-		st.lost = e.now
+	if st.evidenceSince.IsZero() {
+		st.evidenceSince = e.now
 	}
-	if e.now.Sub(st.lost) < streamLostAfter {
+	if e.now.Sub(st.evidenceSince) < streamLostAfter {
 		return
 	}
-	if !st.suspected.IsZero() {
+	if !st.suspectedAt.IsZero() {
 		return
 	}
-	st.suspected = e.now
+	st.suspectedAt = e.now
 	st.evidence = evidence
 	st.reason = reason
-	e.note(event.PrimarySuspected,
+	e.logEvent(event.PrimarySuspected,
 		event.F("group", g.name), event.F("primary", g.primaryName()), event.F("term", g.term),
 		event.F("evidence", fmt.Sprint(evidence)))
 }
 
-// primaryName returns the name of the known primary, or an empty one.
+// primaryName returns the name of the known primary, or an empty name.
 func (g *group) primaryName() model.DatabaseID {
 	if g.primary == nil {
 		return ""
@@ -49,113 +50,118 @@
 	return g.primary.name
 }
 
-// evidenceAgainst returns what speaks against the primary and the reason for a
-// change, or nothing where a change is not called for or could not be carried
-// out: it takes a majority that can be fenced.
-func (e *Engine) evidenceAgainst(g *group) ([]string, string) {
-	others := e.otherDatabases(g)
-	if g.primary != nil && g.primary.isLeaving() && others.streaming >= g.majority() {
+// evidenceAgainstPrimary returns the evidence against the primary and the reason
+// for a failover. It returns nil if no failover is needed, or if it could not be
+// carried out because no majority can be fenced.
+func (e *Engine) evidenceAgainstPrimary(g *group) ([]string, string) {
+	counts := e.replicaCounts(g)
+	if g.primary != nil && g.primary.isLeaving() && counts.streaming >= g.majority() {
 		return []string{"the primary is leaving"}, reasonLeaving
 	}
-	if others.streaming > 0 || others.cut == 0 {
+	if counts.streaming > 0 || counts.disconnected == 0 {
 		return nil, ""
 	}
-	reachable := others.cut
+	fenceable := counts.disconnected
 	if g.primary != nil && g.primary.isReachable(e.now) {
-		reachable++
+		fenceable++
 	}
-	if reachable < g.majority() {
+	if fenceable < g.majority() {
 		return nil, ""
 	}
 	switch {
 	case g.primary == nil:
-		return append(others.evidence, "no database is primary"), "no primary"
+		return append(counts.evidence, "no database is primary"), "no primary"
 	case !g.primary.isReachable(e.now):
-		return append(others.evidence, fmt.Sprintf("%s does not answer this instance", g.primary.name)), "primary unreachable"
+		return append(counts.evidence, fmt.Sprintf("%s does not answer this instance", g.primary.name)), "primary unreachable"
 	case !g.isReachablePrimary(e.now):
-		return append(others.evidence, fmt.Sprintf("%s reigns no more", g.primary.name)), "primary fenced"
-	case others.cut >= g.majority():
-		return append(others.evidence, "a majority is cut off from the primary"), "primary isolated"
+		return append(counts.evidence, fmt.Sprintf("%s is no longer primary", g.primary.name)), "primary fenced"
+	case counts.disconnected >= g.majority():
+		return append(counts.evidence, "a majority is partitioned from the primary"), "primary isolated"
 	}
 	return nil, ""
 }
 
-// reasonLeaving is the reason of a planned change of primary.
+// reasonLeaving is the reason of a planned failover.
 const reasonLeaving = "primary leaving"
 
-// otherDatabases tells how the databases that are not primary stand.
-type otherDatabases struct {
-	// streaming follow the primary; cut do not, or are fenced.
-	streaming, cut int
-	evidence       []string
+// replicaCounts counts the reachable databases other than the primary by the state
+// of their streams.
+type replicaCounts struct {
+	// streaming is the number of databases that follow the primary; disconnected is
+	// the number of those that do not, or are fenced.
+	streaming, disconnected int
+	evidence                []string
 }
 
-// otherDatabases counts the reachable databases beside the primary.
-func (e *Engine) otherDatabases(g *group) otherDatabases {
-	var others otherDatabases
+// replicaCounts counts the reachable databases other than the primary.
+func (e *Engine) replicaCounts(g *group) replicaCounts {
+	var counts replicaCounts
 	for _, d := range g.databases {
 		if d == g.primary || !d.isReachable(e.now) {
 			continue
 		}
 		switch {
 		case d.status.Term > g.term:
-			others.cut++
-			others.evidence = append(others.evidence, fmt.Sprintf("%s is fenced at term %d", d.name, d.status.Term))
+			counts.disconnected++
+			counts.evidence = append(counts.evidence, fmt.Sprintf("%s is fenced at term %d", d.name, d.status.Term))
 		case d.status.Streaming:
-			others.streaming++
+			counts.streaming++
 		default:
-			others.cut++
-			others.evidence = append(others.evidence, fmt.Sprintf("%s has lost its stream", d.name))
+			counts.disconnected++
+			counts.evidence = append(counts.evidence, fmt.Sprintf("%s has lost its stream", d.name))
 		}
 	}
-	return others
+	return counts
 }
 
-// considerClaim begins a change of primary when it is this instance's turn.
-func (e *Engine) considerClaim(g *group) {
-	st := &g.steward
-	if st.suspected.IsZero() {
-		e.checkRow(g)
+// startFailoverIfDue starts a failover if the primary is suspected and this
+// instance's delay in the coordinator order has passed.
+func (e *Engine) startFailoverIfDue(g *group) {
+	st := &g.failover
+	if st.suspectedAt.IsZero() {
+		e.checkGroupRow(g)
 		return
 	}
-	turn := time.Duration(e.stewardOrder(g)) * stewardStep
-	if e.now.Sub(st.suspected) < turn {
+	claimDelay := time.Duration(e.coordinatorRank(g)) * coordinatorStagger
+	if e.now.Sub(st.suspectedAt) < claimDelay {
 		return
 	}
-	st.step = conductRead
-	st.resume = conductClaim
-	e.readRow(g)
+	st.step = failoverReadRow
+	st.resumeStep = failoverClaim
+	e.requestGroupRow(g)
 }
 
-// checkRow lets the first steward of a quiet group read its row now and then,
-// and write it where a group has none yet or it lags behind.
-func (e *Engine) checkRow(g *group) {
-	st := &g.steward
-	// The order is worked out only where the least jittered interval is over.
-	if !st.checked.IsZero() && e.now.Sub(st.checked) < rowCheckInterval/2 {
+// checkGroupRow reads the row of a group without a failover once per
+// rowCheckInterval, if this instance is its first coordinator. The row is then
+// written if there is none or it is older than the state of the databases.
+func (e *Engine) checkGroupRow(g *group) {
+	st := &g.failover
+	// coordinatorRank is expensive, so it is called only once the minimum jittered
+	// interval has passed.
+	if !st.rowCheckedAt.IsZero() && e.now.Sub(st.rowCheckedAt) < rowCheckInterval/2 {
 		return
 	}
-	if e.stewardOrder(g) != 0 || !g.isProven(e.now) {
+	if e.coordinatorRank(g) != 0 || !g.isTermConfirmed(e.now) {
 		return
 	}
-	if !st.checked.IsZero() && e.now.Sub(st.checked) < e.jitter(rowCheckInterval) {
+	if !st.rowCheckedAt.IsZero() && e.now.Sub(st.rowCheckedAt) < e.jitter(rowCheckInterval) {
 		return
 	}
-	st.checked = e.now
-	st.step = conductRead
-	st.resume = conductNone
-	e.readRow(g)
+	st.rowCheckedAt = e.now
+	st.step = failoverReadRow
+	st.resumeStep = failoverIdle
+	e.requestGroupRow(g)
 }
 
-// stewardOrder returns this instance's place among the live instances in the
-// order of rendezvous hashing for the group. Places differ, so that instances
-// do not claim at once; safety does not depend on it.
-func (e *Engine) stewardOrder(g *group) int {
-	var live []model.InstanceID
+// coordinatorRank returns this instance's rank among the live instances by
+// rendezvous hashing for the group. The ranks differ, so that instances do not
+// claim at the same time; safety does not depend on this.
+func (e *Engine) coordinatorRank(g *group) int {
+	var liveInstances []model.InstanceID
 	for _, peer := range e.instances.sorted() {
 		if peer.alive && !peer.leaving {
-			live = append(live, peer.id)
+			liveInstances = append(liveInstances, peer.id)
 		}
 	}
-	return model.RendezvousRank(e.options.Instance, live, g.name)
+	return model.RendezvousRank(e.options.Instance, liveInstances, g.name)
 }
--- a/internal/core/engine/steward_promote.go
+++ b/internal/core/engine/steward_promote.go
@@ -12,188 +12,191 @@
 // -----------------------------------------------------------------------------
 // Fence and promote.
 
-// claimHolds goes on to fence the databases.
-func (e *Engine) claimHolds(g *group) {
-	st := &g.steward
-	st.claimed = e.now
-	st.fences = map[uint64]*database{}
+// startFencing continues with fencing once the claim is written.
+func (e *Engine) startFencing(g *group) {
+	st := &g.failover
+	st.claimedAt = e.now
+	st.pendingFences = map[uint64]*database{}
 	st.fenced = map[model.DatabaseID]message.DatabaseStatus{}
 	st.chosen = nil
-	st.step = conductFence
-	e.note(event.TermClaimed,
+	st.step = failoverFence
+	e.logEvent(event.TermClaimed,
 		event.F("group", g.name), event.F("term", st.claim.Term), event.F("reason", st.reason))
 	e.fenceGroup(g)
 }
 
-// fenceGroup asks every database that has not answered yet to refuse older
-// terms.
+// fenceGroup asks every database that is not fenced yet and has no pending Fence to
+// reject older terms.
 func (e *Engine) fenceGroup(g *group) {
-	st := &g.steward
-	e.chooseWhenFenced(g)
-	if st.step != conductFence {
+	st := &g.failover
+	e.choosePrimaryWhenFenced(g)
+	if st.step != failoverFence {
 		return
 	}
-	if e.now.Sub(st.claimed) >= controlTimeout {
-		e.waitFor(g, "too few databases can be fenced")
+	if e.now.Sub(st.claimedAt) >= controlTimeout {
+		e.delayStep(g, "too few databases can be fenced")
 	}
-	asked := map[model.DatabaseID]bool{}
-	for _, d := range st.fences {
-		asked[d.name] = true
+	pending := map[model.DatabaseID]bool{}
+	for _, d := range st.pendingFences {
+		pending[d.name] = true
 	}
 	for _, d := range g.databases {
-		if _, done := st.fenced[d.name]; done || asked[d.name] {
+		if _, answered := st.fenced[d.name]; answered || pending[d.name] {
 			continue
 		}
-		ask := e.ask()
-		st.fences[ask] = d
-		e.do(message.Fence{
-			Database: d.name, CorrelationID: ask, Term: st.claim.Term, Nonce: st.claim.Nonce, Timeout: controlTimeout,
+		correlationID := e.correlationID()
+		st.pendingFences[correlationID] = d
+		e.emit(message.Fence{
+			Database: d.name, CorrelationID: correlationID, Term: st.claim.Term, Nonce: st.claim.Nonce, Timeout: controlTimeout,
 		})
 	}
 	st.notBefore = e.now.Add(retryPause)
 }
 
-// takeStewardAnswer takes the answer to a fence or a promotion. It reports
-// whether the answer belonged to one.
-func (e *Engine) takeStewardAnswer(d *database, answered message.ControlAnswered) bool {
+// handleFailoverAnswer handles the response to a Fence, a Promote or a Follow. It
+// reports whether the response belongs to one of these.
+func (e *Engine) handleFailoverAnswer(d *database, answered message.ControlAnswered) bool {
 	g := d.group
-	st := &g.steward
-	if _, found := st.fences[answered.CorrelationID]; found {
-		delete(st.fences, answered.CorrelationID)
-		e.takeFenced(g, d, answered)
+	st := &g.failover
+	if _, found := st.pendingFences[answered.CorrelationID]; found {
+		delete(st.pendingFences, answered.CorrelationID)
+		e.handleFenced(g, d, answered)
 		return true
 	}
-	if answered.CorrelationID == st.ask && st.step == conductPromote {
-		st.ask = 0
-		e.takePromoted(g, d, answered)
+	if answered.CorrelationID == st.correlationID && st.step == failoverPromote {
+		st.correlationID = 0
+		e.handlePromoted(g, d, answered)
 		return true
 	}
-	return e.takeRepairAnswer(d, answered)
+	return e.handleFollowAnswer(d, answered)
 }
 
-// takeFenced counts a fenced database; with a majority the longest log among
-// them is chosen.
-func (e *Engine) takeFenced(g *group, d *database, answered message.ControlAnswered) {
-	st := &g.steward
-	if st.step != conductFence {
+// handleFenced records a fenced database and chooses the new primary once enough
+// databases are fenced.
+func (e *Engine) handleFenced(g *group, d *database, answered message.ControlAnswered) {
+	st := &g.failover
+	if st.step != failoverFence {
 		return
 	}
 	if answered.Err == message.ControlConflict {
-		e.yield(g, fmt.Sprintf("%s is in a later term", d.name))
+		e.yieldFailover(g, fmt.Sprintf("%s is in a later term", d.name))
 		return
 	}
 	if answered.Err != message.ControlOK || answered.Status.Term != st.claim.Term {
 		return
 	}
 	st.fenced[d.name] = answered.Status
-	e.chooseWhenFenced(g)
+	e.choosePrimaryWhenFenced(g)
 }
 
-// chooseWhenFenced goes on to the promotion once enough databases are fenced.
-func (e *Engine) chooseWhenFenced(g *group) {
-	st := &g.steward
-	chosen, found := e.chooseFenced(g)
+// choosePrimaryWhenFenced continues with the promotion once enough databases are
+// fenced.
+func (e *Engine) choosePrimaryWhenFenced(g *group) {
+	st := &g.failover
+	chosen, found := e.newPrimary(g)
 	if !found {
 		return
 	}
 	st.chosen = chosen
-	e.note(event.MajorityFenced,
+	e.logEvent(event.MajorityFenced,
 		event.F("group", g.name), event.F("term", st.claim.Term), event.F("fenced", len(st.fenced)),
 		event.F("chosen", chosen.name), event.F("position", st.fenced[chosen.name].Received.String()))
-	st.step = conductPromote
+	st.step = failoverPromote
 	st.notBefore = time.Time{}
 	e.promoteChosen(g)
 }
 
-// chooseFenced returns the fenced database with the longest log, once a
-// majority is fenced. Databases that stay, the replaced primary not among them,
-// are preferred: where they are a majority by themselves, they hold all that is
-// proven. Its longer log must not bring an isolated primary back.
-func (e *Engine) chooseFenced(g *group) (*database, bool) {
-	st := &g.steward
-	var staying, all []*database
+// newPrimary returns the fenced database with the longest log, once a majority is
+// fenced. Databases that are neither leaving nor the replaced primary are
+// preferred: if they are a majority by themselves, they hold everything that is
+// durable. Without this preference, a longer log would make an isolated primary the
+// primary again.
+func (e *Engine) newPrimary(g *group) (*database, bool) {
+	st := &g.failover
+	var preferred, fencedDatabases []*database
 	for _, d := range g.databases {
 		if _, fenced := st.fenced[d.name]; !fenced {
 			continue
 		}
-		all = append(all, d)
-		if !d.isLeaving() && d.name != st.before {
-			staying = append(staying, d)
+		fencedDatabases = append(fencedDatabases, d)
+		if !d.isLeaving() && d.name != st.previousPrimary {
+			preferred = append(preferred, d)
 		}
 	}
-	if len(staying) >= g.majority() {
-		return g.longestLog(staying), true
+	if len(preferred) >= g.majority() {
+		return g.longestLog(preferred), true
 	}
-	if len(all) < g.majority() || len(staying) < len(all) && e.now.Sub(st.claimed) < leavingGrace {
+	if len(fencedDatabases) < g.majority() || len(preferred) < len(fencedDatabases) && e.now.Sub(st.claimedAt) < leavingGracePeriod {
 		return nil, false
 	}
-	return g.longestLog(all), true
+	return g.longestLog(fencedDatabases), true
 }
 
-// longestLog returns the database with the newest received position.
+// longestLog returns the database with the newest received position at its fencing.
 func (g *group) longestLog(list []*database) *database {
 	longest := list[0]
 	for _, d := range list[1:] {
-		if g.steward.fenced[longest.name].Received.Less(g.steward.fenced[d.name].Received) {
+		if g.failover.fenced[longest.name].Received.Less(g.failover.fenced[d.name].Received) {
 			longest = d
 		}
 	}
 	return longest
 }
 
-// promoteChosen asks the chosen database to reign.
+// promoteChosen asks the chosen database to become primary.
 func (e *Engine) promoteChosen(g *group) {
-	st := &g.steward
-	st.ask = e.ask()
-	e.do(message.Promote{
-		Database: st.chosen.name, CorrelationID: st.ask, Term: st.claim.Term, Nonce: st.claim.Nonce, Timeout: controlTimeout,
+	st := &g.failover
+	st.correlationID = e.correlationID()
+	e.emit(message.Promote{
+		Database: st.chosen.name, CorrelationID: st.correlationID, Term: st.claim.Term, Nonce: st.claim.Nonce, Timeout: controlTimeout,
 	})
 }
 
-// takePromoted goes on to record the change. A database that does not answer
-// any more is asked again; the fence of the others holds meanwhile, and another
-// claim follows where it stays mute.
-func (e *Engine) takePromoted(g *group, d *database, answered message.ControlAnswered) {
-	st := &g.steward
+// handlePromoted continues with the record once the database is promoted. A
+// database that does not respond is asked again; the other databases stay fenced
+// meanwhile. If it still does not respond after claimExpiry, another term is
+// claimed.
+func (e *Engine) handlePromoted(g *group, d *database, answered message.ControlAnswered) {
+	st := &g.failover
 	switch {
 	case answered.Err == message.ControlOK && answered.Status.Role == model.RolePrimary:
-		e.promoted(g, d, answered.Status)
+		e.recordPromotion(g, d, answered.Status)
 	case answered.Err == message.ControlConflict || answered.Err == message.ControlRefused:
-		e.yield(g, fmt.Sprintf("%s is in a later term", d.name))
-	case e.now.Sub(st.claimed) > claimLease:
-		st.step = conductRead
-		st.resume = conductClaim
-		st.seen = time.Time{}
-		e.waitFor(g, "the chosen database does not answer")
+		e.yieldFailover(g, fmt.Sprintf("%s is in a later term", d.name))
+	case e.now.Sub(st.claimedAt) > claimExpiry:
+		st.step = failoverReadRow
+		st.resumeStep = failoverClaim
+		st.rowUnchangedSince = time.Time{}
+		e.delayStep(g, "the chosen database does not answer")
 	default:
-		e.waitFor(g, "the chosen database does not answer")
+		e.delayStep(g, "the chosen database does not answer")
 	}
 }
 
-// promoted notes the change and tells replicas and peers.
-func (e *Engine) promoted(g *group, d *database, status message.DatabaseStatus) {
-	st := &g.steward
-	e.note(event.DatabasePromoted,
+// recordPromotion builds the promotion record and sends it to the peers.
+func (e *Engine) recordPromotion(g *group, d *database, promotedStatus message.DatabaseStatus) {
+	st := &g.failover
+	e.logEvent(event.DatabasePromoted,
 		event.F("group", g.name), event.F("term", st.claim.Term), event.F("primary", d.name),
-		event.F("position", status.Received.String()), event.F("took", e.now.Sub(st.suspected).String()))
+		event.F("position", promotedStatus.Received.String()), event.F("took", e.now.Sub(st.suspectedAt).String()))
 	st.record = PromotionRecord{
-		Group: g.name, Term: st.claim.Term, PreviousPrimary: st.before, Primary: d.name,
+		Group: g.name, Term: st.claim.Term, PreviousPrimary: st.previousPrimary, Primary: d.name,
 		Coordinator: e.options.Instance, Reason: st.reason, Evidence: st.evidence,
-		FencedDatabases: e.fencedList(g), Position: status.Received.String(),
-		SuspectedAt: st.suspected, ClaimedAt: st.claimed, PromotedAt: e.now,
+		FencedDatabases: e.fencedDatabases(g), Position: promotedStatus.Received.String(),
+		SuspectedAt: st.suspectedAt, ClaimedAt: st.claimedAt, PromotedAt: e.now,
 	}
 	st.claim.Phase = rowPromoted
 	st.claim.Primary = d.name
-	st.step = conductRecord
-	e.keepRecord(g, st.record)
-	e.tellPeers(message.GroupUpdate{Group: g.name, Row: encode(st.claim), Record: encode(st.record)})
+	st.step = failoverRecord
+	e.addRecord(g, st.record)
+	e.broadcast(message.GroupUpdate{Group: g.name, Row: encode(st.claim), Record: encode(st.record)})
 }
 
-// fencedList lists the fenced databases in the order of the manifest.
-func (e *Engine) fencedList(g *group) []FencedDatabase {
+// fencedDatabases returns the fenced databases in the order of the manifest.
+func (e *Engine) fencedDatabases(g *group) []FencedDatabase {
 	var list []FencedDatabase
 	for _, d := range g.databases {
-		if status, found := g.steward.fenced[d.name]; found {
+		if status, found := g.failover.fenced[d.name]; found {
 			list = append(list, FencedDatabase{Database: d.name, Position: status.Received.String()})
 		}
 	}
--- a/internal/core/engine/steward_record.go
+++ b/internal/core/engine/steward_record.go
@@ -9,114 +9,118 @@
 )
 
 // -----------------------------------------------------------------------------
-// Record.
+// Promotion record.
 
-// writeRecord writes the row and the logbook's record in one transaction.
+// writeRecord writes the row and the promotion record in one transaction.
 func (e *Engine) writeRecord(g *group) {
-	st := &g.steward
-	st.ask = e.ask()
+	st := &g.failover
+	st.correlationID = e.correlationID()
 	key := logbookKey(g.name, st.record.Term)
-	e.do(message.WriteRows{
-		CorrelationID: st.ask,
+	e.emit(message.WriteRows{
+		CorrelationID: st.correlationID,
 		Rows: []message.Row{
-			{Table: groupTable, Key: string(g.name), Version: st.version, Body: encode(st.claim)},
+			{Table: groupTable, Key: string(g.name), Version: st.rowVersion, Body: encode(st.claim)},
 			{Table: logbookTable, Key: key, Body: encode(st.record)},
 		},
 		Timeout: rowTimeout,
 	})
 }
 
-// recordHolds ends the change.
-func (e *Engine) recordHolds(g *group) {
-	st := &g.steward
-	e.note(event.PromotionRecorded,
+// finishFailover ends the failover once the record is written.
+func (e *Engine) finishFailover(g *group) {
+	st := &g.failover
+	e.logEvent(event.PromotionRecorded,
 		event.F("group", g.name), event.F("term", st.record.Term), event.F("primary", st.record.Primary))
-	st.step = conductNone
-	st.suspected = time.Time{}
-	st.lost = time.Time{}
-	st.checked = e.now
+	st.step = failoverIdle
+	st.suspectedAt = time.Time{}
+	st.evidenceSince = time.Time{}
+	st.rowCheckedAt = e.now
 	e.probeGroup(g)
 }
 
-// recordQuiet writes the row of a group that has none, or whose row lags behind
-// the databases: its steward ended between promotion and record.
-func (e *Engine) recordQuiet(g *group) {
-	st := &g.steward
-	st.step = conductNone
-	if g.primary == nil || st.found && st.row.Term >= g.term && st.row.Phase == rowPromoted {
+// backfillRecord writes the row and a record for a group that has no row, or whose
+// row is older than the state of the databases because its coordinator stopped
+// between promotion and record.
+func (e *Engine) backfillRecord(g *group) {
+	st := &g.failover
+	st.step = failoverIdle
+	if g.primary == nil || st.rowExists && st.row.Term >= g.term && st.row.Phase == rowPromoted {
 		return
 	}
-	if st.found && st.row.Term > g.term {
+	if st.rowExists && st.row.Term > g.term {
 		return
 	}
 	reason := "first seen"
-	if st.found {
+	if st.rowExists {
 		reason = "found promoted"
 	}
 	st.claim = groupRow{
 		Term: g.term, Phase: rowPromoted, Primary: g.primary.name,
-		Steward: e.options.Instance, Nonce: e.nonce(), Reason: reason,
+		Coordinator: e.options.Instance, Nonce: e.newNonce(), Reason: reason,
 	}
 	st.record = PromotionRecord{
 		Group: g.name, Term: g.term, PreviousPrimary: st.row.Primary, Primary: g.primary.name, Coordinator: e.options.Instance,
 		Reason: reason, Position: g.primary.status.Received.String(),
 		SuspectedAt: e.now, ClaimedAt: e.now, PromotedAt: e.now,
 	}
-	e.keepRecord(g, st.record)
-	st.step = conductRecord
+	e.addRecord(g, st.record)
+	st.step = failoverRecord
 	e.writeRecord(g)
 }
 
 // -----------------------------------------------------------------------------
-// Repair.
+// Replica repair.
 
-// repairReplicas tells databases that follow no or another primary whom to
-// follow. Only the group's first steward does so.
+// repairReplicas makes databases that follow no primary or another one follow the
+// group's primary. Only the group's first coordinator does so, and an instance
+// that is recording its promotion of the primary.
 func (e *Engine) repairReplicas(g *group) {
-	if g.primary == nil || !g.isReachablePrimary(e.now) || g.steward.step == conductFence || g.steward.step == conductPromote {
+	if g.primary == nil || !g.isReachablePrimary(e.now) || g.failover.step == failoverFence || g.failover.step == failoverPromote {
 		return
 	}
-	if e.stewardOrder(g) != 0 && g.steward.step != conductRecord {
+	if e.coordinatorRank(g) != 0 && g.failover.step != failoverRecord {
 		return
 	}
 	for _, d := range g.databases {
 		if !e.needsRepair(g, d) {
 			continue
 		}
-		d.repaired = e.now
-		d.following = e.ask()
-		e.note(event.ReplicaRepaired,
+		d.repairedAt = e.now
+		d.followID = e.correlationID()
+		e.logEvent(event.ReplicaRepaired,
 			event.F("group", g.name), event.F("database", d.name), event.F("term", g.term),
 			event.F("primary", g.primary.name))
-		e.do(message.Follow{
-			Database: d.name, CorrelationID: d.following, Term: g.term,
+		e.emit(message.Follow{
+			Database: d.name, CorrelationID: d.followID, Term: g.term,
 			Source: g.primary.name, Address: g.primary.declared.Address, Timeout: controlTimeout,
 		})
 	}
 }
 
-// isReachablePrimary reports whether the primary answers in the group's term.
+// isReachablePrimary reports whether the primary is reachable and still primary in
+// the group's term.
 func (g *group) isReachablePrimary(now time.Time) bool {
 	return g.primary.isReachable(now) && g.primary.inTerm(g.term) && g.primary.status.Role == model.RolePrimary
 }
 
-// needsRepair reports whether a database follows no or another primary.
+// needsRepair reports whether a database follows no primary or another one.
 func (e *Engine) needsRepair(g *group, d *database) bool {
 	if d == g.primary || !d.isReachable(e.now) || d.status.Term > g.term {
 		return false
 	}
-	if e.now.Sub(d.repaired) < repairInterval {
+	if e.now.Sub(d.repairedAt) < repairInterval {
 		return false
 	}
 	return d.status.Term < g.term || d.status.Role != model.RoleReplica || d.status.Source != g.primary.name
 }
 
-// takeRepairAnswer takes the answer to a Follow, which carries the status that
-// any other question would. It reports whether the answer belonged to one.
-func (e *Engine) takeRepairAnswer(d *database, answered message.ControlAnswered) bool {
-	if answered.CorrelationID != d.following {
+// handleFollowAnswer handles the response to a Follow, whose status is recorded
+// like that of any other response. It reports whether the response belongs to a
+// Follow.
+func (e *Engine) handleFollowAnswer(d *database, answered message.ControlAnswered) bool {
+	if answered.CorrelationID != d.followID {
 		return false
 	}
-	d.following = 0
+	d.followID = 0
 	return true
 }
--- a/internal/core/engine/system_answer.go
+++ b/internal/core/engine/system_answer.go
@@ -9,202 +9,205 @@
 )
 
 const (
-	// fullPause is the pause before another try at a database that accepts no
-	// further connection.
-	fullPause = 10 * time.Millisecond
-	// unreachablePause is the time for which a database that could not be
-	// reached gets no work.
+	// tooManyConnectionsPause is the pause before the next attempt at a database
+	// that accepts no further connection.
+	tooManyConnectionsPause = 10 * time.Millisecond
+	// unreachablePause is the time for which no request is sent to a database that
+	// could not be reached or is shutting down.
 	unreachablePause = 300 * time.Millisecond
-	// behindPause is the pause before another try after the primary itself was
-	// found behind.
-	behindPause = 50 * time.Millisecond
-	// budgetPause is the pause before another try while the group's budget of
-	// retries is spent: the request waits on, without adding to a storm.
-	budgetPause = 300 * time.Millisecond
-	// termPause is the pause before another try after a database was found in
-	// another term, in which its status is asked for.
-	termPause = 5 * time.Millisecond
+	// primaryBehindPause is the pause before the next attempt after the primary
+	// itself was behind the minimum position.
+	primaryBehindPause = 50 * time.Millisecond
+	// retryBudgetPause is the pause before the next attempt while the group's retry
+	// budget is spent: the request keeps waiting without adding to a retry storm.
+	retryBudgetPause = 300 * time.Millisecond
+	// wrongTermPause is the pause before the next attempt after a database was in
+	// another term. Its status is requested meanwhile.
+	wrongTermPause = 5 * time.Millisecond
 )
 
 // -----------------------------------------------------------------------------
-// Ends of attempts.
+// Outcomes of attempts.
 
-// takeAnswer learns how an attempt ended.
-func (e *Engine) takeAnswer(ended message.AttemptEnded) {
-	r, found := e.requests.byID[ended.Request]
-	if !found || r.attempt != ended.Attempt || r.phase != phaseRunning {
+// handleAttemptEnded handles the outcome of an attempt.
+func (e *Engine) handleAttemptEnded(attemptEnded message.AttemptEnded) {
+	r, found := e.requests.byID[attemptEnded.Request]
+	if !found || r.attempt != attemptEnded.Attempt || r.phase != phaseRunning {
 		return
 	}
 	delete(r.group.held, r.id)
-	switch answer := ended.Outcome.(type) {
+	switch outcome := attemptEnded.Outcome.(type) {
 	case message.OutcomeCommitted:
-		e.takeCommitted(r, answer, ended)
+		e.handleCommitted(r, outcome, attemptEnded)
 	case message.OutcomeRead:
-		e.takeRead(r, answer, ended)
+		e.handleRead(r, outcome, attemptEnded)
 	case message.OutcomeBehind:
-		e.takeBehind(r, answer, ended)
+		e.handleBehind(r, outcome, attemptEnded)
 	case message.OutcomeDatabaseError:
-		e.measure(r, ended)
-		e.free(r, endingOf(ended, false))
-		e.forget(r)
+		e.updateLatency(r, attemptEnded)
+		e.releaseSlot(r, slotCompletion(attemptEnded, false))
+		e.removeRequest(r)
 	case message.OutcomeNotStarted:
-		e.takeRefused(r, answer, ended)
+		e.handleNotStarted(r, outcome, attemptEnded)
 	case message.OutcomeConnectionLost:
-		e.takeLost(r, answer, ended)
+		e.handleConnectionLost(r, outcome, attemptEnded)
 	}
 }
 
-// endingOf tells the scheduler how the use of a slot ended.
-func endingOf(ended message.AttemptEnded, failed bool) rank.SlotCompletion {
-	return rank.SlotCompletion{Elapsed: ended.Elapsed - ended.ConnectTime, Failed: failed}
+// slotCompletion returns what the scheduler needs to know about the end of the use
+// of a slot.
+func slotCompletion(attemptEnded message.AttemptEnded, failed bool) rank.SlotCompletion {
+	return rank.SlotCompletion{Elapsed: attemptEnded.Elapsed - attemptEnded.ConnectTime, Failed: failed}
 }
 
-// measure updates the estimate of how fast the database answers.
-func (e *Engine) measure(r *request, ended message.AttemptEnded) {
-	r.database.latency = smooth(r.database.latency, ended.Elapsed-ended.ConnectTime)
+// updateLatency updates the estimate of the database's latency.
+func (e *Engine) updateLatency(r *request, attemptEnded message.AttemptEnded) {
+	r.database.latency = smooth(r.database.latency, attemptEnded.Elapsed-attemptEnded.ConnectTime)
 }
 
-// takeCommitted waits for the proof of a commit. One of a replaced primary is
-// settled instead: the group alone knows whether it survived.
-func (e *Engine) takeCommitted(r *request, answer message.OutcomeCommitted, ended message.AttemptEnded) {
-	e.measure(r, ended)
-	e.free(r, endingOf(ended, false))
-	r.position = answer.Position
-	r.answered = true
-	if r.term != r.group.term || answer.Position.Term != r.term {
-		e.settle(r)
+// handleCommitted waits until the commit is durable. A commit on a replaced primary
+// is resolved instead, since only the group knows whether it survived.
+func (e *Engine) handleCommitted(r *request, outcome message.OutcomeCommitted, attemptEnded message.AttemptEnded) {
+	e.updateLatency(r, attemptEnded)
+	e.releaseSlot(r, slotCompletion(attemptEnded, false))
+	r.position = outcome.Position
+	r.answerComplete = true
+	if r.term != r.group.term || outcome.Position.Term != r.term {
+		e.startResolving(r)
 		return
 	}
-	e.learnPrimary(r, answer.Position)
-	r.phase = phaseProving
-	r.group.proving[r.id] = r
+	e.updatePrimaryPosition(r, outcome.Position)
+	r.phase = phaseAwaitingQuorum
+	r.group.awaitingQuorum[r.id] = r
 }
 
-// takeRead ends a request whose rows have gone to the caller.
-func (e *Engine) takeRead(r *request, answer message.OutcomeRead, ended message.AttemptEnded) {
-	e.measure(r, ended)
-	e.free(r, endingOf(ended, false))
-	r.database.applied = r.database.applied.Max(answer.Position)
+// handleRead ends a request whose rows have gone to the caller.
+func (e *Engine) handleRead(r *request, outcome message.OutcomeRead, attemptEnded message.AttemptEnded) {
+	e.updateLatency(r, attemptEnded)
+	e.releaseSlot(r, slotCompletion(attemptEnded, false))
+	r.database.applied = r.database.applied.Max(outcome.Position)
 	if r.isRead() {
-		e.do(message.IncrementCounter{Name: "reads", Key: r.database.status.Role.String()})
+		e.emit(message.IncrementCounter{Name: "reads", Key: r.database.status.Role.String()})
 	}
 	if r.database != r.group.primary {
 		r.database.lag = min(r.database.lag, e.now.Sub(r.minimumAt))
 	}
-	r.session.seen.raise(answer.Position, e.now)
-	e.forget(r)
+	r.session.observed.raise(outcome.Position, e.now)
+	e.removeRequest(r)
 }
 
-// takeBehind runs a read again after a replica was found to lag too far.
-func (e *Engine) takeBehind(r *request, answer message.OutcomeBehind, ended message.AttemptEnded) {
-	e.note(event.ReadBehind,
+// handleBehind requeues a read after the database was behind its minimum position.
+func (e *Engine) handleBehind(r *request, outcome message.OutcomeBehind, attemptEnded message.AttemptEnded) {
+	e.logEvent(event.ReadBehind,
 		event.F("request", r.id), event.F("attempt", r.attempt), event.F("group", r.group.name),
-		event.F("database", r.database.name), event.F("position", answer.Position.String()),
+		event.F("database", r.database.name), event.F("position", outcome.Position.String()),
 		event.F("minimum", r.minimum.String()))
-	r.behind++
-	r.database.applied = r.database.applied.Max(answer.Position)
+	r.behindAnswers++
+	r.database.applied = r.database.applied.Max(outcome.Position)
 	r.database.lag = max(r.database.lag+r.database.lag/4, e.now.Sub(r.minimumAt)) + time.Millisecond
 	pause := time.Duration(0)
 	if r.database == r.group.primary {
-		// The session has seen a state that this primary has not reached: another
-		// one reigns, or the token is not of this group.
-		pause = e.jitter(behindPause)
+		// The session has observed a state that this primary has not reached:
+		// either another database is primary, or the token is not of this group.
+		pause = e.jitter(primaryBehindPause)
 		e.probeGroup(r.group)
 	}
-	e.again(r, endingOf(ended, false), pause)
+	e.requeue(r, slotCompletion(attemptEnded, false), pause)
 }
 
-// takeRefused runs a request again that was not started.
-func (e *Engine) takeRefused(r *request, answer message.OutcomeNotStarted, ended message.AttemptEnded) {
-	if answer.Reason == message.NotStartedDuplicateKey {
-		e.takeDuplicate(r, ended)
+// handleNotStarted requeues a request whose attempt was not started.
+func (e *Engine) handleNotStarted(r *request, outcome message.OutcomeNotStarted, attemptEnded message.AttemptEnded) {
+	if outcome.Reason == message.NotStartedDuplicateKey {
+		e.handleDuplicateKey(r, attemptEnded)
 		return
 	}
-	e.note(event.RequestRetried,
+	e.logEvent(event.RequestRetried,
 		event.F("request", r.id), event.F("attempt", r.attempt), event.F("group", r.group.name),
-		event.F("database", r.database.name), event.F("why", answer.Reason.String()))
-	failed := false
+		event.F("database", r.database.name), event.F("why", outcome.Reason.String()))
+	countsAsFailure := false
 	pause := time.Duration(0)
-	switch answer.Reason {
+	switch outcome.Reason {
 	case message.NotStartedUnreachable:
-		failed = true
-		r.database.unusable = e.now.Add(unreachablePause)
+		countsAsFailure = true
+		r.database.unusableUntil = e.now.Add(unreachablePause)
 		e.probeGroup(r.group)
 	case message.NotStartedWrongTerm, message.NotStartedReadOnly:
-		pause = termPause
+		pause = wrongTermPause
 		e.probeGroup(r.group)
 	case message.NotStartedTooManyConnections:
-		pause = e.jitter(fullPause)
+		pause = e.jitter(tooManyConnectionsPause)
 	case message.NotStartedShuttingDown:
-		r.database.unusable = e.now.Add(unreachablePause)
+		r.database.unusableUntil = e.now.Add(unreachablePause)
 		e.probeGroup(r.group)
 	case message.NotStartedBrokenConnection, message.NotStartedDuplicateKey:
 	}
-	e.retry(r, endingOf(ended, failed), pause)
+	e.retry(r, slotCompletion(attemptEnded, countsAsFailure), pause)
 }
 
-// retry queues another attempt, or ends the request where there have been too
-// many.
-func (e *Engine) retry(r *request, ending rank.SlotCompletion, pause time.Duration) {
+// retry queues another attempt, or ends the request after maxAttempts or at its
+// deadline.
+func (e *Engine) retry(r *request, completion rank.SlotCompletion, pause time.Duration) {
 	if r.attempt >= maxAttempts || !e.now.Before(r.deadline) {
-		e.free(r, ending)
-		e.refuseRequest(r, rank.Refusal{Reason: r.why, Detail: "no attempt could be started inside the deadline"})
+		e.releaseSlot(r, completion)
+		e.refuseRequest(r, rank.Refusal{Reason: r.waitReason, Detail: "no attempt could be started within the deadline"})
 		return
 	}
 	if !e.scheduler.TakeRetry(e.now, r.group.name) {
-		pause = max(pause, e.jitter(budgetPause))
+		pause = max(pause, e.jitter(retryBudgetPause))
 	}
-	e.again(r, ending, pause)
+	e.requeue(r, completion, pause)
 }
 
-// takeDuplicate ends a request whose key the group already knows. A key that
-// the caller chose tells of its own earlier request; for one of this instance
-// the group is asked what became of it.
-func (e *Engine) takeDuplicate(r *request, ended message.AttemptEnded) {
-	e.free(r, endingOf(ended, false))
-	if r.ownKey {
+// handleDuplicateKey ends a request whose key the group already knows. If the
+// caller chose the key, it belongs to an earlier request of the caller. If this
+// instance chose it, an earlier attempt may have committed, so the group is asked
+// for the outcome.
+func (e *Engine) handleDuplicateKey(r *request, attemptEnded message.AttemptEnded) {
+	e.releaseSlot(r, slotCompletion(attemptEnded, false))
+	if r.callerKey {
 		e.refuseRequest(r, rank.Refusal{
-			Reason: message.RefuseDuplicateKey, Detail: "a request with this key was committed or settled before",
+			Reason: message.RefuseDuplicateKey, Detail: "a request with this key has already been committed or resolved",
 		})
 		return
 	}
-	e.settle(r)
+	e.startResolving(r)
 }
 
-// takeLostCommit asks the group what became of a commit. Work that may be done
-// twice without harm is sent again at once instead, under a new key.
-func (e *Engine) takeLostCommit(r *request, answer message.OutcomeConnectionLost, ending rank.SlotCompletion) {
-	if r.kind.Retryable && r.isRepeatable() && !answer.PartlySent && e.now.Before(r.deadline) {
+// handleLostCommit asks the group for the outcome of a commit. A retryable request,
+// which may run twice without harm, is retried at once under a new key instead.
+func (e *Engine) handleLostCommit(r *request, outcome message.OutcomeConnectionLost, completion rank.SlotCompletion) {
+	if r.kind.Retryable && r.canRetry() && !outcome.PartlySent && e.now.Before(r.deadline) {
 		r.key += "+"
-		e.retry(r, ending, 0)
+		e.retry(r, completion, 0)
 		return
 	}
-	e.free(r, ending)
-	e.settle(r)
+	e.releaseSlot(r, completion)
+	e.startResolving(r)
 }
 
-// takeLost decides after a connection broke with an answer outstanding.
-func (e *Engine) takeLost(r *request, answer message.OutcomeConnectionLost, ended message.AttemptEnded) {
+// handleConnectionLost handles the loss of a connection before the response was
+// complete.
+func (e *Engine) handleConnectionLost(r *request, outcome message.OutcomeConnectionLost, attemptEnded message.AttemptEnded) {
 	e.probeGroup(r.group)
-	ending := endingOf(ended, true)
-	if answer.MayHaveCommitted && !r.isRead() {
-		e.takeLostCommit(r, answer, ending)
+	completion := slotCompletion(attemptEnded, true)
+	if outcome.MayHaveCommitted && !r.isRead() {
+		e.handleLostCommit(r, outcome, completion)
 		return
 	}
-	if answer.PartlySent {
-		e.free(r, ending)
-		e.abandon(r, false, "the connection to the database broke inside the answer")
+	if outcome.PartlySent {
+		e.releaseSlot(r, completion)
+		e.abortRequest(r, false, "the connection to the database was lost during the response")
 		return
 	}
 	if r.transaction {
-		e.free(r, ending)
-		e.abandon(r, false, "the transaction's database was lost before its COMMIT was sent")
+		e.releaseSlot(r, completion)
+		e.abortRequest(r, false, "the connection to the transaction's database was lost before COMMIT was sent")
 		return
 	}
 	if !e.now.Before(r.deadline) {
-		e.free(r, ending)
-		e.refuseRequest(r, rank.Refusal{Reason: message.RefuseDeadline, Detail: "no answer inside the deadline; nothing was committed"})
+		e.releaseSlot(r, completion)
+		e.refuseRequest(r, rank.Refusal{Reason: message.RefuseDeadline, Detail: "no response within the deadline; nothing was committed"})
 		return
 	}
-	e.retry(r, ending, 0)
+	e.retry(r, completion, 0)
 }
--- a/internal/core/engine/system_drain.go
+++ b/internal/core/engine/system_drain.go
@@ -7,69 +7,70 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// drainState is how far an instance has come in leaving.
+// drainState is the state of the shutdown of this instance.
 type drainState struct {
-	started bool
-	at      time.Time
-	ended   bool
-	// published is the readiness that was last told.
-	published message.Readiness
+	started   bool
+	startedAt time.Time
+	ended     bool
+	// lastReadiness is the readiness that was last published.
+	lastReadiness message.Readiness
 }
 
-// takeDrain begins to leave: no further callers, the others are told at once,
-// and every request in flight ends in its own time.
-func (e *Engine) takeDrain() {
+// startDrain starts the shutdown: no further callers are accepted, the other
+// instances are notified at once, and open requests run to their end.
+func (e *Engine) startDrain() {
 	if e.drain.started {
 		return
 	}
 	e.drain.started = true
-	e.drain.at = e.now
-	e.note(event.DrainStarted, event.F("sessions", len(e.sessions)), event.F("requests", len(e.requests.byID)))
-	e.do(message.Drain{})
+	e.drain.startedAt = e.now
+	e.logEvent(event.DrainStarted, event.F("sessions", len(e.sessions)), event.F("requests", len(e.requests.byID)))
+	e.emit(message.Drain{})
 	for _, entry := range e.instances.sorted() {
-		entry.told = time.Time{}
+		entry.heartbeatSentAt = time.Time{}
 	}
 }
 
-// publishReadiness tells when the instance becomes able, or unable, to take
+// publishReadiness publishes when the instance becomes able or unable to accept
 // callers.
 func (e *Engine) publishReadiness() {
-	now := message.Readiness{Ready: true}
+	readiness := message.Readiness{Ready: true}
 	switch {
 	case e.drain.started:
-		now = message.Readiness{Reason: "draining"}
-	case e.declared.current == nil:
-		now = message.Readiness{Reason: "no manifest is in force"}
+		readiness = message.Readiness{Reason: "draining"}
+	case e.manifests.current == nil:
+		readiness = message.Readiness{Reason: "no manifest is in force"}
 	}
-	if now == e.drain.published {
+	if readiness == e.drain.lastReadiness {
 		return
 	}
-	e.drain.published = now
-	e.do(now)
+	e.drain.lastReadiness = readiness
+	e.emit(readiness)
 }
 
-// runDrain ends the process once nothing is left to do.
+// runDrain terminates the process once no session, request or failover is left, or
+// after drainTimeout.
 func (e *Engine) runDrain() {
 	e.publishReadiness()
 	if !e.drain.started || e.drain.ended {
 		return
 	}
-	took := e.now.Sub(e.drain.at)
-	idle := len(e.sessions) == 0 && len(e.requests.byID) == 0 && !e.isConducting()
-	quiet := idle && took >= drainQuiet
-	if !quiet && took < drainLimit {
+	elapsed := e.now.Sub(e.drain.startedAt)
+	idle := len(e.sessions) == 0 && len(e.requests.byID) == 0 && !e.isFailoverRunning()
+	quiet := idle && elapsed >= minDrainTime
+	if !quiet && elapsed < drainTimeout {
 		return
 	}
 	e.drain.ended = true
-	e.note(event.DrainEnded,
-		event.F("sessions", len(e.sessions)), event.F("requests", len(e.requests.byID)), event.F("took", took.String()))
-	e.do(message.Terminate{})
+	e.logEvent(event.DrainEnded,
+		event.F("sessions", len(e.sessions)), event.F("requests", len(e.requests.byID)), event.F("took", elapsed.String()))
+	e.emit(message.Terminate{})
 }
 
-// isConducting reports whether a change of primary is under way here.
-func (e *Engine) isConducting() bool {
+// isFailoverRunning reports whether this instance is conducting a failover.
+func (e *Engine) isFailoverRunning() bool {
 	for _, g := range e.groups {
-		if g.steward.step != conductNone && g.steward.step != conductRead {
+		if g.failover.step != failoverIdle && g.failover.step != failoverReadRow {
 			return true
 		}
 	}
--- a/internal/core/engine/system_manifest.go
+++ b/internal/core/engine/system_manifest.go
@@ -10,28 +10,29 @@
 // -----------------------------------------------------------------------------
 // The manifest in force.
 
-// runManifest looks for a newer manifest at the platform now and then.
+// runManifest advances submissions and polls the platform for a newer manifest.
 func (e *Engine) runManifest() {
-	s := &e.declared
-	e.runSubmits()
-	e.dropRemovedWhenDue()
+	s := &e.manifests
+	e.runSubmissions()
+	e.pruneRemovedGroupsIfAny()
 	e.republishDatabases()
-	if s.rowAsk != 0 || s.objectAsk != 0 || e.now.Before(s.nextRead) {
+	if s.rowReadID != 0 || s.objectReadID != 0 || e.now.Before(s.nextRead) {
 		return
 	}
 	interval := manifestInterval
 	if s.current == nil {
-		interval = manifestFirst
+		interval = initialManifestInterval
 	}
 	s.nextRead = e.now.Add(e.jitter(interval))
-	s.rowAsk = e.ask()
-	e.do(message.ReadRow{CorrelationID: s.rowAsk, Table: manifestTable, Key: manifestKey, Timeout: platformTimeout})
+	s.rowReadID = e.correlationID()
+	e.emit(message.ReadRow{CorrelationID: s.rowReadID, Table: manifestTable, Key: manifestKey, Timeout: platformTimeout})
 }
 
-// takeManifestRow reads the object of a newer row.
-func (e *Engine) takeManifestRow(read message.RowsRead) {
-	s := &e.declared
-	s.rowAsk = 0
+// handleManifestRow requests the manifest object if the row is newer than the
+// manifest in force.
+func (e *Engine) handleManifestRow(read message.RowsRead) {
+	s := &e.manifests
+	s.rowReadID = 0
 	if read.Err != message.PlatformOK || len(read.Rows) == 0 {
 		return
 	}
@@ -42,60 +43,61 @@
 	e.readManifestObject(row)
 }
 
-// readManifestObject asks for the body of an accepted manifest.
+// readManifestObject requests the body of an accepted manifest.
 func (e *Engine) readManifestObject(row manifestRow) {
-	s := &e.declared
-	s.wanted = row
-	s.objectAsk = e.ask()
-	e.do(message.ReadObject{CorrelationID: s.objectAsk, Name: row.Digest, Timeout: platformTimeout})
+	s := &e.manifests
+	s.pendingRow = row
+	s.objectReadID = e.correlationID()
+	e.emit(message.ReadObject{CorrelationID: s.objectReadID, Name: row.Digest, Timeout: platformTimeout})
 }
 
-// takeManifestObject adopts the body that was asked for.
-func (e *Engine) takeManifestObject(read message.ObjectRead) {
-	s := &e.declared
-	s.objectAsk = 0
+// handleManifestObject adopts the requested body.
+func (e *Engine) handleManifestObject(read message.ObjectRead) {
+	s := &e.manifests
+	s.objectReadID = 0
 	if read.Err != message.PlatformOK {
-		s.nextRead = e.now.Add(e.jitter(manifestFirst))
+		s.nextRead = e.now.Add(e.jitter(initialManifestInterval))
 		return
 	}
-	e.adopt(s.wanted.Number, s.wanted.Digest, read.Body, "platform")
+	e.adoptManifest(s.pendingRow.Number, s.pendingRow.Digest, read.Body, "platform")
 }
 
-// takeOffer adopts a manifest that a peer passes on.
-func (e *Engine) takeOffer(from model.InstanceID, offer message.ManifestOffer) {
-	e.adopt(offer.Number, offer.Digest, offer.Body, "peer "+string(from))
+// handleManifestOffer adopts a manifest that a peer has sent.
+func (e *Engine) handleManifestOffer(from model.InstanceID, offer message.ManifestOffer) {
+	e.adoptManifest(offer.Number, offer.Digest, offer.Body, "peer "+string(from))
 }
 
-// offerManifest passes the manifest in force on to a peer that has an older one.
-func (e *Engine) offerManifest(to model.InstanceID, above uint64) {
-	s := &e.declared
-	if s.current == nil || s.number <= above {
+// offerManifest sends the manifest in force to a peer that has an older one.
+func (e *Engine) offerManifest(to model.InstanceID, newerThan uint64) {
+	s := &e.manifests
+	if s.current == nil || s.number <= newerThan {
 		return
 	}
-	e.do(message.SendPeer{To: to, Body: message.ManifestOffer{Number: s.number, Digest: s.digest, Body: s.body}})
+	e.emit(message.SendPeer{To: to, Body: message.ManifestOffer{Number: s.number, Digest: s.digest, Body: s.body}})
 }
 
-// adopt puts a manifest in force, if it is newer than the one that is.
-func (e *Engine) adopt(number uint64, digest string, body []byte, source string) {
-	s := &e.declared
+// adoptManifest puts a manifest in force if it is newer than the present one and
+// valid.
+func (e *Engine) adoptManifest(number uint64, digest string, body []byte, source string) {
+	s := &e.manifests
 	if number <= s.number {
 		return
 	}
 	if manifest.Digest(body) != digest {
-		e.note(event.ManifestRejected,
+		e.logEvent(event.ManifestRejected,
 			event.F("number", number), event.F("source", source), event.F("why", "the body does not match the digest"))
 		return
 	}
 	parsed, err := manifest.Parse(body)
 	if err != nil {
-		e.note(event.ManifestRejected,
+		e.logEvent(event.ManifestRejected,
 			event.F("number", number), event.F("source", source), event.F("why", err.Error()))
 		return
 	}
 	s.number, s.digest, s.body, s.current = number, digest, body, parsed
-	e.note(event.ManifestInForce,
+	e.logEvent(event.ManifestInForce,
 		event.F("number", number), event.F("digest", digest), event.F("source", source))
-	e.configure(parsed)
+	e.applyManifest(parsed)
 	for _, entry := range e.instances.sorted() {
 		if entry.alive && entry.manifest < number {
 			e.offerManifest(entry.id, entry.manifest)
@@ -103,38 +105,38 @@
 	}
 }
 
-// configure brings the tables in line with a manifest. What is known of a
-// database stays where its address does.
-func (e *Engine) configure(m *manifest.Manifest) {
-	before, databases := e.groups, e.databases
-	known := make(map[model.GroupID]*group, len(before))
-	for _, g := range before {
-		known[g.name] = g
+// applyManifest updates the tables to a manifest. The state of a database is kept
+// if its address has not changed.
+func (e *Engine) applyManifest(newManifest *manifest.Manifest) {
+	oldGroups, databases := e.groups, e.databases
+	oldGroupsByName := make(map[model.GroupID]*group, len(oldGroups))
+	for _, g := range oldGroups {
+		oldGroupsByName[g.name] = g
 	}
 	e.groups = nil
-	e.byGroup = map[model.GroupID]*group{}
+	e.groupsByName = map[model.GroupID]*group{}
 	e.databases = map[model.DatabaseID]*database{}
-	for _, declared := range m.Groups {
-		g, found := known[declared.Name]
+	for _, declared := range newManifest.Groups {
+		g, found := oldGroupsByName[declared.Name]
 		if !found {
 			g = newGroup(declared.Name)
 		}
-		e.configureGroup(g, declared, databases)
+		e.applyGroup(g, declared, databases)
 	}
-	e.keepRemoved(before)
+	e.retainRemovedGroups(oldGroups)
 	for _, s := range e.sessions {
-		s.group = e.byGroup[s.name]
+		s.group = e.groupsByName[s.name]
 	}
-	e.scheduler.Configure(e.now, m)
+	e.scheduler.Configure(e.now, newManifest)
 	e.publishDatabases()
 }
 
-// keepRemoved keeps the groups that the manifest has no more while requests of
-// theirs are open, so that each still gets its outcome.
-func (e *Engine) keepRemoved(before []*group) {
-	open := e.openGroups()
-	for _, g := range before {
-		if e.byGroup[g.name] == g || !open[g] {
+// retainRemovedGroups keeps the groups that are no longer in the manifest while
+// they have open requests, so that each request still gets its outcome.
+func (e *Engine) retainRemovedGroups(oldGroups []*group) {
+	openGroups := e.groupsWithOpenRequests()
+	for _, g := range oldGroups {
+		if e.groupsByName[g.name] == g || !openGroups[g] {
 			continue
 		}
 		g.removed = true
@@ -147,8 +149,8 @@
 	}
 }
 
-// openGroups returns the groups that have open requests.
-func (e *Engine) openGroups() map[*group]bool {
+// groupsWithOpenRequests returns the groups that have open requests.
+func (e *Engine) groupsWithOpenRequests() map[*group]bool {
 	open := map[*group]bool{}
 	for _, r := range e.requests.byID {
 		open[r.group] = true
@@ -156,23 +158,24 @@
 	return open
 }
 
-// dropRemovedWhenDue looks for removed groups only while there are any.
-func (e *Engine) dropRemovedWhenDue() {
+// pruneRemovedGroupsIfAny calls pruneRemovedGroups only while there are removed
+// groups, since that walks over all open requests.
+func (e *Engine) pruneRemovedGroupsIfAny() {
 	for _, g := range e.groups {
 		if g.removed {
-			e.dropRemoved()
+			e.pruneRemovedGroups()
 			return
 		}
 	}
 }
 
-// dropRemoved forgets removed groups whose last request has ended.
-func (e *Engine) dropRemoved() {
-	open := e.openGroups()
-	kept := e.groups[:0]
+// pruneRemovedGroups deletes removed groups whose last request has ended.
+func (e *Engine) pruneRemovedGroups() {
+	openGroups := e.groupsWithOpenRequests()
+	remaining := e.groups[:0]
 	for _, g := range e.groups {
-		if !g.removed || open[g] {
-			kept = append(kept, g)
+		if !g.removed || openGroups[g] {
+			remaining = append(remaining, g)
 			continue
 		}
 		for _, d := range g.databases {
@@ -181,25 +184,25 @@
 			}
 		}
 	}
-	if len(kept) < len(e.groups) {
-		e.groups = kept
+	if len(remaining) < len(e.groups) {
+		e.groups = remaining
 		e.publishDatabases()
 	}
 }
 
-// configureGroup brings one group in line.
-func (e *Engine) configureGroup(g *group, declared manifest.Group, before map[model.DatabaseID]*database) {
+// applyGroup updates one group to its declaration.
+func (e *Engine) applyGroup(g *group, declared manifest.Group, oldDatabases map[model.DatabaseID]*database) {
 	e.groups = append(e.groups, g)
-	e.byGroup[g.name] = g
+	e.groupsByName[g.name] = g
 	g.removed = false
 	g.databases = nil
 	for _, member := range declared.Databases {
-		d, found := before[member.Name]
+		d, found := oldDatabases[member.Name]
 		if !found || d.group != g || d.declared.Address != member.Address {
 			d = &database{name: member.Name, group: g}
 		}
 		if member.Leaving && !d.isLeaving() {
-			e.noteLeaving(d, "manifest")
+			e.reportLeaving(d, "manifest")
 		}
 		d.declared = member
 		e.databases[d.name] = d
@@ -208,10 +211,10 @@
 	if g.primary != nil && e.databases[g.primary.name] != g.primary {
 		g.primary = nil
 	}
-	g.refreshProof()
+	g.refreshConfirmation()
 }
 
-// publishDatabases tells the edges which databases exist.
+// publishDatabases publishes the list of databases to the edges.
 func (e *Engine) publishDatabases() {
 	var targets []message.DatabaseTarget
 	for _, g := range e.groups {
@@ -222,18 +225,18 @@
 			})
 		}
 	}
-	e.published = targets
-	e.do(message.SetDatabases{Databases: targets})
+	e.publishedDatabases = targets
+	e.emit(message.SetDatabases{Databases: targets})
 }
 
-// republishDatabases tells the edges again where a share of connections or a
-// leaving database has changed since.
+// republishDatabases publishes the list again if a database's share of connections
+// or its leaving state has changed.
 func (e *Engine) republishDatabases() {
-	if e.now.Before(e.republish) {
+	if e.now.Before(e.republishAt) {
 		return
 	}
-	e.republish = e.now.Add(probeInterval)
-	for _, target := range e.published {
+	e.republishAt = e.now.Add(probeInterval)
+	for _, target := range e.publishedDatabases {
 		d, found := e.databases[target.Database]
 		if !found {
 			continue
--- a/internal/core/engine/system_member.go
+++ b/internal/core/engine/system_member.go
@@ -11,121 +11,121 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// instanceKept is the time after which a silent instance that the platform does
-// not list is forgotten.
-const instanceKept = 5 * time.Minute
+// instanceRetention is the time without a heartbeat after which an instance that
+// the platform does not list is deleted.
+const instanceRetention = 5 * time.Minute
 
 // -----------------------------------------------------------------------------
-// Words of peers.
+// Messages from peers.
 
-// takePeer learns from a link or from what a peer says on it.
-func (e *Engine) takePeer(incoming message.Event) {
+// handlePeerEvent handles a connection to a peer or a message from one.
+func (e *Engine) handlePeerEvent(incoming message.Event) {
 	switch incoming := incoming.(type) {
 	case message.PeerConnected:
-		e.greet(incoming.Peer)
+		e.sendFirstHeartbeat(incoming.Peer)
 	case message.PeerMessageReceived:
 		if incoming.From != e.options.Instance {
-			e.takeMessage(incoming)
+			e.handlePeerMessage(incoming)
 		}
 	case message.PeerDisconnected:
 	}
 }
 
-// greet introduces this instance to a peer as soon as there is a link.
-func (e *Engine) greet(peer model.InstanceID) {
+// sendFirstHeartbeat sends a heartbeat to a peer as soon as it is connected.
+func (e *Engine) sendFirstHeartbeat(peer model.InstanceID) {
 	if peer == e.options.Instance {
 		return
 	}
-	e.instances.get(peer).told = e.now
-	e.instances.sequence++
-	e.do(message.SendPeer{To: peer, Body: e.heartbeat()})
+	e.instances.get(peer).heartbeatSentAt = e.now
+	e.instances.heartbeatSequence++
+	e.emit(message.SendPeer{To: peer, Body: e.newHeartbeat()})
 }
 
-// takeMessage hands a peer's word to the system that it concerns.
-func (e *Engine) takeMessage(heard message.PeerMessageReceived) {
-	switch body := heard.Body.(type) {
+// handlePeerMessage passes a peer's message to the system that it concerns.
+func (e *Engine) handlePeerMessage(received message.PeerMessageReceived) {
+	switch body := received.Body.(type) {
 	case message.Heartbeat:
-		e.takeHeartbeat(heard.From, body)
+		e.handleHeartbeat(received.From, body)
 	case message.ManifestOffer:
-		e.takeOffer(heard.From, body)
+		e.handleManifestOffer(received.From, body)
 	case message.ManifestRequest:
-		e.offerManifest(heard.From, body.NewerThan)
+		e.offerManifest(received.From, body.NewerThan)
 	case message.GroupUpdate:
-		e.takeNews(body)
+		e.handleGroupUpdate(body)
 	case message.DatabaseLeaving:
-		e.takeLeaving(body)
+		e.handleDatabaseLeaving(body)
 	case message.LeaseRequest, message.LeaseGrant:
-		e.scheduler.HandlePeerMessage(e.now, heard.From, body)
+		e.scheduler.HandlePeerMessage(e.now, received.From, body)
 	}
 }
 
-// takeHeartbeat notes that an instance is alive.
-func (e *Engine) takeHeartbeat(from model.InstanceID, beat message.Heartbeat) {
+// handleHeartbeat records that an instance is alive.
+func (e *Engine) handleHeartbeat(from model.InstanceID, heartbeat message.Heartbeat) {
 	entry := e.instances.get(from)
 	if !entry.alive {
-		e.note(event.InstanceAlive, event.F("instance", from), event.F("zone", beat.Zone))
-		e.instances.changed = true
+		e.logEvent(event.InstanceAlive, event.F("instance", from), event.F("zone", heartbeat.Zone))
+		e.instances.linksChanged = true
 	}
-	if beat.Leaving && !entry.leaving {
-		e.note(event.InstanceLeaving, event.F("instance", from))
-		e.instances.changed = true
+	if heartbeat.Leaving && !entry.leaving {
+		e.logEvent(event.InstanceLeaving, event.F("instance", from))
+		e.instances.linksChanged = true
 	}
-	if entry.peer != beat.PeerAddress {
-		e.instances.changed = true
+	if entry.peerAddress != heartbeat.PeerAddress {
+		e.instances.linksChanged = true
 	}
-	entry.zone, entry.peer, entry.leaving = beat.Zone, beat.PeerAddress, beat.Leaving
-	entry.alive, entry.heard, entry.manifest = true, e.now, beat.Manifest
-	for _, known := range beat.Known {
-		e.hear(known)
+	entry.zone, entry.peerAddress, entry.leaving = heartbeat.Zone, heartbeat.PeerAddress, heartbeat.Leaving
+	entry.alive, entry.lastHeartbeat, entry.manifest = true, e.now, heartbeat.Manifest
+	for _, known := range heartbeat.Known {
+		e.addKnownPeer(known)
 	}
-	if beat.Manifest > e.declared.number {
-		e.do(message.SendPeer{To: from, Body: message.ManifestRequest{NewerThan: e.declared.number}})
+	if heartbeat.Manifest > e.manifests.number {
+		e.emit(message.SendPeer{To: from, Body: message.ManifestRequest{NewerThan: e.manifests.number}})
 	}
 }
 
-// hear notes an instance that a peer knows.
-func (e *Engine) hear(known message.KnownPeer) {
+// addKnownPeer adds an instance that a peer knows.
+func (e *Engine) addKnownPeer(known message.KnownPeer) {
 	if known.Instance == e.options.Instance {
 		return
 	}
 	entry := e.instances.get(known.Instance)
-	if !entry.peer.IsValid() {
-		entry.peer = known.PeerAddress
-		e.instances.changed = true
+	if !entry.peerAddress.IsValid() {
+		entry.peerAddress = known.PeerAddress
+		e.instances.linksChanged = true
 	}
 }
 
-// takeNews takes in a change of primary that another instance has made. It is a
-// hint: the databases are asked at once.
-func (e *Engine) takeNews(news message.GroupUpdate) {
-	g, found := e.byGroup[news.Group]
+// handleGroupUpdate handles a peer's message that it has promoted a database. The
+// message is a hint only, so the databases are probed at once.
+func (e *Engine) handleGroupUpdate(news message.GroupUpdate) {
+	g, found := e.groupsByName[news.Group]
 	if !found {
 		return
 	}
 	var record PromotionRecord
 	if err := json.Unmarshal(news.Record, &record); err == nil && record.Group == g.name {
-		e.keepRecord(g, record)
+		e.addRecord(g, record)
 	}
 	e.probeGroup(g)
 }
 
-// takeLeaving takes in that a database is leaving. Only the database itself can
-// take that back.
-func (e *Engine) takeLeaving(leaving message.DatabaseLeaving) {
+// handleDatabaseLeaving records that a database is leaving. Only a later status of
+// the database itself clears this.
+func (e *Engine) handleDatabaseLeaving(leaving message.DatabaseLeaving) {
 	d, found := e.databases[leaving.Database]
 	if !found || d.isLeaving() || !leaving.Leaving {
 		return
 	}
-	d.hinted = true
-	d.hintedAt = e.now
-	e.noteLeaving(d, "peer")
+	d.leavingHint = true
+	d.leavingHintAt = e.now
+	e.reportLeaving(d, "peer")
 }
 
-// tellPeers sends a message to all live instances that links are kept to.
-func (e *Engine) tellPeers(body message.PeerMessage) {
+// broadcast sends a message to all live instances.
+func (e *Engine) broadcast(body message.PeerMessage) {
 	for _, entry := range e.instances.sorted() {
 		if entry.alive {
-			e.do(message.SendPeer{To: entry.id, Body: body})
+			e.emit(message.SendPeer{To: entry.id, Body: body})
 		}
 	}
 }
@@ -133,150 +133,155 @@
 // -----------------------------------------------------------------------------
 // The system.
 
-// runMember sends heartbeats, notices silence, reads the platform's list and
-// keeps the set of links.
+// runMember sends heartbeats, detects instances that have stopped, reads the
+// platform's list of instances and updates the set of links.
 func (e *Engine) runMember() {
-	e.noticeSilence()
-	e.readList()
-	if e.instances.changed {
-		e.instances.changed = false
+	e.expireInstances()
+	e.requestInstanceList()
+	if e.instances.linksChanged {
+		e.instances.linksChanged = false
 		e.publishPeers()
 	}
 	e.sendHeartbeats()
 }
 
-// beatInterval is the time between heartbeats to one peer. It grows with the
-// number of links, so that the traffic of one instance stays bounded.
-func (e *Engine) beatInterval() time.Duration {
+// currentHeartbeatInterval returns the time between heartbeats to one peer. It
+// grows with the number of links, so that the traffic of one instance stays
+// bounded.
+func (e *Engine) currentHeartbeatInterval() time.Duration {
 	links := len(e.instances.byID)
-	return heartbeatInterval * time.Duration(max(1, min(links, maxLinks)/heartbeatLinks))
+	return heartbeatInterval * time.Duration(max(1, min(links, maxLinks)/heartbeatLinkThreshold))
 }
 
-// noticeSilence takes instances that have sent no heartbeat for a while as
-// gone.
-func (e *Engine) noticeSilence() {
-	limit := aliveFor * e.beatInterval()
+// expireInstances marks instances as gone that have not sent a heartbeat for
+// maxMissedHeartbeats intervals, and deletes those that the platform does not list
+// after instanceRetention.
+func (e *Engine) expireInstances() {
+	timeout := maxMissedHeartbeats * e.currentHeartbeatInterval()
 	for _, entry := range e.instances.sorted() {
-		silent := e.now.Sub(entry.heard)
-		if entry.alive && silent > limit {
+		elapsed := e.now.Sub(entry.lastHeartbeat)
+		if entry.alive && elapsed > timeout {
 			entry.alive = false
-			e.instances.changed = true
-			e.note(event.InstanceGone, event.F("instance", entry.id), event.F("silent", silent.String()))
+			e.instances.linksChanged = true
+			e.logEvent(event.InstanceGone, event.F("instance", entry.id), event.F("silent", elapsed.String()))
 			if entry.leaving {
 				e.scheduler.RemovePeer(e.now, entry.id)
 			}
 		}
-		if !entry.alive && !entry.listed && !entry.heard.IsZero() && silent > instanceKept {
+		if !entry.alive && !entry.listed && !entry.lastHeartbeat.IsZero() && elapsed > instanceRetention {
 			e.instances.remove(entry.id)
 		}
 	}
 }
 
-// readList asks the platform for its lagging list now and then.
-func (e *Engine) readList() {
-	t := &e.instances
-	if t.listAsk != 0 || e.now.Before(t.listAt) {
+// requestInstanceList requests the platform's list of instances once per
+// listInterval.
+func (e *Engine) requestInstanceList() {
+	table := &e.instances
+	if table.listRequestID != 0 || e.now.Before(table.nextListRead) {
 		return
 	}
-	t.listAsk = e.ask()
-	t.listAt = e.now.Add(e.jitter(listInterval))
-	e.do(message.ListInstances{CorrelationID: t.listAsk, Timeout: platformTimeout})
+	table.listRequestID = e.correlationID()
+	table.nextListRead = e.now.Add(e.jitter(listInterval))
+	e.emit(message.ListInstances{CorrelationID: table.listRequestID, Timeout: platformTimeout})
 }
 
-// takeList takes in the platform's list as a hint of whom to speak to.
-func (e *Engine) takeList(listed message.InstancesListed) {
-	e.instances.listAsk = 0
+// handleInstanceList handles the platform's list. Since the list lags, it only
+// supplies addresses of instances to contact.
+func (e *Engine) handleInstanceList(listed message.InstancesListed) {
+	e.instances.listRequestID = 0
 	if listed.Err != message.PlatformOK {
 		return
 	}
 	for _, entry := range e.instances.byID {
 		entry.listed = false
 	}
-	for _, l := range listed.Instances {
-		if l.Instance == e.options.Instance {
+	for _, listedInstance := range listed.Instances {
+		if listedInstance.Instance == e.options.Instance {
 			continue
 		}
-		entry := e.instances.get(l.Instance)
+		entry := e.instances.get(listedInstance.Instance)
 		entry.listed = true
-		if !entry.peer.IsValid() {
-			entry.peer = l.PeerAddress
-			entry.zone = l.Zone
-			e.instances.changed = true
+		if !entry.peerAddress.IsValid() {
+			entry.peerAddress = listedInstance.PeerAddress
+			entry.zone = listedInstance.Zone
+			e.instances.linksChanged = true
 		}
 	}
 }
 
-// publishPeers tells the peer edge which links to keep and the scheduler who is
-// alive.
+// publishPeers sends the links to keep to the peer transport and the live instances
+// to the scheduler.
 func (e *Engine) publishPeers() {
 	targets := e.linkTargets()
-	e.do(message.SetPeers{Peers: targets})
-	live := append(e.instances.alive(), e.options.Instance)
-	sort.Slice(live, func(i, j int) bool { return live[i] < live[j] })
-	e.scheduler.SetPeers(e.now, live)
-	if e.declared.current != nil {
+	e.emit(message.SetPeers{Peers: targets})
+	liveInstances := append(e.instances.alive(), e.options.Instance)
+	sort.Slice(liveInstances, func(i, j int) bool { return liveInstances[i] < liveInstances[j] })
+	e.scheduler.SetPeers(e.now, liveInstances)
+	if e.manifests.current != nil {
 		e.publishDatabases()
 	}
 }
 
-// linkTargets returns the links to keep: the seeds while nobody else is known,
-// and a bounded number of instances, chosen by rendezvous hashing so that the
-// choice is stable.
+// linkTargets returns the links to keep: the seed addresses at which no known
+// instance is reachable, and at most maxLinks instances, chosen by rendezvous
+// hashing so that the choice is stable.
 func (e *Engine) linkTargets() []message.PeerTarget {
-	known := slices.Clone(e.instances.sorted())
-	sort.SliceStable(known, func(i, j int) bool {
-		return model.RendezvousWeight(known[i].id, e.options.Instance) > model.RendezvousWeight(known[j].id, e.options.Instance)
+	candidates := slices.Clone(e.instances.sorted())
+	sort.SliceStable(candidates, func(i, j int) bool {
+		return model.RendezvousWeight(candidates[i].id, e.options.Instance) > model.RendezvousWeight(candidates[j].id, e.options.Instance)
 	})
 	var targets []message.PeerTarget
-	addresses := map[string]bool{e.options.PeerAddress.String(): true}
-	for _, entry := range known {
-		if !entry.peer.IsValid() || len(targets) >= maxLinks {
+	usedAddresses := map[string]bool{e.options.PeerAddress.String(): true}
+	for _, entry := range candidates {
+		if !entry.peerAddress.IsValid() || len(targets) >= maxLinks {
 			continue
 		}
-		targets = append(targets, message.PeerTarget{Instance: entry.id, Address: entry.peer})
-		addresses[entry.peer.String()] = true
+		targets = append(targets, message.PeerTarget{Instance: entry.id, Address: entry.peerAddress})
+		usedAddresses[entry.peerAddress.String()] = true
 	}
 	for _, seed := range e.options.SeedAddresses {
-		if !addresses[seed.String()] {
+		if !usedAddresses[seed.String()] {
 			targets = append(targets, message.PeerTarget{Address: seed})
 		}
 	}
 	return targets
 }
 
-// sendHeartbeats tells each peer that this instance is alive.
+// sendHeartbeats sends a heartbeat to each peer for which one is due.
 func (e *Engine) sendHeartbeats() {
-	interval := e.beatInterval()
+	interval := e.currentHeartbeatInterval()
 	for _, entry := range e.instances.sorted() {
-		if !entry.told.IsZero() && e.now.Sub(entry.told) < interval || !entry.peer.IsValid() {
+		if !entry.heartbeatSentAt.IsZero() && e.now.Sub(entry.heartbeatSentAt) < interval || !entry.peerAddress.IsValid() {
 			continue
 		}
-		entry.told = e.now
-		e.instances.sequence++
-		e.do(message.SendPeer{To: entry.id, Body: e.heartbeat()})
+		entry.heartbeatSentAt = e.now
+		e.instances.heartbeatSequence++
+		e.emit(message.SendPeer{To: entry.id, Body: e.newHeartbeat()})
 	}
 }
 
-// heartbeat returns this instance's introduction.
-func (e *Engine) heartbeat() message.Heartbeat {
+// newHeartbeat returns the heartbeat of this instance.
+func (e *Engine) newHeartbeat() message.Heartbeat {
 	return message.Heartbeat{
 		Instance:    e.options.Instance,
 		Zone:        e.options.Zone,
 		PeerAddress: e.options.PeerAddress,
-		Sequence:    e.instances.sequence,
-		Manifest:    e.declared.number,
+		Sequence:    e.instances.heartbeatSequence,
+		Manifest:    e.manifests.number,
 		Leaving:     e.drain.started,
 		Known:       e.knownPeers(),
 	}
 }
 
-// knownPeers lists a few live instances, other ones with each heartbeat.
+// knownPeers returns up to maxKnownPeers live instances, different ones with each
+// heartbeat.
 func (e *Engine) knownPeers() []message.KnownPeer {
 	alive := e.instances.alive()
-	var known []message.KnownPeer
-	for i := range min(len(alive), maxKnown) {
-		id := alive[(int(e.instances.sequence)+i)%len(alive)]
-		known = append(known, message.KnownPeer{Instance: id, PeerAddress: e.instances.byID[id].peer})
+	var peers []message.KnownPeer
+	for i := range min(len(alive), maxKnownPeers) {
+		id := alive[(int(e.instances.heartbeatSequence)+i)%len(alive)]
+		peers = append(peers, message.KnownPeer{Instance: id, PeerAddress: e.instances.byID[id].peerAddress})
 	}
-	return known
+	return peers
 }
--- a/internal/core/engine/system_platform.go
+++ b/internal/core/engine/system_platform.go
@@ -10,104 +10,107 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// logbookInterval is the time between two reads of a group's logbook.
+// logbookInterval is the minimum time between two reads of a group's logbook.
 const logbookInterval = 30 * time.Second
 
 // -----------------------------------------------------------------------------
-// Answers of the platform.
+// Responses of the platform.
 
-// takePlatform hands an answer to the system that asked.
-func (e *Engine) takePlatform(incoming message.Event) {
+// handlePlatformEvent passes a response to the system that sent the request.
+func (e *Engine) handlePlatformEvent(incoming message.Event) {
 	switch incoming := incoming.(type) {
 	case message.RowsRead:
-		e.takeRows(incoming)
+		e.handleRowsRead(incoming)
 	case message.RowsWritten:
-		e.takeWritten(incoming)
+		e.handleRowsWritten(incoming)
 	case message.ObjectRead:
-		if incoming.CorrelationID == e.declared.objectAsk {
-			e.takeManifestObject(incoming)
+		if incoming.CorrelationID == e.manifests.objectReadID {
+			e.handleManifestObject(incoming)
 		}
 	case message.ObjectWritten:
-		if sub, found := e.submitOf(incoming.CorrelationID); found {
-			e.takeStored(sub, incoming)
+		if sub, found := e.submissionByID(incoming.CorrelationID); found {
+			e.handleObjectStored(sub, incoming)
 		}
 	case message.InstancesListed:
-		if incoming.CorrelationID == e.instances.listAsk {
-			e.takeList(incoming)
+		if incoming.CorrelationID == e.instances.listRequestID {
+			e.handleInstanceList(incoming)
 		}
 	}
 }
 
-// takeRows hands rows to the system that asked for them.
-func (e *Engine) takeRows(read message.RowsRead) {
-	if read.CorrelationID == e.declared.rowAsk {
-		e.takeManifestRow(read)
+// handleRowsRead passes rows to the system that requested them.
+func (e *Engine) handleRowsRead(read message.RowsRead) {
+	if read.CorrelationID == e.manifests.rowReadID {
+		e.handleManifestRow(read)
 		return
 	}
-	if sub, found := e.submitOf(read.CorrelationID); found {
-		e.takeSubmitRow(sub, read)
+	if sub, found := e.submissionByID(read.CorrelationID); found {
+		e.handleSubmissionRow(sub, read)
 		return
 	}
 	for _, g := range e.groups {
-		if g.steward.ask == read.CorrelationID && g.steward.step == conductRead {
-			e.takeGroupRow(g, read)
+		if g.failover.correlationID == read.CorrelationID && g.failover.step == failoverReadRow {
+			e.handleGroupRow(g, read)
 			return
 		}
-		if g.logbookAsk == read.CorrelationID {
-			e.takeLogbook(g, read)
+		if g.logbookReadID == read.CorrelationID {
+			e.handleLogbookRead(g, read)
 			return
 		}
 	}
 }
 
-// takeWritten hands the answer of a write to the system that wrote.
-func (e *Engine) takeWritten(written message.RowsWritten) {
-	if sub, found := e.submitOf(written.CorrelationID); found {
-		e.takeSubmitWrite(sub, written)
+// handleRowsWritten passes the result of a write to the system that sent it.
+func (e *Engine) handleRowsWritten(written message.RowsWritten) {
+	if sub, found := e.submissionByID(written.CorrelationID); found {
+		e.handleSubmissionWrite(sub, written)
 		return
 	}
 	for _, g := range e.groups {
-		if g.steward.ask == written.CorrelationID {
-			e.takeGroupWrite(g, written)
+		if g.failover.correlationID == written.CorrelationID {
+			e.handleGroupWrite(g, written)
 			return
 		}
 	}
 }
 
 // -----------------------------------------------------------------------------
-// The logbook as this instance knows it.
+// The local copy of the logbook.
 
-// logbookKey orders the records of a group by term.
+// logbookKey returns the key of a promotion record. The term is padded, so that the
+// keys of a group sort by term.
 func logbookKey(group model.GroupID, term model.Term) string {
 	return fmt.Sprintf("%s/%020d", group, term)
 }
 
-// readLogbook asks the platform for the records of a group.
-func (e *Engine) readLogbook(g *group) {
-	if g.logbookAsk != 0 || !g.logbookAt.IsZero() && e.now.Sub(g.logbookAt) < logbookInterval {
+// requestLogbook requests the promotion records of a group, unless that was done
+// within logbookInterval.
+func (e *Engine) requestLogbook(g *group) {
+	if g.logbookReadID != 0 || !g.logbookReadAt.IsZero() && e.now.Sub(g.logbookReadAt) < logbookInterval {
 		return
 	}
-	g.logbookAt = e.now
-	g.logbookAsk = e.ask()
-	e.do(message.ScanRows{CorrelationID: g.logbookAsk, Table: logbookTable, Prefix: string(g.name) + "/", Timeout: platformTimeout})
+	g.logbookReadAt = e.now
+	g.logbookReadID = e.correlationID()
+	e.emit(message.ScanRows{CorrelationID: g.logbookReadID, Table: logbookTable, Prefix: string(g.name) + "/", Timeout: platformTimeout})
 }
 
-// takeLogbook keeps the records that the platform holds.
-func (e *Engine) takeLogbook(g *group, read message.RowsRead) {
-	g.logbookAsk = 0
+// handleLogbookRead stores the records that the platform has returned.
+func (e *Engine) handleLogbookRead(g *group, read message.RowsRead) {
+	g.logbookReadID = 0
 	if read.Err != message.PlatformOK {
 		return
 	}
 	for _, row := range read.Rows {
 		var record PromotionRecord
 		if json.Unmarshal(row.Body, &record) == nil {
-			e.keepRecord(g, record)
+			e.addRecord(g, record)
 		}
 	}
 }
 
-// keepRecord adds a record, ordered by term; the newest ones are kept.
-func (e *Engine) keepRecord(g *group, record PromotionRecord) {
+// addRecord inserts a record in the order of the terms, unless there is one of that
+// term, and keeps the newest maxLogbookRecords.
+func (e *Engine) addRecord(g *group, record PromotionRecord) {
 	i := sort.Search(len(g.logbook), func(i int) bool { return g.logbook[i].Term >= record.Term })
 	if i < len(g.logbook) && g.logbook[i].Term == record.Term {
 		return
@@ -115,7 +118,7 @@
 	g.logbook = append(g.logbook, PromotionRecord{})
 	copy(g.logbook[i+1:], g.logbook[i:])
 	g.logbook[i] = record
-	if extra := len(g.logbook) - logbookKept; extra > 0 {
-		g.logbook = append(g.logbook[:0], g.logbook[extra:]...)
+	if excess := len(g.logbook) - maxLogbookRecords; excess > 0 {
+		g.logbook = append(g.logbook[:0], g.logbook[excess:]...)
 	}
 }
--- a/internal/core/engine/system_prove.go
+++ b/internal/core/engine/system_prove.go
@@ -6,97 +6,99 @@
 )
 
 // -----------------------------------------------------------------------------
-// Proof of positions.
+// Durability of positions.
 
-// runProve releases what a newly proven position allows, and asks replicas for
-// the oldest position that something still waits for.
-func (e *Engine) runProve() {
+// runDurability releases the results and commits that have become durable, and asks
+// replicas to report the oldest position that a request still waits for.
+func (e *Engine) runDurability() {
 	for _, g := range e.groups {
-		e.raiseProven(g)
-		if len(g.held) == 0 && len(g.proving) == 0 {
+		e.advanceDurable(g)
+		if len(g.held) == 0 && len(g.awaitingQuorum) == 0 {
 			continue
 		}
-		e.releaseHeld(g)
-		e.releaseProving(g)
-		e.awaitOldest(g)
+		e.releaseHeldResults(g)
+		e.finishDurableCommits(g)
+		e.awaitOldestPosition(g)
 	}
 }
 
-// raiseProven recomputes the proven position and publishes it.
-func (e *Engine) raiseProven(g *group) {
-	position := g.provenPosition()
-	if !g.proven.Less(position) {
+// advanceDurable recomputes the durable position and publishes it if it has
+// advanced.
+func (e *Engine) advanceDurable(g *group) {
+	position := g.majorityPosition()
+	if !g.durable.Less(position) {
 		return
 	}
-	g.proven = position
-	e.do(message.SetDurablePosition{Group: g.name, Position: position})
+	g.durable = position
+	e.emit(message.SetDurablePosition{Group: g.name, Position: position})
 }
 
-// releaseHeld lets held answers go whose position is proven.
-func (e *Engine) releaseHeld(g *group) {
+// releaseHeldResults releases held results whose position is durable, and closes
+// the attempts of those in an older term.
+func (e *Engine) releaseHeldResults(g *group) {
 	for _, r := range sortedRequests(g.held) {
 		if r.position.Term != g.term && !r.position.IsZero() {
-			e.drop(r)
+			e.closeAttempt(r)
 			continue
 		}
-		if !g.isPositionProven(r.position) {
+		if !g.isDurable(r.position) {
 			continue
 		}
 		delete(g.held, r.id)
-		e.do(message.ReleaseResult{Request: r.id, Attempt: r.attempt})
+		e.emit(message.ReleaseResult{Request: r.id, Attempt: r.attempt})
 	}
 }
 
-// releaseProving ends requests whose commit, or settling answer, is proven.
-func (e *Engine) releaseProving(g *group) {
-	for _, r := range sortedRequests(g.proving) {
-		if !g.isPositionProven(r.position) {
-			e.expireProving(r)
+// finishDurableCommits ends requests whose commit, or resolved outcome, is durable.
+func (e *Engine) finishDurableCommits(g *group) {
+	for _, r := range sortedRequests(g.awaitingQuorum) {
+		if !g.isDurable(r.position) {
+			e.expireCommit(r)
 			continue
 		}
-		delete(g.proving, r.id)
-		if r.phase == phaseSettled {
-			e.endSettled(r)
+		delete(g.awaitingQuorum, r.id)
+		if r.phase == phaseResolved {
+			e.finishResolved(r)
 			continue
 		}
 		e.acknowledge(r)
 	}
 }
 
-// expireProving ends the wait for a proof at the deadline: the commit may
-// survive or not.
-func (e *Engine) expireProving(r *request) {
+// expireCommit ends a commit that is not durable at its deadline with an unknown
+// outcome, since it may or may not survive.
+func (e *Engine) expireCommit(r *request) {
 	if e.now.Before(r.deadline) {
 		return
 	}
-	e.abandon(r, true, "the commit was not proven to be held by a majority inside the deadline")
+	e.abortRequest(r, true, "the commit was not confirmed by a majority within the deadline")
 }
 
-// awaitOldest asks each replica of the term to answer as soon as it has
-// received the oldest position that something waits for.
-func (e *Engine) awaitOldest(g *group) {
-	position, found := e.oldestUnproven(g)
+// awaitOldestPosition asks each replica of the term to respond as soon as it has
+// received the oldest position that a request waits for.
+func (e *Engine) awaitOldestPosition(g *group) {
+	position, found := e.oldestNonDurable(g)
 	if !found {
 		return
 	}
 	for _, d := range g.databases {
-		if d == g.primary || d.awaiting != 0 || !d.inTerm(g.term) || !d.isReachable(e.now) {
+		if d == g.primary || d.awaitID != 0 || !d.inTerm(g.term) || !d.isReachable(e.now) {
 			continue
 		}
 		if !d.status.Received.Less(position) {
 			continue
 		}
-		d.awaiting = e.ask()
-		e.do(message.AwaitPosition{Database: d.name, CorrelationID: d.awaiting, Position: position, Timeout: awaitTimeout})
+		d.awaitID = e.correlationID()
+		e.emit(message.AwaitPosition{Database: d.name, CorrelationID: d.awaitID, Position: position, Timeout: awaitTimeout})
 	}
 }
 
-// oldestUnproven returns the lowest position of the current term that a held
-// answer or a commit waits for.
-func (e *Engine) oldestUnproven(g *group) (model.Position, bool) {
+// oldestNonDurable returns the lowest position of the current term that a held
+// result or a commit waits for, and false if there is none.
+func (e *Engine) oldestNonDurable(g *group) (model.Position, bool) {
 	var oldest model.Position
-	consider := func(position model.Position) {
-		if position.Term != g.term || g.isPositionProven(position) {
+	considerPosition := func(position model.Position) {
+		if position.Term != g.term || g.isDurable(position) {
 			return
 		}
 		if oldest.IsZero() || position.Less(oldest) {
@@ -104,30 +106,32 @@
 		}
 	}
 	for _, r := range g.held {
-		consider(r.position)
+		considerPosition(r.position)
 	}
-	for _, r := range g.proving {
-		consider(r.position)
+	for _, r := range g.awaitingQuorum {
+		considerPosition(r.position)
 	}
 	return oldest, !oldest.IsZero()
 }
 
-// takeHeld notes an answer that waits at the edge for its proof.
-func (e *Engine) takeHeld(held message.ResultHeld) {
+// handleResultHeld records a result that the edge holds until its position is
+// durable.
+func (e *Engine) handleResultHeld(held message.ResultHeld) {
 	r, found := e.requests.byID[held.Request]
 	if !found || r.attempt != held.Attempt || r.phase != phaseRunning {
 		return
 	}
-	if r.dropped {
+	if r.closeRequested {
 		return
 	}
 	r.position = held.Position
 	r.group.held[r.id] = r
-	e.learnPrimary(r, held.Position)
+	e.updatePrimaryPosition(r, held.Position)
 }
 
-// learnPrimary takes in that the primary of the request's term holds position.
-func (e *Engine) learnPrimary(r *request, position model.Position) {
+// updatePrimaryPosition records that the primary of the request's term holds
+// position.
+func (e *Engine) updatePrimaryPosition(r *request, position model.Position) {
 	g := r.group
 	if r.term != g.term || r.database != g.primary || position.Term != g.term {
 		return
--- a/internal/core/engine/system_schedule.go
+++ b/internal/core/engine/system_schedule.go
@@ -10,23 +10,23 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// targetShare is the part of a rank's target that a read may spend on waiting
-// for a replica to catch up.
-const targetShare = 4
+// latencyTargetDivisor limits the time that a read waits for a replica to catch up
+// to this part of its rank's latency target.
+const latencyTargetDivisor = 4
 
 // -----------------------------------------------------------------------------
-// Grants.
+// Slot grants.
 
-// runSchedule ends what has passed its deadline and dispatches what the
-// scheduler grants.
+// runSchedule ends the requests that have passed their deadline and dispatches
+// those to which the scheduler grants a slot.
 func (e *Engine) runSchedule() {
 	for _, id := range e.scheduler.TakeExpired(e.now) {
 		if r, found := e.requests.byID[id]; found {
-			e.refuseRequest(r, rank.Refusal{Reason: r.missing(), Detail: "the deadline ended before the work could be sent"})
+			e.refuseRequest(r, rank.Refusal{Reason: r.expiryReason(), Detail: "the deadline passed before the request could be sent"})
 		}
 	}
 	for _, g := range e.groups {
-		g.wanting = time.Time{}
+		g.requiredSampleTime = time.Time{}
 	}
 	for _, grant := range e.scheduler.AssignSlots(e.now, e.candidates) {
 		r, found := e.requests.byID[grant.Request]
@@ -37,27 +37,28 @@
 		e.dispatch(r, e.databases[grant.Database])
 	}
 	for _, g := range e.groups {
-		e.probeWanted(g)
+		e.probeForSample(g)
 	}
 	for _, send := range e.scheduler.TakeMessages(e.now) {
-		e.do(send)
+		e.emit(send)
 	}
-	for _, note := range e.scheduler.TakeLogEvents() {
-		e.do(note)
+	for _, logEvent := range e.scheduler.TakeLogEvents() {
+		e.emit(logEvent)
 	}
 }
 
-// missing tells what the request lacked at its deadline.
-func (r *request) missing() message.RefusalReason {
-	if r.behind >= maxBehind {
+// expiryReason returns what the request was waiting for at its deadline.
+func (r *request) expiryReason() message.RefusalReason {
+	if r.behindAnswers >= maxBehindAnswers {
 		return message.RefuseNoFreshDatabase
 	}
-	return r.why
+	return r.waitReason
 }
 
-// probeWanted asks at once for the sample that a waiting read wants.
-func (e *Engine) probeWanted(g *group) {
-	if g.wanting.IsZero() {
+// probeForSample probes the databases at once for the sample that a waiting read
+// needs.
+func (e *Engine) probeForSample(g *group) {
+	if g.requiredSampleTime.IsZero() {
 		return
 	}
 	for _, d := range g.databases {
@@ -67,8 +68,8 @@
 	}
 }
 
-// candidates names the databases that may serve a work now, the best first. The
-// list is valid until the next call.
+// candidates returns the databases that may serve the work now, the best first. The
+// slice is valid until the next call.
 func (e *Engine) candidates(work rank.Work) []model.DatabaseID {
 	r, found := e.requests.byID[work.Request]
 	if !found || e.now.Before(r.notBefore) {
@@ -80,32 +81,32 @@
 	return e.writeCandidates(r)
 }
 
-// writeCandidates names the primary, under fresh proof of its term.
+// writeCandidates returns the primary if its term is confirmed and it is usable.
 func (e *Engine) writeCandidates(r *request) []model.DatabaseID {
 	g := r.group
-	r.why = message.RefuseNoPrimary
-	if !g.isProven(e.now) || !g.primary.isUsable(e.now) {
+	r.waitReason = message.RefuseNoPrimary
+	if !g.isTermConfirmed(e.now) || !g.primary.isUsable(e.now) {
 		return nil
 	}
-	r.why = message.RefuseDeadline
+	r.waitReason = message.RefuseDeadline
 	return []model.DatabaseID{g.primary.name}
 }
 
 // -----------------------------------------------------------------------------
 // Reads.
 
-// readCandidates names the databases that are thought to be fresh enough.
+// readCandidates returns the databases that are expected to be fresh enough.
 func (e *Engine) readCandidates(r *request) []model.DatabaseID {
-	r.why = message.RefuseNoFreshDatabase
-	if !e.findMinimum(r) {
+	r.waitReason = message.RefuseNoFreshDatabase
+	if !e.computeMinimum(r) {
 		return nil
 	}
-	ready, soonest := e.readyReplicas(r)
+	ready, nextReadyAt := e.readyReplicas(r)
 	primary := e.primaryForRead(r)
-	if len(ready) == 0 && primary != nil && e.isWorthWaiting(r, soonest) {
+	if len(ready) == 0 && primary != nil && e.isWorthWaiting(r, nextReadyAt) {
 		return nil
 	}
-	if len(ready) > 0 && e.now.Sub(r.arrived) < e.patience(r) {
+	if len(ready) > 0 && e.now.Sub(r.arrived) < e.replicaWait(r) {
 		primary = nil
 	}
 	names := e.names[:0]
@@ -117,194 +118,196 @@
 	}
 	e.names = names
 	if len(names) > 0 {
-		r.why = message.RefuseDeadline
+		r.waitReason = message.RefuseDeadline
 	}
 	return names
 }
 
-// findMinimum works out the oldest state that the read may see now. It reports
-// false while the sample that this takes is still to come.
-func (e *Engine) findMinimum(r *request) bool {
+// computeMinimum computes the oldest state that the read may show now. It reports
+// false while the sample that this needs has not arrived.
+func (e *Engine) computeMinimum(r *request) bool {
 	s := r.session
-	from := r.floor()
-	r.minimum, r.minimumAt = from.position, from.at
+	minPos := r.minPosition()
+	r.minimum, r.minimumAt = minPos.position, minPos.asOf
 	if r.minimum.Less(r.token) {
 		r.minimum, r.minimumAt = r.token, r.arrived
 	}
-	since, wanted := e.sampleWanted(r)
-	if !wanted {
+	sampleTime, needed := e.requiredSample(r)
+	if !needed {
 		return true
 	}
-	found, ok := r.group.sampleSince(since)
+	match, ok := r.group.sampleSince(sampleTime)
 	if !ok {
-		e.want(r.group, since)
+		e.requestSample(r.group, sampleTime)
 		return false
 	}
-	if r.minimum.Less(found.position) {
-		r.minimum, r.minimumAt = found.position, found.at
+	if r.minimum.Less(match.position) {
+		r.minimum, r.minimumAt = match.position, match.asOf
 	}
-	if !s.anchored && !since.Before(r.arrived) {
-		s.wrote(found.position, found.at)
-		r.given = model.Token{Group: r.group.name, Position: s.written.position}
-		s.anchored = !s.roaming
+	if !s.writesKnown && !sampleTime.Before(r.arrived) {
+		s.recordWrite(match.position, match.asOf)
+		r.barrierToken = model.Token{Group: r.group.name, Position: s.written.position}
+		s.writesKnown = !s.multiConnection
 	}
 	return true
 }
 
-// sampleWanted returns the time since which a sample is wanted: the arrival,
-// for a session whose earlier writes are not known here, or the age that the
-// kind of work bears.
-func (e *Engine) sampleWanted(r *request) (time.Time, bool) {
-	if !r.session.anchored && r.token.IsZero() {
+// requiredSample returns the time of which a sample is needed, if any: the arrival
+// of the request, if the session's earlier writes are not known here, or the time
+// given by the staleness bound of the request kind.
+func (e *Engine) requiredSample(r *request) (time.Time, bool) {
+	if !r.session.writesKnown && r.token.IsZero() {
 		return r.arrived, true
 	}
 	if !r.kind.HasStalenessBound {
 		return time.Time{}, false
 	}
-	if r.kind.MaxStaleness < barrierBound {
+	if r.kind.MaxStaleness < barrierThreshold {
 		return r.arrived, true
 	}
-	return e.now.Add(staleMargin - r.kind.MaxStaleness), true
+	return e.now.Add(stalenessMargin - r.kind.MaxStaleness), true
 }
 
-// want asks for a sample that is not older than since. Questions are sent now,
-// so that they serve all reads that wait.
-func (e *Engine) want(g *group, since time.Time) {
-	if g.wanting.Before(since) {
-		g.wanting = since
+// requestSample requests a sample that is not older than sampleTime. The probes are
+// sent after all reads have been examined, so that they serve all reads that wait.
+func (e *Engine) requestSample(g *group, sampleTime time.Time) {
+	if g.requiredSampleTime.Before(sampleTime) {
+		g.requiredSampleTime = sampleTime
 	}
 }
 
-// readyReplicas returns the replicas that should show the minimum by now, the
-// best first, and the time at which the first of the others should. The list is
-// valid until the next call.
+// readyReplicas returns the replicas that are expected to show the minimum by now,
+// the best first, and the time at which the first of the others is expected to. The
+// slice is valid until the next call.
 func (e *Engine) readyReplicas(r *request) ([]*database, time.Time) {
 	ready := e.ready[:0]
-	var soonest time.Time
-	if r.behind >= maxBehind {
-		return nil, soonest
+	var nextReadyAt time.Time
+	if r.behindAnswers >= maxBehindAnswers {
+		return nil, nextReadyAt
 	}
 	for _, d := range r.group.databases {
 		if d == r.group.primary || d.status.Role != model.RoleReplica || d.status.Term < r.group.term || !d.isUsable(e.now) {
 			continue
 		}
-		due := r.minimumAt.Add(d.lag)
-		if !d.applied.Less(r.minimum) || !e.now.Before(due) && d.status.Streaming {
+		expectedAt := r.minimumAt.Add(d.lag)
+		if !d.applied.Less(r.minimum) || !e.now.Before(expectedAt) && d.status.Streaming {
 			ready = append(ready, d)
 			continue
 		}
-		if d.status.Streaming && (soonest.IsZero() || due.Before(soonest)) {
-			soonest = due
+		if d.status.Streaming && (nextReadyAt.IsZero() || expectedAt.Before(nextReadyAt)) {
+			nextReadyAt = expectedAt
 		}
 	}
 	e.ready = ready
 	slices.SortStableFunc(ready, func(a, b *database) int {
 		switch {
-		case e.isBetter(a, b):
+		case e.isPreferred(a, b):
 			return -1
-		case e.isBetter(b, a):
+		case e.isPreferred(b, a):
 			return 1
 		}
 		return 0
 	})
-	return ready, soonest
+	return ready, nextReadyAt
 }
 
-// isBetter prefers the instance's own availability zone, then the database that
-// answers faster, then the less loaded.
-func (e *Engine) isBetter(a, b *database) bool {
-	if near, other := a.declared.Zone == e.options.Zone, b.declared.Zone == e.options.Zone; near != other {
-		return near
+// isPreferred reports whether a is preferred to b: a database in the instance's own
+// availability zone, then one with a clearly lower latency, then the less loaded
+// one.
+func (e *Engine) isPreferred(a, b *database) bool {
+	if aIsLocal, bIsLocal := a.declared.Zone == e.options.Zone, b.declared.Zone == e.options.Zone; aIsLocal != bIsLocal {
+		return aIsLocal
 	}
 	const clearlyFaster = 2
 	if a.latency > 0 && b.latency > 0 && (a.latency > clearlyFaster*b.latency || b.latency > clearlyFaster*a.latency) {
 		return a.latency < b.latency
 	}
-	return a.running < b.running
+	return a.runningRequests < b.runningRequests
 }
 
-// primaryForRead returns the primary where it may serve the read.
+// primaryForRead returns the primary if it may serve the read, else nil.
 func (e *Engine) primaryForRead(r *request) *database {
 	g := r.group
-	if g.primary == nil || !g.primary.isUsable(e.now) || !g.isProven(e.now) {
+	if g.primary == nil || !g.primary.isUsable(e.now) || !g.isTermConfirmed(e.now) {
 		return nil
 	}
 	return g.primary
 }
 
-// isWorthWaiting reports whether a replica should be ready soon enough for the
-// read to wait for it instead of burdening the primary.
-func (e *Engine) isWorthWaiting(r *request, soonest time.Time) bool {
-	if soonest.IsZero() {
+// isWorthWaiting reports whether a replica is expected to be ready soon enough for
+// the read to wait for it instead of loading the primary.
+func (e *Engine) isWorthWaiting(r *request, nextReadyAt time.Time) bool {
+	if nextReadyAt.IsZero() {
 		return false
 	}
-	return soonest.Sub(r.arrived) <= e.patience(r) && soonest.Before(r.deadline)
+	return nextReadyAt.Sub(r.arrived) <= e.replicaWait(r) && nextReadyAt.Before(r.deadline)
 }
 
-// patience is the time for which a read leaves the primary to the writes: until
-// a replica has caught up, or has a slot free.
-func (e *Engine) patience(r *request) time.Duration {
-	return min(readPatience, r.target/targetShare)
+// replicaWait returns the time for which a read waits for a replica to catch up or
+// to have a free slot, before it may use the primary.
+func (e *Engine) replicaWait(r *request) time.Duration {
+	return min(maxReplicaWait, r.latencyTarget/latencyTargetDivisor)
 }
 
 // -----------------------------------------------------------------------------
 // Dispatch.
 
-// dispatch sends a granted request to its database.
+// dispatch sends a request to the database of its granted slot.
 func (e *Engine) dispatch(r *request, d *database) {
 	r.phase = phaseRunning
 	r.attempt++
 	r.database = d
-	r.dropped = false
+	r.closeRequested = false
 	r.term = d.status.Term
-	d.running++
+	d.runningRequests++
 	primary := d == r.group.primary
 	key := r.key
 	if r.isRead() {
 		key = ""
 	}
-	e.noteDispatch(r, d, primary)
-	e.do(message.Dispatch{
+	e.logDispatch(r, d, primary)
+	e.emit(message.Dispatch{
 		Request:          r.id,
 		Attempt:          r.attempt,
 		Database:         d.name,
 		Access:           r.kind.Access,
-		HoldUntilDurable: primary || e.isGated(r.group, d),
+		HoldUntilDurable: primary || e.mustHold(r.group, d),
 		Term:             r.term,
 		IdempotencyKey:   key,
 		MinPosition:      r.minimum,
-		Token:            r.given,
+		Token:            r.barrierToken,
 		Deadline:         r.deadline,
-		SilenceTimeout:   silentAfter,
+		SilenceTimeout:   silenceTimeout,
 	})
 }
 
-// isGated reports whether a replica's state may hold entries that a promotion
-// could take back. In a group of three, what a streaming replica shows is held
-// by two.
-func (e *Engine) isGated(g *group, d *database) bool {
-	const pair = 2
-	return !d.status.Streaming || g.majority() > pair
+// mustHold reports whether results of a replica are held until their position is
+// durable, because its state may include entries that a promotion could discard. In
+// a group of three, the state of a streaming replica is already held by two
+// databases, a majority.
+func (e *Engine) mustHold(g *group, d *database) bool {
+	const pairSize = 2
+	return !d.status.Streaming || g.majority() > pairSize
 }
 
-// noteDispatch logs where a request goes and why.
-func (e *Engine) noteDispatch(r *request, d *database, primary bool) {
+// logDispatch logs where a request is sent and why.
+func (e *Engine) logDispatch(r *request, d *database, isPrimary bool) {
 	if !r.isRead() {
-		e.note(event.WriteRouted,
+		e.logEvent(event.WriteRouted,
 			event.F("request", r.id), event.F("attempt", r.attempt), event.F("group", r.group.name),
 			event.F("kind", r.kind.Name), event.F("database", d.name), event.F("term", r.term), event.F("key", r.key))
 		return
 	}
 	reason := "replica is fresh enough"
 	switch {
-	case primary && r.behind >= maxBehind:
-		reason = "replicas answered with older states"
-	case primary:
+	case isPrimary && r.behindAnswers >= maxBehindAnswers:
+		reason = "replicas were behind the minimum position"
+	case isPrimary:
 		reason = "no replica is free and fresh enough"
 	case d.applied.Less(r.minimum):
 		reason = "replica should have caught up by now"
 	}
-	e.note(event.ReadRouted,
+	e.logEvent(event.ReadRouted,
 		event.F("request", r.id), event.F("attempt", r.attempt), event.F("group", r.group.name),
 		event.F("kind", r.kind.Name), event.F("database", d.name), event.F("role", d.status.Role.String()),
 		event.F("minimum", r.minimum.String()), event.F("reason", reason))
--- a/internal/core/engine/system_session.go
+++ b/internal/core/engine/system_session.go
@@ -11,28 +11,27 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// defaultKind is the name of the kind of work that a request has which names
-// none.
+// defaultKind is the name of the request kind of requests that name none.
 const defaultKind = "default"
 
 // -----------------------------------------------------------------------------
 // Sessions.
 
-// openSession notes a new connection of a caller.
+// openSession adds a session for a new connection of a caller.
 func (e *Engine) openSession(opened message.SessionOpened) {
 	e.sessions[opened.Session] = &session{
-		id:       opened.Session,
-		name:     opened.Group,
-		group:    e.byGroup[opened.Group],
-		caller:   opened.Caller,
-		written:  floor{position: opened.TokenPosition, at: e.now},
-		seen:     floor{position: opened.TokenPosition, at: e.now},
-		anchored: !opened.TokenPosition.IsZero(),
-		roaming:  opened.Roaming,
+		id:              opened.Session,
+		name:            opened.Group,
+		group:           e.groupsByName[opened.Group],
+		caller:          opened.Caller,
+		written:         minPosition{position: opened.TokenPosition, asOf: e.now},
+		observed:        minPosition{position: opened.TokenPosition, asOf: e.now},
+		writesKnown:     !opened.TokenPosition.IsZero(),
+		multiConnection: opened.Roaming,
 	}
 }
 
-// closeSession forgets a session and gives up what it still wanted.
+// closeSession deletes a session and cancels its open requests.
 func (e *Engine) closeSession(id model.SessionID) {
 	s, found := e.sessions[id]
 	if !found {
@@ -47,7 +46,7 @@
 // -----------------------------------------------------------------------------
 // Arrival of requests.
 
-// admit takes a request into the queue or refuses it.
+// admit enqueues a request or rejects it.
 func (e *Engine) admit(arrived message.RequestArrived) {
 	s, found := e.sessions[arrived.Session]
 	if !found {
@@ -60,10 +59,10 @@
 		})
 		return
 	}
-	kind, found := e.declared.kind(arrived.Kind)
+	kind, found := e.manifests.kind(arrived.Kind)
 	if !found {
 		e.refuse(arrived.Request, s.group.name, arrived.Kind, rank.Refusal{
-			Reason: message.RefuseUnknownKind, Detail: "the manifest in force has no kind of work " + strconv.Quote(arrived.Kind),
+			Reason: message.RefuseUnknownKind, Detail: "the manifest in force has no request kind " + strconv.Quote(arrived.Kind),
 		})
 		return
 	}
@@ -80,29 +79,29 @@
 	s.requests[r.id] = r
 }
 
-// newRequest makes the table's entry for an arrival.
+// newRequest creates the table entry for a request.
 func (e *Engine) newRequest(arrived message.RequestArrived, s *session, kind manifest.RequestKind) *request {
-	limit := kind.Deadline
-	if arrived.Deadline > 0 && arrived.Deadline < limit {
-		limit = arrived.Deadline
+	timeout := kind.Deadline
+	if arrived.Deadline > 0 && arrived.Deadline < timeout {
+		timeout = arrived.Deadline
 	}
 	return &request{
-		id:          arrived.Request,
-		session:     s,
-		group:       s.group,
-		kind:        kind,
-		target:      e.declared.target(kind.Rank),
-		key:         arrived.IdempotencyKey,
-		ownKey:      arrived.CallerSuppliedKey,
-		transaction: arrived.Transaction,
-		token:       arrived.TokenPosition,
-		arrived:     e.now,
-		deadline:    e.now.Add(limit),
-		why:         message.RefuseDeadline,
+		id:            arrived.Request,
+		session:       s,
+		group:         s.group,
+		kind:          kind,
+		latencyTarget: e.manifests.latencyTarget(kind.Rank),
+		key:           arrived.IdempotencyKey,
+		callerKey:     arrived.CallerSuppliedKey,
+		transaction:   arrived.Transaction,
+		token:         arrived.TokenPosition,
+		arrived:       e.now,
+		deadline:      e.now.Add(timeout),
+		waitReason:    message.RefuseDeadline,
 	}
 }
 
-// work describes the request to the scheduler.
+// work returns the description of the request for the scheduler.
 func (r *request) work() rank.Work {
 	return rank.Work{
 		Request:     r.id,
@@ -116,7 +115,8 @@
 	}
 }
 
-// cancel gives up a request that its caller has withdrawn.
+// cancel cancels a request that its caller has withdrawn. A request that has
+// committed, or may have, is completed nevertheless.
 func (e *Engine) cancel(id model.RequestID) {
 	r, found := e.requests.byID[id]
 	if !found {
@@ -127,8 +127,8 @@
 		e.scheduler.Cancel(id)
 		e.refuseRequest(r, rank.Refusal{Reason: message.RefuseCanceled})
 	case phaseRunning:
-		e.do(message.CancelStatement{Request: id, Attempt: r.attempt})
-	case phaseProving, phaseSettling, phaseSettled:
+		e.emit(message.CancelStatement{Request: id, Attempt: r.attempt})
+	case phaseAwaitingQuorum, phaseResolving, phaseResolved:
 	}
 }
 
@@ -137,71 +137,72 @@
 
 // refuseRequest ends a known request that did not run.
 func (e *Engine) refuseRequest(r *request, refusal rank.Refusal) {
-	e.forget(r)
+	e.removeRequest(r)
 	e.refuse(r.id, r.group.name, r.kind.Name, refusal)
 }
 
-// refuse tells a caller that its request did not run.
+// refuse reports to a caller that its request did not run.
 func (e *Engine) refuse(id model.RequestID, group model.GroupID, kind string, refusal rank.Refusal) {
-	e.note(event.RequestRefused,
+	e.logEvent(event.RequestRefused,
 		event.F("request", id), event.F("group", group), event.F("kind", kind), event.F("why", refusal.Reason.String()))
-	e.do(message.RefuseRequest{Request: id, Reason: refusal.Reason, RetryAfter: refusal.RetryAfter, Detail: refusal.Detail})
+	e.emit(message.RefuseRequest{Request: id, Reason: refusal.Reason, RetryAfter: refusal.RetryAfter, Detail: refusal.Detail})
 }
 
-// abandon ends a request with an error after it was sent.
-func (e *Engine) abandon(r *request, unknown bool, why string) {
-	e.forget(r)
-	if unknown {
-		e.note(event.OutcomeUnknown,
-			event.F("request", r.id), event.F("group", r.group.name), event.F("key", r.key), event.F("why", why))
+// abortRequest ends a request with an error after it was sent to a database.
+func (e *Engine) abortRequest(r *request, outcomeUnknown bool, reason string) {
+	e.removeRequest(r)
+	if outcomeUnknown {
+		e.logEvent(event.OutcomeUnknown,
+			event.F("request", r.id), event.F("group", r.group.name), event.F("key", r.key), event.F("why", reason))
 	} else {
-		e.note(event.RequestAbandoned,
-			event.F("request", r.id), event.F("group", r.group.name), event.F("why", why))
+		e.logEvent(event.RequestAbandoned,
+			event.F("request", r.id), event.F("group", r.group.name), event.F("why", reason))
 	}
-	e.do(message.AbortRequest{Request: r.id, Attempt: r.attempt, OutcomeUnknown: unknown, Reason: why})
+	e.emit(message.AbortRequest{Request: r.id, Attempt: r.attempt, OutcomeUnknown: outcomeUnknown, Reason: reason})
 }
 
-// acknowledge lets the answer of a commit go to the caller.
+// acknowledge ends a request whose commit is durable and sends the response to the
+// caller.
 func (e *Engine) acknowledge(r *request) {
-	e.forget(r)
-	r.session.wrote(r.position, e.now)
-	r.session.anchored = true
-	e.note(event.WriteAcknowledged,
+	e.removeRequest(r)
+	r.session.recordWrite(r.position, e.now)
+	r.session.writesKnown = true
+	e.logEvent(event.WriteAcknowledged,
 		event.F("request", r.id), event.F("group", r.group.name), event.F("position", r.position.String()))
 	token := model.Token{Group: r.group.name, Position: r.session.written.position}
-	e.do(message.AcknowledgeCommit{Request: r.id, Attempt: r.attempt, Token: token})
+	e.emit(message.AcknowledgeCommit{Request: r.id, Attempt: r.attempt, Token: token})
 }
 
-// forget takes a request out of all tables.
-func (e *Engine) forget(r *request) {
-	e.free(r, rank.SlotCompletion{})
+// removeRequest removes a request from all tables.
+func (e *Engine) removeRequest(r *request) {
+	e.releaseSlot(r, rank.SlotCompletion{})
 	delete(e.requests.byID, r.id)
-	delete(e.requests.settling, r.id)
-	delete(e.requests.bySettle, r.settleAsk)
+	delete(e.requests.inDoubt, r.id)
+	delete(e.requests.byResolveID, r.resolveID)
 	delete(r.group.held, r.id)
-	delete(r.group.proving, r.id)
+	delete(r.group.awaitingQuorum, r.id)
 	delete(r.session.requests, r.id)
 	if len(r.session.requests) == 0 {
 		r.session.requests = nil
 	}
 }
 
-// free gives back the slot of a running request.
-func (e *Engine) free(r *request, ending rank.SlotCompletion) {
+// releaseSlot returns the slot of a running request to the scheduler.
+func (e *Engine) releaseSlot(r *request, completion rank.SlotCompletion) {
 	if r.phase != phaseRunning {
 		return
 	}
-	r.database.running--
-	e.scheduler.Finish(e.now, r.id, ending)
-	r.phase = phaseProving
+	r.database.runningRequests--
+	e.scheduler.Finish(e.now, r.id, completion)
+	r.phase = phaseAwaitingQuorum
 }
 
-// again puts a running request back into the queue.
-func (e *Engine) again(r *request, ending rank.SlotCompletion, pause time.Duration) {
+// requeue puts a running request back into the queue.
+func (e *Engine) requeue(r *request, completion rank.SlotCompletion, pause time.Duration) {
 	delete(r.group.held, r.id)
-	r.database.running--
+	r.database.runningRequests--
 	r.phase = phaseWaiting
 	r.notBefore = e.now.Add(pause)
-	r.dropped = false
-	e.scheduler.Requeue(e.now, r.id, ending)
+	r.closeRequested = false
+	e.scheduler.Requeue(e.now, r.id, completion)
 }
--- a/internal/core/engine/system_settle.go
+++ b/internal/core/engine/system_settle.go
@@ -8,111 +8,114 @@
 )
 
 // -----------------------------------------------------------------------------
-// Settlement of unknown outcomes.
+// Resolution of in-doubt commits.
 
-// settle begins to ask the group what became of a request's key.
-func (e *Engine) settle(r *request) {
-	delete(r.group.proving, r.id)
-	r.phase = phaseSettling
-	r.settleAt = e.now
-	e.requests.settling[r.id] = r
+// startResolving starts to ask the group for the outcome of a request's key.
+func (e *Engine) startResolving(r *request) {
+	delete(r.group.awaitingQuorum, r.id)
+	r.phase = phaseResolving
+	r.resolveAt = e.now
+	e.requests.inDoubt[r.id] = r
 }
 
-// runSettle asks the primary of the newest proven term for each open outcome.
-func (e *Engine) runSettle() {
-	if len(e.requests.settling) == 0 {
+// runResolve requests the outcome of each in-doubt commit from the primary of the
+// newest confirmed term.
+func (e *Engine) runResolve() {
+	if len(e.requests.inDoubt) == 0 {
 		return
 	}
-	for _, r := range sortedRequests(e.requests.settling) {
+	for _, r := range sortedRequests(e.requests.inDoubt) {
 		if !e.now.Before(r.deadline) {
-			e.abandon(r, true, "the group could not be asked for the outcome inside the deadline")
+			e.abortRequest(r, true, "the outcome could not be determined within the deadline")
 			continue
 		}
-		if r.settleAsk != 0 || e.now.Before(r.settleAt) {
+		if r.resolveID != 0 || e.now.Before(r.resolveAt) {
 			continue
 		}
-		if !r.group.isProven(e.now) {
+		if !r.group.isTermConfirmed(e.now) {
 			continue
 		}
-		e.askOutcome(r)
+		e.requestOutcome(r)
 	}
 }
 
-// askOutcome sends the question for one request's outcome.
-func (e *Engine) askOutcome(r *request) {
+// requestOutcome requests the outcome of one commit.
+func (e *Engine) requestOutcome(r *request) {
 	g := r.group
-	r.settleAsk = e.ask()
+	r.resolveID = e.correlationID()
 	r.term = g.term
 	r.database = g.primary
-	e.requests.bySettle[r.settleAsk] = r
-	e.note(event.OutcomeAsked,
+	e.requests.byResolveID[r.resolveID] = r
+	e.logEvent(event.OutcomeAsked,
 		event.F("request", r.id), event.F("group", g.name), event.F("database", g.primary.name),
 		event.F("term", g.term), event.F("key", r.key))
-	e.do(message.ResolveInDoubt{
-		Database: g.primary.name, CorrelationID: r.settleAsk, IdempotencyKey: r.key, Term: g.term, Timeout: controlTimeout,
+	e.emit(message.ResolveInDoubt{
+		Database: g.primary.name, CorrelationID: r.resolveID, IdempotencyKey: r.key, Term: g.term, Timeout: controlTimeout,
 	})
 }
 
-// takeSettled learns the outcome of a key.
-func (e *Engine) takeSettled(answered message.InDoubtResolved) {
-	r, found := e.requests.bySettle[answered.CorrelationID]
+// handleInDoubtResolved handles the outcome of a key.
+func (e *Engine) handleInDoubtResolved(resolved message.InDoubtResolved) {
+	r, found := e.requests.byResolveID[resolved.CorrelationID]
 	if !found {
 		return
 	}
-	delete(e.requests.bySettle, answered.CorrelationID)
-	r.settleAsk = 0
-	if answered.Err != message.ControlOK || r.term != r.group.term {
-		r.settleAt = e.now.Add(e.jitter(retryPause))
+	delete(e.requests.byResolveID, resolved.CorrelationID)
+	r.resolveID = 0
+	if resolved.Err != message.ControlOK || r.term != r.group.term {
+		r.resolveAt = e.now.Add(e.jitter(retryPause))
 		e.probeGroup(r.group)
 		return
 	}
-	delete(e.requests.settling, r.id)
-	r.phase = phaseSettled
-	r.committed = answered.Committed
-	r.position = e.settledPosition(r, answered.Position)
-	e.learnPrimary(r, answered.Position)
-	r.group.proving[r.id] = r
+	delete(e.requests.inDoubt, r.id)
+	r.phase = phaseResolved
+	r.committed = resolved.Committed
+	r.position = e.resolvedPosition(r, resolved.Position)
+	e.updatePrimaryPosition(r, resolved.Position)
+	r.group.awaitingQuorum[r.id] = r
 }
 
-// settledPosition returns the position whose proof settles an outcome. A commit
-// of an earlier term stands in the log before the entry that opened the present
-// one, so any proven position of the present term covers it.
-func (e *Engine) settledPosition(r *request, position model.Position) model.Position {
+// resolvedPosition returns the position that must be durable before the outcome is
+// final. A commit of an earlier term is in the log before the entry that opened the
+// current term, so any durable position of the current term covers it.
+func (e *Engine) resolvedPosition(r *request, position model.Position) model.Position {
 	if position.Term == r.group.term {
 		return position
 	}
 	return model.Position{Term: r.group.term}
 }
 
-// endSettled ends a request whose outcome is proven.
-func (e *Engine) endSettled(r *request) {
-	e.note(event.OutcomeSettled,
+// finishResolved ends a request whose outcome is final.
+func (e *Engine) finishResolved(r *request) {
+	e.logEvent(event.OutcomeSettled,
 		event.F("request", r.id), event.F("group", r.group.name), event.F("key", r.key),
 		event.F("committed", r.committed), event.F("position", r.position.String()))
 	switch {
 	case r.committed:
-		// Where the answer was lost, the edge tells the caller so, with the token.
+		// If the response was lost, the edge reports that to the caller, with the
+		// token.
 		e.acknowledge(r)
-	case r.isRepeatable() && e.now.Before(r.deadline):
-		e.repeat(r)
+	case r.canRetry() && e.now.Before(r.deadline):
+		e.retryWithNewKey(r)
 	default:
 		e.refuseRequest(r, rank.Refusal{
-			Reason: message.RefuseNotCommitted, Detail: "the group has proved that the work was not committed and never will be",
+			Reason: message.RefuseNotCommitted, Detail: "the request was not committed and can no longer be committed",
 		})
 	}
 }
 
-// isRepeatable reports whether the proxy can run a request again after proof
-// that it did not commit. A transaction's statements are not kept, and a key
-// that the caller chose is spent.
-func (r *request) isRepeatable() bool { return !r.transaction && !r.ownKey }
+// canRetry reports whether the proxy can run a request again once it is known not
+// to have committed. The statements of a transaction are not stored, and a key that
+// the caller chose can't be used again.
+func (r *request) canRetry() bool { return !r.transaction && !r.callerKey }
 
-// repeat queues a request again under a new key: the old one is forbidden.
-func (e *Engine) repeat(r *request) {
+// retryWithNewKey queues a request again under a new key, since the group rejects
+// the old one from now on.
+func (e *Engine) retryWithNewKey(r *request) {
 	r.key += "+"
 	r.phase = phaseWaiting
-	r.answered = false
-	r.dropped = false
+	r.answerComplete = false
+	r.closeRequested = false
 	r.notBefore = e.now
 	r.position = model.Position{}
 	e.scheduler.Readmit(e.now, r.work())
--- a/internal/core/engine/system_steward.go
+++ b/internal/core/engine/system_steward.go
@@ -5,42 +5,44 @@
 )
 
 // rowCheckInterval is the time between two reads of a group's row by its first
-// steward while nothing is to be done.
+// coordinator while there is no failover.
 const rowCheckInterval = 30 * time.Second
 
 // -----------------------------------------------------------------------------
 // The system.
 
-// runSteward watches each group's primary and conducts its replacement.
-func (e *Engine) runSteward() {
+// runFailover detects a failure of each group's primary and conducts its
+// replacement.
+func (e *Engine) runFailover() {
 	for _, g := range e.groups {
-		e.watchPrimary(g)
-		if e.drain.started && g.steward.step == conductNone {
+		e.updateSuspicion(g)
+		if e.drain.started && g.failover.step == failoverIdle {
 			continue
 		}
-		e.conductStep(g)
+		e.runFailoverStep(g)
 		e.repairReplicas(g)
 	}
 }
 
-// conductStep goes on with what the steward is doing.
-func (e *Engine) conductStep(g *group) {
-	st := &g.steward
-	if st.ask != 0 || e.now.Before(st.notBefore) {
+// runFailoverStep runs the current step of the failover, unless a response is
+// pending.
+func (e *Engine) runFailoverStep(g *group) {
+	st := &g.failover
+	if st.correlationID != 0 || e.now.Before(st.notBefore) {
 		return
 	}
 	switch st.step {
-	case conductNone:
-		e.considerClaim(g)
-	case conductRead:
-		e.readRow(g)
-	case conductClaim:
+	case failoverIdle:
+		e.startFailoverIfDue(g)
+	case failoverReadRow:
+		e.requestGroupRow(g)
+	case failoverClaim:
 		e.writeClaim(g)
-	case conductFence:
+	case failoverFence:
 		e.fenceGroup(g)
-	case conductPromote:
+	case failoverPromote:
 		e.promoteChosen(g)
-	case conductRecord:
+	case failoverRecord:
 		e.writeRecord(g)
 	}
 }
--- a/internal/core/engine/system_submit.go
+++ b/internal/core/engine/system_submit.go
@@ -13,115 +13,121 @@
 // -----------------------------------------------------------------------------
 // Submission.
 
-// submitStep tells how far a submission has come.
+// submitStep is the step of a submission.
 type submitStep int
 
 const (
-	submitStore submitStep = iota
-	submitRead
-	submitWrite
-	submitVerify
+	submitStoreObject submitStep = iota
+	submitReadRow
+	submitWriteRow
+	submitVerifyRow
 )
 
-// submission is a manifest on its way to being accepted.
+// submission is a manifest that is being submitted to the platform.
 type submission struct {
-	ask     uint64
-	body    []byte
-	digest  string
-	want    uint64
-	who     string
-	step    submitStep
-	sent    uint64
-	row     manifestRow
-	started time.Time
-	next    time.Time
-	// risked says that a write whose answer was lost may have taken effect.
-	risked bool
+	correlationID  uint64
+	body           []byte
+	digest         string
+	expectedNumber uint64
+	submitter      string
+	step           submitStep
+	pendingID      uint64
+	row            manifestRow
+	startedAt      time.Time
+	nextAttempt    time.Time
+	// writeUncertain reports that a write whose response was lost may have taken
+	// effect.
+	writeUncertain bool
 }
 
-// takeSubmission checks a submitted manifest whole and begins to store it.
-func (e *Engine) takeSubmission(submitted message.ManifestSubmitted) {
+// handleSubmission validates a submitted manifest as a whole and starts to store
+// it.
+func (e *Engine) handleSubmission(submitted message.ManifestSubmitted) {
 	sub := &submission{
-		ask: submitted.CorrelationID, body: submitted.Body, want: submitted.ExpectedNumber, who: submitted.Submitter,
-		digest: manifest.Digest(submitted.Body), started: e.now,
+		correlationID: submitted.CorrelationID, body: submitted.Body, expectedNumber: submitted.ExpectedNumber, submitter: submitted.Submitter,
+		digest: manifest.Digest(submitted.Body), startedAt: e.now,
 	}
 	if _, err := manifest.Parse(submitted.Body); err != nil {
-		e.decide(sub, message.SubmitInvalid, 0, err.Error())
+		e.finishSubmission(sub, message.SubmitInvalid, 0, err.Error())
 		return
 	}
 	sub.row = manifestRow{
-		Number: submitted.ExpectedNumber + 1, Digest: sub.digest, Nonce: e.nonce(),
-		Who: submitted.Submitter, At: e.now, By: e.options.Instance,
+		Number: submitted.ExpectedNumber + 1, Digest: sub.digest, Nonce: e.newNonce(),
+		SubmittedBy: submitted.Submitter, SubmittedAt: e.now, WrittenBy: e.options.Instance,
 	}
-	e.declared.submits = append(e.declared.submits, sub)
+	e.manifests.submissions = append(e.manifests.submissions, sub)
 }
 
-// runSubmits sends the next question of each submission.
-func (e *Engine) runSubmits() {
-	for _, sub := range append([]*submission(nil), e.declared.submits...) {
-		if e.now.Sub(sub.started) > submitLimit {
-			e.giveUpSubmit(sub)
+// runSubmissions sends the next request of each submission.
+func (e *Engine) runSubmissions() {
+	for _, sub := range append([]*submission(nil), e.manifests.submissions...) {
+		if e.now.Sub(sub.startedAt) > submissionTimeout {
+			e.expireSubmission(sub)
 			continue
 		}
-		if sub.sent == 0 && !e.now.Before(sub.next) {
-			e.sendSubmit(sub)
+		if sub.pendingID == 0 && !e.now.Before(sub.nextAttempt) {
+			e.sendSubmissionRequest(sub)
 		}
 	}
 }
 
-// giveUpSubmit ends a submission that the platform does not let settle.
-func (e *Engine) giveUpSubmit(sub *submission) {
-	if sub.risked || sub.step == submitWrite && sub.sent != 0 {
-		e.decide(sub, message.SubmitUnknown, 0, "the platform's answer was lost; read the manifest's number before submitting again")
+// expireSubmission ends a submission that has not succeeded within
+// submissionTimeout.
+func (e *Engine) expireSubmission(sub *submission) {
+	if sub.writeUncertain || sub.step == submitWriteRow && sub.pendingID != 0 {
+		e.finishSubmission(sub, message.SubmitUnknown, 0, "the platform's answer was lost; read the manifest's number before submitting again")
 		return
 	}
-	e.decide(sub, message.SubmitUnavailable, 0, "the platform does not answer; nothing changed")
+	e.finishSubmission(sub, message.SubmitUnavailable, 0, "the platform does not answer; nothing changed")
 }
 
-// sendSubmit sends the question of the submission's step.
-func (e *Engine) sendSubmit(sub *submission) {
-	sub.sent = e.ask()
+// sendSubmissionRequest sends the request of the submission's step.
+func (e *Engine) sendSubmissionRequest(sub *submission) {
+	sub.pendingID = e.correlationID()
 	switch sub.step {
-	case submitStore:
-		e.do(message.WriteObject{CorrelationID: sub.sent, Name: sub.digest, Body: sub.body, Timeout: platformTimeout})
-	case submitRead, submitVerify:
-		e.do(message.ReadRow{CorrelationID: sub.sent, Table: manifestTable, Key: manifestKey, Timeout: platformTimeout})
-	case submitWrite:
+	case submitStoreObject:
+		e.emit(message.WriteObject{CorrelationID: sub.pendingID, Name: sub.digest, Body: sub.body, Timeout: platformTimeout})
+	case submitReadRow, submitVerifyRow:
+		e.emit(message.ReadRow{CorrelationID: sub.pendingID, Table: manifestTable, Key: manifestKey, Timeout: platformTimeout})
+	case submitWriteRow:
 	}
 }
 
-// submitOf returns the submission that waits for the answer to a question.
-func (e *Engine) submitOf(ask uint64) (*submission, bool) {
-	for _, sub := range e.declared.submits {
-		if sub.sent == ask {
+// submissionByID returns the submission that waits for the response with this
+// correlation ID.
+func (e *Engine) submissionByID(correlationID uint64) (*submission, bool) {
+	for _, sub := range e.manifests.submissions {
+		if sub.pendingID == correlationID {
 			return sub, true
 		}
 	}
 	return nil, false
 }
 
-// again repeats the submission's step after a pause.
-func (sub *submission) again(now time.Time, pause time.Duration) {
-	sub.sent = 0
-	sub.next = now.Add(pause)
+// retryAfter retries the submission's step after a delay.
+func (sub *submission) retryAfter(now time.Time, delay time.Duration) {
+	sub.pendingID = 0
+	sub.nextAttempt = now.Add(delay)
 }
 
-// takeStored goes on once the body is stored. Storing it twice is harmless.
-func (e *Engine) takeStored(sub *submission, written message.ObjectWritten) {
-	sub.again(e.now, 0)
+// handleObjectStored continues once the body is stored. Storing it twice is
+// harmless.
+func (e *Engine) handleObjectStored(sub *submission, written message.ObjectWritten) {
+	sub.retryAfter(e.now, 0)
 	if written.Err != message.PlatformOK {
-		sub.next = e.now.Add(e.jitter(retryPause))
+		sub.nextAttempt = e.now.Add(e.jitter(retryPause))
 		return
 	}
-	sub.step = submitRead
-	e.sendSubmit(sub)
+	sub.step = submitReadRow
+	e.sendSubmissionRequest(sub)
 }
 
-// takeSubmitRow compares the row with what was reviewed and writes it, or, after
-// a lost answer, finds this submission's nonce in it.
-func (e *Engine) takeSubmitRow(sub *submission, read message.RowsRead) {
+// handleSubmissionRow compares the row with the manifest that the submission was
+// reviewed against and writes the new row. After a lost response it checks whether
+// the row holds this submission's nonce.
+func (e *Engine) handleSubmissionRow(sub *submission, read message.RowsRead) {
 	if read.Err != message.PlatformOK && read.Err != message.PlatformNotFound {
-		sub.again(e.now, e.jitter(retryPause))
+		sub.retryAfter(e.now, e.jitter(retryPause))
 		return
 	}
 	var row manifestRow
@@ -131,77 +137,80 @@
 		version = read.Rows[0].Version
 	}
 	if row.Nonce == sub.row.Nonce {
-		e.accept(sub)
+		e.acceptSubmission(sub)
 		return
 	}
-	if row.Number != sub.want {
-		e.conflict(sub, row.Number)
+	if row.Number != sub.expectedNumber {
+		e.rejectConflict(sub, row.Number)
 		return
 	}
-	sub.step = submitWrite
-	sub.sent = e.ask()
-	e.do(message.WriteRows{
-		CorrelationID: sub.sent,
+	sub.step = submitWriteRow
+	sub.pendingID = e.correlationID()
+	e.emit(message.WriteRows{
+		CorrelationID: sub.pendingID,
 		Rows:          []message.Row{{Table: manifestTable, Key: manifestKey, Version: version, Body: encode(sub.row)}},
 		Timeout:       platformTimeout,
 	})
 }
 
-// conflict ends a submission that was reviewed against another manifest. Where
-// an earlier write of it was lost, it may have been accepted and replaced since.
-func (e *Engine) conflict(sub *submission, number uint64) {
-	if sub.risked && number > sub.row.Number {
-		e.decide(sub, message.SubmitUnknown, number,
+// rejectConflict ends a submission that was reviewed against another manifest than
+// the accepted one. If the response to an earlier write of the submission was lost,
+// it may have been accepted and replaced since.
+func (e *Engine) rejectConflict(sub *submission, number uint64) {
+	if sub.writeUncertain && number > sub.row.Number {
+		e.finishSubmission(sub, message.SubmitUnknown, number,
 			fmt.Sprintf("the platform's answer was lost, and manifest %d is accepted since", number))
 		return
 	}
-	e.decide(sub, message.SubmitConflict, number,
-		fmt.Sprintf("reviewed against manifest %d, but manifest %d is accepted", sub.want, number))
+	e.finishSubmission(sub, message.SubmitConflict, number,
+		fmt.Sprintf("reviewed against manifest %d, but manifest %d is accepted", sub.expectedNumber, number))
 }
 
-// takeSubmitWrite ends a submission, or looks what became of it.
-func (e *Engine) takeSubmitWrite(sub *submission, written message.RowsWritten) {
+// handleSubmissionWrite ends a submission whose row is written, or reads the row
+// again to find out whether it is.
+func (e *Engine) handleSubmissionWrite(sub *submission, written message.RowsWritten) {
 	switch written.Err {
 	case message.PlatformOK:
-		e.accept(sub)
+		e.acceptSubmission(sub)
 	case message.PlatformUnknown:
-		sub.risked = true
-		sub.step = submitVerify
-		sub.again(e.now, 0)
+		sub.writeUncertain = true
+		sub.step = submitVerifyRow
+		sub.retryAfter(e.now, 0)
 	case message.PlatformConflict:
-		sub.step = submitVerify
-		sub.again(e.now, 0)
+		sub.step = submitVerifyRow
+		sub.retryAfter(e.now, 0)
 	case message.PlatformUnreachable, message.PlatformRefused, message.PlatformNotFound:
-		sub.step = submitRead
-		sub.again(e.now, e.jitter(retryPause))
+		sub.step = submitReadRow
+		sub.retryAfter(e.now, e.jitter(retryPause))
 	}
 }
 
-// accept ends a submission that the platform holds, and puts it in force here.
-func (e *Engine) accept(sub *submission) {
-	e.note(event.ManifestAccepted,
-		event.F("number", sub.row.Number), event.F("digest", sub.digest), event.F("who", sub.who))
-	e.decide(sub, message.SubmitOK, sub.row.Number, "")
-	e.adopt(sub.row.Number, sub.digest, sub.body, "submission")
+// acceptSubmission ends a submission that the platform holds and puts its manifest
+// in force here.
+func (e *Engine) acceptSubmission(sub *submission) {
+	e.logEvent(event.ManifestAccepted,
+		event.F("number", sub.row.Number), event.F("digest", sub.digest), event.F("who", sub.submitter))
+	e.finishSubmission(sub, message.SubmitOK, sub.row.Number, "")
+	e.adoptManifest(sub.row.Number, sub.digest, sub.body, "submission")
 }
 
-// decide answers the submitter.
-func (e *Engine) decide(sub *submission, err message.SubmitErr, number uint64, detail string) {
+// finishSubmission removes a submission and sends its result to the submitter.
+func (e *Engine) finishSubmission(sub *submission, err message.SubmitErr, number uint64, detail string) {
 	if err != message.SubmitOK {
-		e.note(event.ManifestDeclined,
-			event.F("expected", sub.want), event.F("number", number), event.F("why", err.String()), event.F("detail", detail))
+		e.logEvent(event.ManifestDeclined,
+			event.F("expected", sub.expectedNumber), event.F("number", number), event.F("why", err.String()), event.F("detail", detail))
 	}
-	kept := e.declared.submits[:0]
-	for _, other := range e.declared.submits {
+	remaining := e.manifests.submissions[:0]
+	for _, other := range e.manifests.submissions {
 		if other != sub {
-			kept = append(kept, other)
+			remaining = append(remaining, other)
 		}
 	}
-	e.declared.submits = kept
-	e.do(message.ManifestDecided{CorrelationID: sub.ask, Number: number, Err: err, Detail: detail})
+	e.manifests.submissions = remaining
+	e.emit(message.ManifestDecided{CorrelationID: sub.correlationID, Number: number, Err: err, Detail: detail})
 }
 
-// decodeManifestRow reads a row's body; one that can't be read counts as none.
+// decodeManifestRow decodes a row's body. It returns the zero row if that fails.
 func decodeManifestRow(body []byte) manifestRow {
 	var row manifestRow
 	if json.Unmarshal(body, &row) != nil {
@@ -210,7 +219,7 @@
 	return row
 }
 
-// decodeGroupRow reads a row's body; one that can't be read counts as none.
+// decodeGroupRow decodes a row's body. It returns the zero row if that fails.
 func decodeGroupRow(body []byte) groupRow {
 	var row groupRow
 	if json.Unmarshal(body, &row) != nil {
--- a/internal/core/engine/system_watch.go
+++ b/internal/core/engine/system_watch.go
@@ -9,168 +9,173 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// maxProbes bounds the status questions on their way to one database: one that
-// was sent before a read arrived, and one after it.
-const maxProbes = 2
+// maxPendingProbes bounds the pending probes of one database: one that was sent
+// before a read arrived, and one sent after it.
+const maxPendingProbes = 2
 
 // -----------------------------------------------------------------------------
-// Answers.
+// Responses.
 
-// takeStatus learns from the answer to a control question.
-func (e *Engine) takeStatus(answered message.ControlAnswered) {
+// handleControlAnswer handles the response to a control request.
+func (e *Engine) handleControlAnswer(answered message.ControlAnswered) {
 	d, found := e.databases[answered.Database]
 	if !found {
 		return
 	}
-	if answered.CorrelationID == d.awaiting {
-		d.awaiting = 0
-	} else if !e.takeStewardAnswer(d, answered) && d.probes > 0 {
-		d.probes--
+	if answered.CorrelationID == d.awaitID {
+		d.awaitID = 0
+	} else if !e.handleFailoverAnswer(d, answered) && d.pendingProbes > 0 {
+		d.pendingProbes--
 	}
 	if answered.Err != message.ControlOK && answered.Err != message.ControlConflict {
-		e.noteFailure(d, answered)
+		e.recordFailure(d, answered)
 		return
 	}
-	e.noteStatus(d, answered)
+	e.recordStatus(d, answered)
 }
 
-// noteFailure remembers since when a database has not answered.
-func (e *Engine) noteFailure(d *database, answered message.ControlAnswered) {
-	if answered.SentAt.Before(d.heard) {
+// recordFailure records since when a database has not responded.
+func (e *Engine) recordFailure(d *database, answered message.ControlAnswered) {
+	if answered.SentAt.Before(d.answeredAt) {
 		return
 	}
-	if d.failing.IsZero() {
-		d.failing = e.now
-		e.note(event.DatabaseUnreachable,
+	if d.failingSince.IsZero() {
+		d.failingSince = e.now
+		e.logEvent(event.DatabaseUnreachable,
 			event.F("group", d.group.name), event.F("database", d.name),
-			event.F("error", answered.Err.String()), event.F("silent", e.now.Sub(d.heard).String()))
+			event.F("error", answered.Err.String()), event.F("silent", e.now.Sub(d.answeredAt).String()))
 	}
 }
 
-// noteStatus takes in what a database says of itself. Answers that were asked
-// for earlier than the last one taken in are dropped, since they are older.
-func (e *Engine) noteStatus(d *database, answered message.ControlAnswered) {
-	if d.known && answered.SentAt.Before(d.asked) {
+// recordStatus records the status that a database has reported. A response to a
+// request that was sent before that of the last recorded status is dropped, since
+// it is older.
+func (e *Engine) recordStatus(d *database, answered message.ControlAnswered) {
+	if d.statusKnown && answered.SentAt.Before(d.statusAskedAt) {
 		return
 	}
 	status := answered.Status
-	if !d.known || !d.failing.IsZero() {
-		e.note(event.DatabaseReachable,
+	if !d.statusKnown || !d.failingSince.IsZero() {
+		e.logEvent(event.DatabaseReachable,
 			event.F("group", d.group.name), event.F("database", d.name), event.F("role", status.Role.String()),
 			event.F("term", status.Term), event.F("received", status.Received.String()))
 	}
 	if status.Leaving && !d.isLeaving() {
-		e.noteLeaving(d, "database")
+		e.reportLeaving(d, "database")
 	}
-	if answered.SentAt.After(d.hintedAt) {
-		d.hinted = false
+	if answered.SentAt.After(d.leavingHintAt) {
+		d.leavingHint = false
 	}
 	d.status = status
 	d.applied = status.Applied
-	d.known = true
-	d.asked = answered.SentAt
-	d.heard = e.now
-	d.failing = time.Time{}
+	d.statusKnown = true
+	d.statusAskedAt = answered.SentAt
+	d.answeredAt = e.now
+	d.failingSince = time.Time{}
 	e.adoptTerm(d)
-	d.group.refreshProof()
-	e.measureLag(d)
-	e.sampleGroup(d.group)
+	d.group.refreshConfirmation()
+	e.updateLag(d)
+	e.recordSample(d.group)
 }
 
-// noteLeaving logs that a database leaves and passes the word on.
-func (e *Engine) noteLeaving(d *database, source string) {
-	e.note(event.DatabaseLeaving,
+// reportLeaving logs that a database is leaving and broadcasts it if the database
+// itself has reported it.
+func (e *Engine) reportLeaving(d *database, source string) {
+	e.logEvent(event.DatabaseLeaving,
 		event.F("group", d.group.name), event.F("database", d.name), event.F("source", source))
 	if source == "database" {
-		e.tellPeers(message.DatabaseLeaving{Database: d.name, Leaving: true})
+		e.broadcast(message.DatabaseLeaving{Database: d.name, Leaving: true})
 	}
 }
 
-// adoptTerm follows a primary of a newer term.
+// adoptTerm adopts the term and primary of a database that is primary in a newer
+// term.
 func (e *Engine) adoptTerm(d *database) {
 	g := d.group
 	if d.status.Role != model.RolePrimary || d.status.Term <= g.term && g.primary != nil {
 		return
 	}
-	before := g.term
+	previousTerm := g.term
 	g.term = d.status.Term
 	g.primary = d
-	g.proven = model.Position{}
-	e.note(event.TermAdopted,
-		event.F("group", g.name), event.F("term", g.term), event.F("primary", d.name), event.F("before", before))
-	e.leaveTerm(g)
+	g.durable = model.Position{}
+	e.logEvent(event.TermAdopted,
+		event.F("group", g.name), event.F("term", g.term), event.F("primary", d.name), event.F("before", previousTerm))
+	e.endOlderAttempts(g)
 }
 
-// leaveTerm gives up the attempts that run under an older term: their answers
-// can't be proven any more.
-func (e *Engine) leaveTerm(g *group) {
+// endOlderAttempts closes the attempts that run under an older term and resolves
+// the commits of older terms, since their positions can't become durable any more.
+func (e *Engine) endOlderAttempts(g *group) {
 	for _, r := range sortedRequests(e.requests.byID) {
 		if r.group != g || r.term == 0 || r.term >= g.term {
 			continue
 		}
 		switch r.phase {
 		case phaseRunning:
-			e.drop(r)
-		case phaseProving, phaseSettled:
-			e.settle(r)
-		case phaseWaiting, phaseSettling:
+			e.closeAttempt(r)
+		case phaseAwaitingQuorum, phaseResolved:
+			e.startResolving(r)
+		case phaseWaiting, phaseResolving:
 		}
 	}
 }
 
-// drop tells the edge to give a running attempt up.
-func (e *Engine) drop(r *request) {
-	if r.dropped {
+// closeAttempt asks the edge to close the connection of a running attempt.
+func (e *Engine) closeAttempt(r *request) {
+	if r.closeRequested {
 		return
 	}
-	r.dropped = true
-	e.note(event.AttemptDropped,
+	r.closeRequested = true
+	e.logEvent(event.AttemptDropped,
 		event.F("request", r.id), event.F("attempt", r.attempt), event.F("group", r.group.name),
 		event.F("database", r.database.name), event.F("term", r.term))
-	e.do(message.CloseConnection{Request: r.id, Attempt: r.attempt})
+	e.emit(message.CloseConnection{Request: r.id, Attempt: r.attempt})
 }
 
-// sampleGroup keeps the proof that the latest answers give together.
-func (e *Engine) sampleGroup(g *group) {
-	if g.proof.IsZero() {
+// recordSample stores a sample of the position that the latest responses confirm
+// together.
+func (e *Engine) recordSample(g *group) {
+	if g.confirmedAt.IsZero() {
 		return
 	}
-	g.addSample(e.now, sample{at: g.proof, known: e.now, position: g.primary.status.Received})
+	g.addSample(e.now, sample{asOf: g.confirmedAt, observedAt: e.now, position: g.primary.status.Received})
 }
 
-// measureLag narrows the estimate of how long a replica takes to show a commit:
-// what it lacks gives a lower bound, what it shows an upper one.
-func (e *Engine) measureLag(d *database) {
+// updateLag refines the estimate of a replica's lag from the samples: the oldest
+// position that it has not applied gives a lower bound, the position that it has
+// applied an upper bound.
+func (e *Engine) updateLag(d *database) {
 	if d.status.Role == model.RolePrimary {
 		d.lag = 0
 		return
 	}
 	samples := d.group.samples
-	lacking := len(samples)
-	for lacking > 0 && d.applied.Less(samples[lacking-1].position) {
-		lacking--
+	appliedCount := len(samples)
+	for appliedCount > 0 && d.applied.Less(samples[appliedCount-1].position) {
+		appliedCount--
 	}
-	if lacking < len(samples) {
-		d.lag = max(d.lag, d.asked.Sub(samples[lacking].known))
+	if appliedCount < len(samples) {
+		d.lag = max(d.lag, d.statusAskedAt.Sub(samples[appliedCount].observedAt))
 		return
 	}
-	first := sort.Search(lacking, func(i int) bool { return !samples[i].position.Less(d.applied) })
-	if first < lacking && samples[first].position == d.applied {
-		d.lag = min(d.lag, e.now.Sub(samples[first].at))
+	shown := sort.Search(appliedCount, func(i int) bool { return !samples[i].position.Less(d.applied) })
+	if shown < appliedCount && samples[shown].position == d.applied {
+		d.lag = min(d.lag, e.now.Sub(samples[shown].asOf))
 	}
 }
 
-// smooth is an exponentially weighted mean.
+// smooth returns an exponentially weighted moving average.
 func smooth(mean, value time.Duration) time.Duration {
 	const weight = 4
 	return mean + (value-mean)/weight
 }
 
 // -----------------------------------------------------------------------------
-// Questions.
+// Probes.
 
-// runWatch asks databases for their status: regularly, and at once where a read
-// waits for a sample.
+// runWatch probes databases: at regular intervals, and at once if a read waits for
+// a sample.
 func (e *Engine) runWatch() {
 	for _, g := range e.groups {
 		for _, d := range g.databases {
@@ -181,29 +186,29 @@
 	}
 }
 
-// isProbeDue reports whether a database shall be asked for its status now.
+// isProbeDue reports whether a database must be probed now.
 func (e *Engine) isProbeDue(g *group, d *database) bool {
-	if d.probes >= maxProbes {
+	if d.pendingProbes >= maxPendingProbes {
 		return false
 	}
-	if e.now.Sub(d.lastProbe) >= probeInterval && d.probes == 0 {
+	if e.now.Sub(d.lastProbeAt) >= probeInterval && d.pendingProbes == 0 {
 		return true
 	}
-	// A question already sent after the read arrived serves it too.
-	return d.lastProbe.Before(g.wanting)
+	// A probe that was sent after the read arrived serves it too.
+	return d.lastProbeAt.Before(g.requiredSampleTime)
 }
 
-// probe asks a database for its status.
+// probe requests a database's status.
 func (e *Engine) probe(d *database) {
-	d.probes++
-	d.lastProbe = e.now
-	e.do(message.Probe{Database: d.name, CorrelationID: e.ask(), Timeout: probeTimeout})
+	d.pendingProbes++
+	d.lastProbeAt = e.now
+	e.emit(message.Probe{Database: d.name, CorrelationID: e.correlationID(), Timeout: probeTimeout})
 }
 
-// probeGroup asks all databases of a group that no question is on its way to.
+// probeGroup probes all databases of a group that have no pending probe.
 func (e *Engine) probeGroup(g *group) {
 	for _, d := range g.databases {
-		if d.probes == 0 {
+		if d.pendingProbes == 0 {
 			e.probe(d)
 		}
 	}
--- a/internal/core/engine/table_group.go
+++ b/internal/core/engine/table_group.go
@@ -12,205 +12,217 @@
 // -----------------------------------------------------------------------------
 // Databases.
 
-// database is what the instance believes of one database. Beliefs choose where
-// work goes; they prove nothing unless the comment of a function says so.
+// database is the last observed state of one database. It decides where requests
+// are sent. It is no evidence of the database's present state, unless the comment
+// of a function says so.
 type database struct {
 	name     model.DatabaseID
 	declared manifest.Database
 	group    *group
-	// status is the last answer, sent for at asked and arrived at heard.
-	status message.DatabaseStatus
-	known  bool
-	asked  time.Time
-	heard  time.Time
-	// failing is when the first of the unanswered probes since heard failed.
-	failing time.Time
-	// probes counts questions on their way; lastProbe is when the last was
-	// sent.
-	probes    int
-	lastProbe time.Time
-	// awaiting is the number of the Await on its way, or 0.
-	awaiting uint64
-	// applied is the newest state that the database is known to serve.
+	// status is the last response: its request was sent at statusAskedAt and it
+	// arrived at answeredAt. statusKnown reports that there was one.
+	status        message.DatabaseStatus
+	statusKnown   bool
+	statusAskedAt time.Time
+	answeredAt    time.Time
+	// failingSince is when the first of the failed probes since answeredAt failed,
+	// zero if none has.
+	failingSince time.Time
+	// pendingProbes counts the probes without a response; lastProbeAt is when the
+	// last was sent.
+	pendingProbes int
+	lastProbeAt   time.Time
+	// awaitID is the correlation ID of the pending AwaitPosition, or 0.
+	awaitID uint64
+	// applied is the newest position that the database is known to serve.
 	applied model.Position
-	// lag estimates how long the database takes to show a commit.
+	// lag estimates the time until a commit is visible at the database.
 	lag time.Duration
-	// latency estimates how long it takes to answer a statement.
+	// latency estimates the time that the database takes for a statement.
 	latency time.Duration
-	// running counts this instance's requests at the database.
-	running int
-	// repaired is when the database was last told whom to follow.
-	repaired time.Time
-	// following is the number of the Follow on its way, or 0.
-	following uint64
-	// hinted says that a peer has heard, by hintedAt, that the database is
-	// leaving. A later answer of the database itself replaces the hint.
-	hinted   bool
-	hintedAt time.Time
-	// unusable is the time before which no work goes to the database, after
-	// it could not be reached.
-	unusable time.Time
+	// runningRequests counts this instance's requests at the database.
+	runningRequests int
+	// repairedAt is when the database was last sent a Follow.
+	repairedAt time.Time
+	// followID is the correlation ID of the pending Follow, or 0.
+	followID uint64
+	// leavingHint reports that a peer has announced, at leavingHintAt, that the
+	// database is leaving. A later response of the database itself clears it.
+	leavingHint   bool
+	leavingHintAt time.Time
+	// unusableUntil is the time before which no request is sent to the database,
+	// after a connection to it could not be opened.
+	unusableUntil time.Time
 }
 
-// isLeaving reports whether the database shall receive no new work.
+// isLeaving reports whether the database is draining and must receive no new
+// requests.
 func (d *database) isLeaving() bool {
-	return d.declared.Leaving || d.status.Leaving || d.hinted
+	return d.declared.Leaving || d.status.Leaving || d.leavingHint
 }
 
-// isReachable reports whether the database has answered lately.
+// isReachable reports whether the database has responded recently.
 func (d *database) isReachable(now time.Time) bool {
-	return d.known && (d.failing.IsZero() || now.Sub(d.heard) < suspectAfter)
+	return d.statusKnown && (d.failingSince.IsZero() || now.Sub(d.answeredAt) < unreachableAfter)
 }
 
-// isUsable reports whether new work may go to the database.
+// isUsable reports whether new requests may be sent to the database.
 func (d *database) isUsable(now time.Time) bool {
-	return d.isReachable(now) && !d.isLeaving() && !now.Before(d.unusable)
+	return d.isReachable(now) && !d.isLeaving() && !now.Before(d.unusableUntil)
 }
 
-// inTerm reports whether the database last said that it is in the term.
-func (d *database) inTerm(term model.Term) bool { return d.known && d.status.Term == term }
+// inTerm reports whether the database's last status was in the term.
+func (d *database) inTerm(term model.Term) bool { return d.statusKnown && d.status.Term == term }
 
 // -----------------------------------------------------------------------------
 // Groups.
 
-// sample says that no state newer than position existed at the time at, under
-// the proof of a majority, and that position itself existed at the time known.
+// sample records that no state newer than position existed at the time asOf, as
+// confirmed by a majority, and that position itself existed at the time observedAt.
 type sample struct {
-	at       time.Time
-	known    time.Time
-	position model.Position
+	asOf       time.Time
+	observedAt time.Time
+	position   model.Position
 }
 
 // group is a set of databases that replicate one log.
 type group struct {
 	name      model.GroupID
 	databases []*database
-	// removed says that the manifest in force has the group no more; it stays
-	// until its open requests have ended.
+	// removed reports that the manifest in force does not contain the group. The
+	// group is kept until its open requests have ended.
 	removed bool
-	// term and primary are the newest reign that a database has reported.
+	// term is the newest term in which a database has reported to be primary, and
+	// primary is that database.
 	term    model.Term
 	primary *database
-	// proof is when the term was last proven, zero where it is not. It changes
-	// with what a database says only.
-	proof time.Time
-	// proven is the newest position of term that survives any promotion.
-	proven model.Position
+	// confirmedAt is when the term was last confirmed, or zero if it is not
+	// confirmed. It changes only when a database responds.
+	confirmedAt time.Time
+	// durable is the newest position of term that survives any promotion.
+	durable model.Position
 	// samples are ordered by time and by position.
 	samples []sample
-	// held and proving wait for a position to be proven, by request.
-	held    map[model.RequestID]*request
-	proving map[model.RequestID]*request
-	// wanting is the newest time that a waiting read wants a sample of.
-	wanting time.Time
-	steward stewardState
-	logbook []PromotionRecord
-	// logbookAsk and logbookAt are the last question for the records and its time.
-	logbookAsk uint64
-	logbookAt  time.Time
+	// held are the requests whose result is held until its position is durable;
+	// awaitingQuorum are those that are committed or resolved, at a position that
+	// is not yet durable.
+	held           map[model.RequestID]*request
+	awaitingQuorum map[model.RequestID]*request
+	// requiredSampleTime is the newest time of which a waiting read needs a sample.
+	requiredSampleTime time.Time
+	failover           failoverState
+	logbook            []PromotionRecord
+	// logbookReadID is the correlation ID of the pending read of the logbook, or 0;
+	// logbookReadAt is when the last read was sent.
+	logbookReadID uint64
+	logbookReadAt time.Time
 }
 
 func newGroup(name model.GroupID) *group {
 	return &group{
-		name:    name,
-		held:    map[model.RequestID]*request{},
-		proving: map[model.RequestID]*request{},
+		name:           name,
+		held:           map[model.RequestID]*request{},
+		awaitingQuorum: map[model.RequestID]*request{},
 	}
 }
 
-// majority is the number of databases that any two majorities share one of.
+// majority returns the size of a majority: any two majorities of the group share a
+// database.
 func (g *group) majority() int { return len(g.databases)/2 + 1 }
 
-// refreshProof works out the proof of the term after a database has answered.
-func (g *group) refreshProof() { g.proof, _ = g.provenAt() }
+// refreshConfirmation recomputes confirmedAt after a database has responded.
+func (g *group) refreshConfirmation() { g.confirmedAt, _ = g.confirmationTime() }
 
-// provenAt returns the time at which the term was last proven: the primary and
-// enough others have answered, in the term, a question sent at that time or
-// later. It is a proof: no later term had acknowledged anything at that time.
-func (g *group) provenAt() (time.Time, bool) {
+// confirmationTime returns the time at which the term was last confirmed, and false
+// if it is not confirmed. It is the latest time for which the primary and enough
+// replicas to form a majority have responded, in the term, to a request sent at
+// that time or later. No later term can have acknowledged anything at that time.
+func (g *group) confirmationTime() (time.Time, bool) {
 	if g.primary == nil || !g.primary.inTerm(g.term) || g.primary.status.Role != model.RolePrimary {
 		return time.Time{}, false
 	}
-	times := make([]time.Time, 0, len(g.databases))
+	askedTimes := make([]time.Time, 0, len(g.databases))
 	for _, d := range g.databases {
 		if d != g.primary && d.inTerm(g.term) {
-			times = append(times, d.asked)
+			askedTimes = append(askedTimes, d.statusAskedAt)
 		}
 	}
-	others := g.majority() - 1
-	if len(times) < others {
+	requiredReplicas := g.majority() - 1
+	if len(askedTimes) < requiredReplicas {
 		return time.Time{}, false
 	}
-	sort.Slice(times, func(i, j int) bool { return times[i].After(times[j]) })
-	proof := g.primary.asked
-	if others > 0 && times[others-1].Before(proof) {
-		proof = times[others-1]
+	sort.Slice(askedTimes, func(i, j int) bool { return askedTimes[i].After(askedTimes[j]) })
+	confirmedAt := g.primary.statusAskedAt
+	if requiredReplicas > 0 && askedTimes[requiredReplicas-1].Before(confirmedAt) {
+		confirmedAt = askedTimes[requiredReplicas-1]
 	}
-	return proof, true
+	return confirmedAt, true
 }
 
-// isProven reports whether the proof of the term is fresh enough to send work
-// under it.
-func (g *group) isProven(now time.Time) bool {
-	return !g.proof.IsZero() && now.Sub(g.proof) <= proofAge
+// isTermConfirmed reports whether the confirmation of the term is recent enough to
+// send requests under it.
+func (g *group) isTermConfirmed(now time.Time) bool {
+	return !g.confirmedAt.IsZero() && now.Sub(g.confirmedAt) <= maxConfirmationAge
 }
 
-// provenPosition returns the newest position of the term that a majority holds.
-// Only entries of the term itself count, since an entry of the term implies
-// that the log before it is the primary's.
-func (g *group) provenPosition() model.Position {
+// majorityPosition returns the newest position of the term that a majority holds.
+// Only positions in the term itself count, since an entry of the term implies that
+// the log before it is the primary's.
+func (g *group) majorityPosition() model.Position {
 	if g.primary == nil || !g.primary.inTerm(g.term) {
 		return model.Position{}
 	}
-	held := make([]model.Position, 0, len(g.databases))
+	received := make([]model.Position, 0, len(g.databases))
 	for _, d := range g.databases {
 		if d.inTerm(g.term) && d.status.Received.Term == g.term {
-			held = append(held, d.status.Received)
+			received = append(received, d.status.Received)
 		}
 	}
-	if len(held) < g.majority() {
+	if len(received) < g.majority() {
 		return model.Position{}
 	}
-	sort.Slice(held, func(i, j int) bool { return held[j].Less(held[i]) })
-	return held[g.majority()-1]
+	sort.Slice(received, func(i, j int) bool { return received[j].Less(received[i]) })
+	return received[g.majority()-1]
 }
 
-// isPositionProven reports whether a state at position, as answered in the
-// current term, survives any promotion. The place before the first entry holds
+// isDurable reports whether a state at position, as reported in the current term,
+// survives any promotion. The zero position is before the first entry and so has
 // nothing that could be lost.
-func (g *group) isPositionProven(position model.Position) bool {
+func (g *group) isDurable(position model.Position) bool {
 	if position.IsZero() {
 		return true
 	}
-	return position.Term == g.proven.Term && !g.proven.Less(position)
+	return position.Term == g.durable.Term && !g.durable.Less(position)
 }
 
-// addSample keeps a sample of the primary's newest position.
+// addSample stores a sample of the primary's newest position and removes samples
+// older than maxSampleAge. It extends the last sample instead if that is recent and
+// has the same position.
 func (g *group) addSample(now time.Time, s sample) {
 	if count := len(g.samples); count > 0 {
 		last := &g.samples[count-1]
-		if !last.at.Before(s.at) {
+		if !last.asOf.Before(s.asOf) {
 			return
 		}
-		if count > 1 && s.at.Sub(g.samples[count-2].at) < sampleSpacing && last.position == s.position {
-			last.at = s.at
+		if count > 1 && s.asOf.Sub(g.samples[count-2].asOf) < minSampleSpacing && last.position == s.position {
+			last.asOf = s.asOf
 			return
 		}
 	}
 	g.samples = append(g.samples, s)
-	old := 0
-	for old < len(g.samples)-1 && now.Sub(g.samples[old].at) > sampleAge {
-		old++
+	expired := 0
+	for expired < len(g.samples)-1 && now.Sub(g.samples[expired].asOf) > maxSampleAge {
+		expired++
 	}
-	if old > len(g.samples)/2 {
-		g.samples = append(g.samples[:0], g.samples[old:]...)
+	if expired > len(g.samples)/2 {
+		g.samples = append(g.samples[:0], g.samples[expired:]...)
 	}
 }
 
-// sampleSince returns the oldest sample that is not older than since: a state
-// at its position shows everything that was acknowledged before since.
+// sampleSince returns the oldest sample that is not older than since: a state at
+// its position includes everything that was acknowledged before since.
 func (g *group) sampleSince(since time.Time) (sample, bool) {
-	i := sort.Search(len(g.samples), func(i int) bool { return !g.samples[i].at.Before(since) })
+	i := sort.Search(len(g.samples), func(i int) bool { return !g.samples[i].asOf.Before(since) })
 	if i == len(g.samples) {
 		return sample{}, false
 	}
--- a/internal/core/engine/table_instance.go
+++ b/internal/core/engine/table_instance.go
@@ -8,76 +8,77 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// instance is what is known of another instance.
+// instance is the last known state of another instance.
 type instance struct {
-	id   model.InstanceID
-	zone model.ZoneID
-	peer netip.AddrPort
-	// heard is when its last heartbeat came; alive says that this was lately.
-	heard   time.Time
-	alive   bool
-	leaving bool
-	// listed says that the platform's list has it; the list lags and proves
-	// nothing.
+	id          model.InstanceID
+	zone        model.ZoneID
+	peerAddress netip.AddrPort
+	// lastHeartbeat is when its last heartbeat arrived; alive reports that this was
+	// recent.
+	lastHeartbeat time.Time
+	alive         bool
+	leaving       bool
+	// listed reports that the platform's list contains the instance. The list lags,
+	// so this is a hint only.
 	listed bool
-	// manifest is the number of the manifest in force there.
+	// manifest is the number of the manifest in force at the instance.
 	manifest uint64
-	// told is when this instance last sent it a heartbeat.
-	told time.Time
+	// heartbeatSentAt is when this instance last sent it a heartbeat.
+	heartbeatSentAt time.Time
 }
 
 // instanceTable holds the other instances.
 type instanceTable struct {
 	byID map[model.InstanceID]*instance
-	// order holds the same in the order of their names, or nothing where that
-	// has to be worked out again.
-	order []*instance
-	// changed says that the set of links or of live instances may differ from
-	// what was last published.
-	changed  bool
-	sequence uint64
-	listAsk  uint64
-	listAt   time.Time
+	// ordered holds the same instances in the order of their IDs, or nil if it must
+	// be rebuilt.
+	ordered []*instance
+	// linksChanged reports that the set of links or of live instances may differ
+	// from what was last published.
+	linksChanged      bool
+	heartbeatSequence uint64
+	listRequestID     uint64
+	nextListRead      time.Time
 }
 
 func newInstanceTable() instanceTable {
-	return instanceTable{byID: map[model.InstanceID]*instance{}, changed: true}
+	return instanceTable{byID: map[model.InstanceID]*instance{}, linksChanged: true}
 }
 
-// get returns the entry of an instance, made where there is none.
+// get returns the entry of an instance and creates it if there is none.
 func (t *instanceTable) get(id model.InstanceID) *instance {
 	entry, found := t.byID[id]
 	if !found {
 		entry = &instance{id: id}
 		t.byID[id] = entry
-		t.order = nil
-		t.changed = true
+		t.ordered = nil
+		t.linksChanged = true
 	}
 	return entry
 }
 
-// remove forgets an instance. A list that sorted has returned stays as it is.
+// remove deletes an instance. A slice that sorted returned earlier is not changed.
 func (t *instanceTable) remove(id model.InstanceID) {
 	delete(t.byID, id)
-	t.order = nil
-	t.changed = true
+	t.ordered = nil
+	t.linksChanged = true
 }
 
-// sorted returns the instances in the order of their names. The list must not
-// be changed.
+// sorted returns the instances in the order of their IDs. The caller must not
+// change the slice.
 func (t *instanceTable) sorted() []*instance {
-	if t.order != nil {
-		return t.order
+	if t.ordered != nil {
+		return t.ordered
 	}
-	t.order = make([]*instance, 0, len(t.byID))
+	t.ordered = make([]*instance, 0, len(t.byID))
 	for _, entry := range t.byID {
-		t.order = append(t.order, entry)
+		t.ordered = append(t.ordered, entry)
 	}
-	sort.Slice(t.order, func(i, j int) bool { return t.order[i].id < t.order[j].id })
-	return t.order
+	sort.Slice(t.ordered, func(i, j int) bool { return t.ordered[i].id < t.ordered[j].id })
+	return t.ordered
 }
 
-// alive returns the names of the live instances that stay, without this one.
+// alive returns the IDs of the other instances that are alive and not leaving.
 func (t *instanceTable) alive() []model.InstanceID {
 	var names []model.InstanceID
 	for _, entry := range t.sorted() {
