--- a/internal/core/engine/table_manifest.go
+++ b/internal/core/engine/table_manifest.go
@@ -7,32 +7,34 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// manifestRow is the body of the manifest's row: which object is current.
+// manifestRow is the body of the manifest's row at the platform. It names the
+// current manifest object.
 type manifestRow struct {
-	Number uint64           `json:"number"`
-	Digest string           `json:"digest"`
-	Nonce  model.Nonce      `json:"nonce"`
-	Who    string           `json:"who"`
-	At     time.Time        `json:"at"`
-	By     model.InstanceID `json:"by"`
+	Number      uint64           `json:"number"`
+	Digest      string           `json:"digest"`
+	Nonce       model.Nonce      `json:"nonce"`
+	SubmittedBy string           `json:"who"`
+	SubmittedAt time.Time        `json:"at"`
+	WrittenBy   model.InstanceID `json:"by"`
 }
 
-// manifestState is the manifest in force and what is under way to a newer one.
+// manifestState holds the manifest in force and the requests for a newer one.
 type manifestState struct {
 	number  uint64
 	digest  string
 	body    []byte
 	current *manifest.Manifest
-	// rowAsk and objectAsk are the questions on their way; wanted is the row
-	// whose object is being read.
-	rowAsk    uint64
-	objectAsk uint64
-	wanted    manifestRow
-	nextRead  time.Time
-	submits   []*submission
+	// rowReadID and objectReadID are the correlation IDs of the pending reads, or
+	// 0; pendingRow is the row whose object is being read.
+	rowReadID    uint64
+	objectReadID uint64
+	pendingRow   manifestRow
+	nextRead     time.Time
+	submissions  []*submission
 }
 
-// kind returns the kind of work of that name. No name means the default.
+// kind returns the request kind of that name, and false if there is none. An empty
+// name means the default kind.
 func (s *manifestState) kind(name string) (manifest.RequestKind, bool) {
 	if name == "" {
 		name = defaultKind
@@ -51,14 +53,14 @@
 	return manifest.RequestKind{}, false
 }
 
-// target returns the time within which a rank's answers are worth their full
+// latencyTarget returns the time within which a response of the rank has its full
 // value.
-func (s *manifestState) target(rank model.Rank) time.Duration {
+func (s *manifestState) latencyTarget(rank model.Rank) time.Duration {
 	if s.current == nil || int(rank) >= len(s.current.Ranks) {
 		return defaultDeadline
 	}
 	return s.current.Ranks[rank].LatencyTarget
 }
 
-// defaultDeadline is the deadline of work that names no kind.
+// defaultDeadline is the deadline of requests that name no kind.
 const defaultDeadline = 10 * time.Second
--- a/internal/core/engine/table_request.go
+++ b/internal/core/engine/table_request.go
@@ -15,84 +15,88 @@
 // session is one caller's connection.
 type session struct {
 	id model.SessionID
-	// name is the group that the caller named; group is its entry, or nil
-	// where the manifest in force has none.
+	// name is the group that the caller named; group is its entry, or nil if the
+	// manifest in force does not contain it.
 	name   model.GroupID
 	group  *group
 	caller model.CallerID
-	// written covers what the session has written; seen covers that and what it
-	// has read. Reads that bear data of a stated age need not show all that the
-	// session has read before.
-	written, seen floor
-	// anchored says that written covers all that the caller wrote before it
-	// connected: it handed a token, or a barrier has been passed.
-	anchored bool
-	roaming  bool
-	// requests are the session's open ones; nil while there is none, so that an
-	// idle session is small.
+	// written is the position of the session's own writes; observed is that of its
+	// writes and reads. A read with a staleness bound need not show everything that
+	// the session has read before.
+	written, observed minPosition
+	// writesKnown reports that written includes everything that the caller wrote
+	// before it connected: the caller passed a token, or a barrier has been
+	// reached.
+	writesKnown     bool
+	multiConnection bool
+	// requests are the session's open requests, or nil if there are none, so that
+	// an idle session uses little memory.
 	requests map[model.RequestID]*request
 }
 
-// floor is the oldest state that a read may show, known to exist since at.
-type floor struct {
+// minPosition is the oldest state that a read may show. It is known to exist as of
+// the time asOf.
+type minPosition struct {
 	position model.Position
-	at       time.Time
+	asOf     time.Time
 }
 
-// raise moves the floor up to position.
-func (f *floor) raise(position model.Position, at time.Time) {
+// raise sets the minimum to position if that is newer.
+func (f *minPosition) raise(position model.Position, asOf time.Time) {
 	if f.position.Less(position) {
 		f.position = position
-		f.at = at
+		f.asOf = asOf
 	}
 }
 
-// wrote raises both floors: position covers a write of the session.
-func (s *session) wrote(position model.Position, at time.Time) {
-	s.written.raise(position, at)
-	s.seen.raise(position, at)
+// recordWrite raises both minimums to the position of a write of the session.
+func (s *session) recordWrite(position model.Position, asOf time.Time) {
+	s.written.raise(position, asOf)
+	s.observed.raise(position, asOf)
 }
 
-// floor returns the floor for a read: of what the session has written where the
-// read bears data of a stated age, else of all that it has seen.
-func (r *request) floor() floor {
-	if r.kind.HasStalenessBound && r.kind.MaxStaleness >= barrierBound {
+// minPosition returns the minimum position for a read: that of the session's writes
+// if the read has a staleness bound of at least barrierThreshold, else that of
+// everything that the session has observed.
+func (r *request) minPosition() minPosition {
+	if r.kind.HasStalenessBound && r.kind.MaxStaleness >= barrierThreshold {
 		return r.session.written
 	}
-	return r.session.seen
+	return r.session.observed
 }
 
 // -----------------------------------------------------------------------------
 // Requests.
 
-// phase tells how far a request has come.
+// phase is the state of a request.
 type phase int
 
 const (
-	// phaseWaiting: in the scheduler's queue.
+	// phaseWaiting means that the request is in the scheduler's queue.
 	phaseWaiting phase = iota
-	// phaseRunning: dispatched to a database.
+	// phaseRunning means that the request has been dispatched to a database.
 	phaseRunning
-	// phaseProving: committed; the position is not proven yet.
-	phaseProving
-	// phaseSettling: whether it was committed is not known.
-	phaseSettling
-	// phaseSettled: the group has said what became of it; the position of
-	// that answer is not proven yet.
-	phaseSettled
+	// phaseAwaitingQuorum means that the request is committed at a position that is
+	// not yet durable.
+	phaseAwaitingQuorum
+	// phaseResolving means that the outcome of the commit is in doubt.
+	phaseResolving
+	// phaseResolved means that the group has reported the outcome of the commit, at
+	// a position that is not yet durable.
+	phaseResolved
 )
 
-// request is one unit of work of a session.
+// request is one request of a session.
 type request struct {
-	id      model.RequestID
-	session *session
-	group   *group
-	kind    manifest.RequestKind
-	target  time.Duration
-	// key is the idempotency key of the current attempt; ownKey says that the
+	id            model.RequestID
+	session       *session
+	group         *group
+	kind          manifest.RequestKind
+	latencyTarget time.Duration
+	// key is the idempotency key of the current attempt; callerKey reports that the
 	// caller chose it.
 	key         string
-	ownKey      bool
+	callerKey   bool
 	transaction bool
 	token       model.Position
 	arrived     time.Time
@@ -102,52 +106,56 @@
 	// database and term are those of the current attempt.
 	database *database
 	term     model.Term
-	// dropped says that the edge was told to give the attempt up.
-	dropped bool
-	// minimum is the oldest state that the attempt may show, known to exist
+	// closeRequested reports that the edge has been asked to close the connection
+	// of the attempt.
+	closeRequested bool
+	// minimum is the oldest state that the attempt may show. It is known to exist
 	// since minimumAt.
 	minimum   model.Position
 	minimumAt time.Time
-	// given is the token that the answer brings the caller after a barrier.
-	given model.Token
-	// behind counts answers of replicas that lagged too far.
-	behind int
-	// position is that of the held answer, of the commit, or of the settling
-	// answer, as the phase goes on.
+	// barrierToken is the token that the response carries to the caller after a
+	// barrier.
+	barrierToken model.Token
+	// behindAnswers counts the responses of replicas that were behind the minimum.
+	behindAnswers int
+	// position is that of the held result, of the commit, or of the response that
+	// resolved the commit, depending on the phase.
 	position model.Position
-	// answered says that the edge holds the whole answer of the commit.
-	answered bool
-	// committed is what the group said became of the key.
+	// answerComplete reports that the edge holds the complete response to the
+	// commit.
+	answerComplete bool
+	// committed is the resolved outcome of the commit.
 	committed bool
-	settleAsk uint64
-	settleAt  time.Time
-	// why tells what the request last waited for.
-	why message.RefusalReason
+	resolveID uint64
+	resolveAt time.Time
+	// waitReason is what the request last waited for.
+	waitReason message.RefusalReason
 	// notBefore delays the next attempt.
 	notBefore time.Time
 }
 
-// isRead reports whether any database that is fresh enough may serve r.
+// isRead reports whether r may be served by any database that is fresh enough.
 func (r *request) isRead() bool { return r.kind.Access == model.AccessRead }
 
-// requestTable holds the requests and the order of those that have no answer
-// from the group yet.
+// requestTable holds the open requests: all of them by ID, those with an in-doubt
+// commit, and those by the correlation ID of the pending request that resolves the
+// commit.
 type requestTable struct {
-	byID     map[model.RequestID]*request
-	settling map[model.RequestID]*request
-	bySettle map[uint64]*request
+	byID        map[model.RequestID]*request
+	inDoubt     map[model.RequestID]*request
+	byResolveID map[uint64]*request
 }
 
 func newRequestTable() *requestTable {
 	return &requestTable{
-		byID:     map[model.RequestID]*request{},
-		settling: map[model.RequestID]*request{},
-		bySettle: map[uint64]*request{},
+		byID:        map[model.RequestID]*request{},
+		inDoubt:     map[model.RequestID]*request{},
+		byResolveID: map[uint64]*request{},
 	}
 }
 
-// sortedRequests returns the requests of a table in the order of their
-// numbers, so that decisions do not depend on the order of a map.
+// sortedRequests returns the requests of a table in the order of their IDs, so that
+// decisions do not depend on the iteration order of a map.
 func sortedRequests(table map[model.RequestID]*request) []*request {
 	list := make([]*request, 0, len(table))
 	for _, r := range table {
--- a/internal/core/engine/table_steward.go
+++ b/internal/core/engine/table_steward.go
@@ -8,7 +8,7 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// Tables and keys of the platform's table service.
+// These are tables and keys of the platform's table service.
 const (
 	groupTable    = "groups"
 	logbookTable  = "logbook"
@@ -16,119 +16,124 @@
 	manifestKey   = "current"
 )
 
-// rowPhase tells how far a change of primary has come.
+// rowPhase is the state of a failover as stored in the group's row.
 type rowPhase string
 
 const (
-	// rowClaimed: an instance conducts a change under the row's term.
+	// rowClaimed means that the instance named in the row conducts a failover under
+	// the row's term.
 	rowClaimed rowPhase = "claimed"
-	// rowPromoted: the row's primary reigns.
+	// rowPromoted means that the row's database is primary in the row's term.
 	rowPromoted rowPhase = "promoted"
 )
 
 // groupRow is the body of a group's row. It is changed by compare-and-set only.
 type groupRow struct {
-	Term    model.Term       `json:"term"`
-	Phase   rowPhase         `json:"phase"`
-	Primary model.DatabaseID `json:"primary"`
-	Steward model.InstanceID `json:"steward"`
-	Nonce   model.Nonce      `json:"nonce"`
-	Reason  string           `json:"reason"`
+	Term        model.Term       `json:"term"`
+	Phase       rowPhase         `json:"phase"`
+	Primary     model.DatabaseID `json:"primary"`
+	Coordinator model.InstanceID `json:"steward"`
+	Nonce       model.Nonce      `json:"nonce"`
+	Reason      string           `json:"reason"`
 }
 
-// PromotionRecord is one entry of a group's logbook: who was made primary, by whom, when
-// and on what evidence.
+// PromotionRecord is one entry of a group's logbook: which database became primary,
+// which instance coordinated it, when, and on what evidence.
 type PromotionRecord struct {
 	Group model.GroupID `json:"group"`
 	Term  model.Term    `json:"term"`
-	// PreviousPrimary is the primary that was replaced, where one was known.
+	// PreviousPrimary is the primary that was replaced, or empty if none was known.
 	PreviousPrimary model.DatabaseID `json:"before,omitempty"`
 	Primary         model.DatabaseID `json:"primary"`
 	Coordinator     model.InstanceID `json:"steward"`
 	Reason          string           `json:"reason"`
-	// Evidence lists what spoke against the primary that was replaced.
+	// Evidence lists the observations that led to the replacement of the primary.
 	Evidence []string `json:"evidence,omitempty"`
-	// FencedDatabases lists the databases that refused the older term before the
-	// promotion, with the positions that they held.
+	// FencedDatabases lists the databases that were fenced against older terms
+	// before the promotion, with the positions that they held.
 	FencedDatabases []FencedDatabase `json:"fenced,omitempty"`
-	// Position is that of the promoted database's log at its promotion.
+	// Position is the newest position of the promoted database's log at its
+	// promotion.
 	Position string `json:"position"`
-	// SuspectedAt, Claimed and Promoted are times of the conducting instance's
-	// clock.
+	// SuspectedAt, ClaimedAt and PromotedAt are times of the coordinator's clock.
 	SuspectedAt time.Time `json:"suspected"`
 	ClaimedAt   time.Time `json:"claimed"`
 	PromotedAt  time.Time `json:"promoted"`
 }
 
-// FencedDatabase is one database of Record.Fenced.
+// FencedDatabase is one entry of PromotionRecord.FencedDatabases.
 type FencedDatabase struct {
 	Database model.DatabaseID `json:"database"`
 	Position string           `json:"position"`
 }
 
-// conduct tells what the steward does next.
-type conduct int
+// failoverStep is the current step of a failover.
+type failoverStep int
 
 const (
-	// conductNone: nothing is being changed.
-	conductNone conduct = iota
-	// conductRead: the row is being read.
-	conductRead
-	// conductClaim: the claim is being written.
-	conductClaim
-	// conductFence: databases are being fenced.
-	conductFence
-	// conductPromote: the chosen database is being promoted.
-	conductPromote
-	// conductRecord: the row and the logbook are being written.
-	conductRecord
+	// failoverIdle means that no failover is running here.
+	failoverIdle failoverStep = iota
+	// failoverReadRow means that the group's row is being read.
+	failoverReadRow
+	// failoverClaim means that the claim is being written.
+	failoverClaim
+	// failoverFence means that databases are being fenced.
+	failoverFence
+	// failoverPromote means that the chosen database is being promoted.
+	failoverPromote
+	// failoverRecord means that the row and the logbook are being written.
+	failoverRecord
 )
 
-// String names c for log lines.
-func (c conduct) String() string {
+// String returns the name of the step in log events and status reports.
+func (c failoverStep) String() string {
 	return [...]string{"none", "read", "claim", "fence", "promote", "record"}[c]
 }
 
-// stewardState is what an instance knows and does about changes of primary in
-// one group.
-type stewardState struct {
-	step conduct
-	// row and version are the row as last read; found says that it exists.
-	row     groupRow
-	version string
-	found   bool
-	// seen is when the row was first read at version.
-	seen time.Time
-	// ask is the question on its way to the platform or the chosen database.
-	ask uint64
-	// unsure says that the answer to a write was lost; the row tells.
-	unsure bool
-	// resume is the step at which the change goes on after the row was read.
-	resume conduct
-	// notBefore delays the next try of a step.
+// failoverState is the state of failure detection and failover for one group.
+type failoverState struct {
+	step failoverStep
+	// row and rowVersion are the group's row as last read; rowExists reports that
+	// there is one.
+	row        groupRow
+	rowVersion string
+	rowExists  bool
+	// rowUnchangedSince is when the row was first read at rowVersion.
+	rowUnchangedSince time.Time
+	// correlationID is that of the pending request to the platform or to the chosen
+	// database, or 0.
+	correlationID uint64
+	// writeUncertain reports that the response to a write was lost, so that the row
+	// must be read to find out whether the write took effect.
+	writeUncertain bool
+	// resumeStep is the step at which the failover continues after the row was
+	// read.
+	resumeStep failoverStep
+	// notBefore delays the next attempt of a step.
 	notBefore time.Time
-	// suspected is since when the evidence stands; lost since when the
-	// replicas report the loss of their streams.
-	suspected time.Time
-	lost      time.Time
-	evidence  []string
-	reason    string
-	// claimed is when the claim was known to hold, under claim.
-	claimed time.Time
-	claim   groupRow
-	before  model.DatabaseID
-	// fences are the databases asked to fence, by question; fenced those that
-	// have, with their status.
-	fences map[uint64]*database
-	fenced map[model.DatabaseID]message.DatabaseStatus
-	chosen *database
-	record PromotionRecord
-	// checked is when the row was last read while nothing was to be done.
-	checked time.Time
-	noted   string
+	// suspectedAt is when the primary became suspected, zero if it is not;
+	// evidenceSince is since when there is evidence against it.
+	suspectedAt   time.Time
+	evidenceSince time.Time
+	evidence      []string
+	reason        string
+	// claimedAt is when the claim, whose row is claim, was known to be written.
+	claimedAt       time.Time
+	claim           groupRow
+	previousPrimary model.DatabaseID
+	// pendingFences are the databases with a pending Fence, by its correlation ID;
+	// fenced are the fenced databases with their status.
+	pendingFences map[uint64]*database
+	fenced        map[model.DatabaseID]message.DatabaseStatus
+	chosen        *database
+	record        PromotionRecord
+	// rowCheckedAt is when the row was last read; loggedReason is the last reason
+	// that was logged for a delayed step.
+	rowCheckedAt time.Time
+	loggedReason string
 }
 
-// encode returns a value's JSON form. The types of this file always have one.
+// encode returns a value's JSON form. Encoding the types of this file can't fail.
 func encode(value any) []byte {
 	body, err := json.Marshal(value)
 	if err != nil {
