--- a/internal/core/engine/bench_idle_test.go
+++ b/internal/core/engine/bench_idle_test.go
@@ -13,10 +13,10 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// BenchmarkIdle measures one tick of a core that serves nothing, by the number
-// of instances in the platform's list and of groups in the manifest. Each
-// question to a database is answered at the next tick. The state's memory is
-// reported too.
+// BenchmarkIdle measures one step of an engine without requests, by the number of
+// instances in the platform's list and of groups in the manifest. Each request to a
+// database is answered in the next step. It also reports the memory of the engine's
+// state and the number of probes.
 func BenchmarkIdle(b *testing.B) {
 	sizes := []struct{ instances, groups int }{
 		{0, 1},
@@ -30,14 +30,14 @@
 	}
 	for _, size := range sizes {
 		b.Run(fmt.Sprintf("%d-%d", size.instances, size.groups), func(b *testing.B) {
-			before := heapInUse()
-			f := newIdleCore(size.instances, size.groups)
+			heapBefore := heapInUse()
+			f := newIdleEngine(size.instances, size.groups)
 			b.ResetTimer()
 			for range b.N {
 				f.tick(tick)
 			}
 			b.StopTimer()
-			b.ReportMetric(float64(heapInUse()-before), "state-bytes")
+			b.ReportMetric(float64(heapInUse()-heapBefore), "state-bytes")
 			b.ReportMetric(float64(f.probes)/float64(b.N), "probes/op")
 			runtime.KeepAlive(f)
 		})
@@ -51,8 +51,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// idleCore is a core behind which databases and the platform answer at once.
-type idleCore struct {
+// idleEngine is an engine whose databases and platform respond at once.
+type idleEngine struct {
 	engine *engine.Engine
 	now    time.Time
 	events []message.Event
@@ -60,10 +60,10 @@
 	probes int
 }
 
-// newIdleCore returns a core that has a manifest, the platform's list and the
-// first answers of all databases.
-func newIdleCore(instances, groups int) *idleCore {
-	f := &idleCore{
+// newIdleEngine returns an engine that has a manifest, the platform's list of
+// instances and samples of all groups.
+func newIdleEngine(instances, groups int) *idleEngine {
+	f := &idleEngine{
 		engine: engine.NewEngine(engine.Options{
 			Instance: "i0", Zone: "z1", PeerAddress: netip.MustParseAddrPort("10.1.0.1:7400"), StartID: "1",
 		}),
@@ -86,7 +86,7 @@
 	f.events = append(f.events, message.PeerMessageReceived{From: "i1", Body: message.ManifestOffer{
 		Number: 1, Digest: manifest.Digest(body), Body: body,
 	}})
-	// The samples of a minute are kept.
+	// The engine keeps the samples of one minute, so the warm-up lasts longer.
 	const warmTicks, warmStep = 260, 250 * time.Millisecond
 	for range warmTicks {
 		f.tick(warmStep)
@@ -95,9 +95,10 @@
 	return f
 }
 
-// tick runs one step, some time after the last, and answers what the core asks.
-func (f *idleCore) tick(after time.Duration) {
-	f.now = f.now.Add(after)
+// tick runs one step at the given time after the last one and queues the responses
+// to its requests.
+func (f *idleEngine) tick(elapsed time.Duration) {
+	f.now = f.now.Add(elapsed)
 	actions := f.engine.Step(f.now, f.events)
 	f.events = f.events[:0]
 	for _, action := range actions {
@@ -115,11 +116,11 @@
 	}
 }
 
-// idleStatus is what a database of a healthy group answers: the first of each
-// is the primary.
+// idleStatus returns the status of a database of a healthy group: the first
+// database of each group is its primary.
 func idleStatus(name model.DatabaseID) message.DatabaseStatus {
-	at := model.Position{Term: 1, Offset: 1}
-	status := message.DatabaseStatus{Role: model.RoleReplica, Term: 1, Received: at, Applied: at, Streaming: true}
+	position := model.Position{Term: 1, Offset: 1}
+	status := message.DatabaseStatus{Role: model.RoleReplica, Term: 1, Received: position, Applied: position, Streaming: true}
 	if name == "d1" || name[len(name)-2:] == "-0" {
 		status.Role, status.Streaming = model.RolePrimary, false
 	}
--- a/internal/core/engine/bench_test.go
+++ b/internal/core/engine/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// BenchmarkRead measures what a read costs the core: its arrival, its dispatch
-// and its end.
+// BenchmarkRead measures the cost of a read in the engine: its arrival, its
+// dispatch and its end.
 func BenchmarkRead(b *testing.B) {
 	w := newWorld(b, 1)
 	n := w.node("i1")
@@ -27,8 +27,8 @@
 			}
 		}
 		if sent.Attempt == 0 {
-			// The proof of the term has run out: virtual time stands still.
-			b.Fatal("not dispatched")
+			// The confirmation of the term has expired, since nothing answers probes.
+			b.Fatal("the read was not dispatched")
 		}
 		e.Step(now, []message.Event{message.AttemptEnded{
 			Request: id, Attempt: sent.Attempt, Outcome: message.OutcomeRead{}, Elapsed: time.Millisecond,
--- a/internal/core/engine/engine_test.go
+++ b/internal/core/engine/engine_test.go
@@ -12,31 +12,31 @@
 
 func TestWriteThenReadElsewhere(t *testing.T) {
 	w := newWorld(t, 2)
-	write := w.call(w.node("i1"), "post", "entry-1", model.Token{})
+	write := w.newRequest(w.node("i1"), "post", "entry-1", model.Token{})
 	w.run(time.Second)
 	if write.result != resultDone {
-		t.Fatalf("write = %s %s\n%s", write.result, write.why, w.notes)
+		t.Fatalf("write = %s %s\n%s", write.result, write.detail, w.logLines)
 	}
-	read := w.call(w.node("i2"), "check", "", model.Token{})
+	read := w.newRequest(w.node("i2"), "check", "", model.Token{})
 	w.run(time.Second)
-	if read.result != resultDone || len(read.saw) != 1 {
-		t.Fatalf("read = %s %s, saw %v", read.result, read.why, read.saw)
+	if read.result != resultDone || len(read.returnedValues) != 1 {
+		t.Fatalf("read = %s %s, saw %v", read.result, read.detail, read.returnedValues)
 	}
-	t.Logf("write took %s, read took %s at %s", write.ended.Sub(write.began), read.ended.Sub(read.began), read.why)
+	t.Logf("write took %s, read took %s at %s", write.endedAt.Sub(write.startedAt), read.endedAt.Sub(read.startedAt), read.detail)
 }
 
-// TestFailoverGap writes steadily through two instances while the primary
-// fails, and checks what the callers were told against the surviving log.
+// TestFailoverGap sends writes through three instances while the primary fails, and
+// checks the results that the callers got against the surviving log.
 func TestFailoverGap(t *testing.T) {
 	cases := map[string]func(w *world){
 		"killed": func(w *world) { w.primary().dead = true },
 		"frozen": func(w *world) { w.primary().frozen = true },
 		"isolated from everything": func(w *world) {
-			w.split([]string{"d1"}, []string{"d2", "d3", "i1", "i2", "i3", "platform"})
+			w.partition([]string{"d1"}, []string{"d2", "d3", "i1", "i2", "i3", "platform"})
 		},
-		"isolated from the replicas": func(w *world) { w.split([]string{"d1"}, []string{"d2", "d3"}) },
+		"isolated from the replicas": func(w *world) { w.partition([]string{"d1"}, []string{"d2", "d3"}) },
 		"isolated with one instance": func(w *world) {
-			w.split([]string{"d1", "i1"}, []string{"d2", "d3", "i2", "i3", "platform"})
+			w.partition([]string{"d1", "i1"}, []string{"d2", "d3", "i2", "i3", "platform"})
 		},
 		"leaving": func(w *world) { w.primary().leaving = true },
 	}
@@ -48,11 +48,11 @@
 			w.writeSteadily(6 * time.Second)
 			w.heal()
 			for _, d := range w.databases {
-				d.thaw()
+				d.unfreeze()
 			}
 			w.run(12 * time.Second)
-			w.check()
-			t.Logf("gap %s", w.gap())
+			w.checkHistory()
+			t.Logf("gap %s", w.longestWriteGap())
 		})
 	}
 }
@@ -74,109 +74,110 @@
 address = "127.0.0.1:7103"
 `
 
-// TestGroupRemovedWithOpenWrite removes the group while a write is in flight:
-// the write still gets its outcome.
+// TestGroupRemovedWithOpenWrite removes a group from the manifest while a write to
+// it is in flight. The write must still get its outcome.
 func TestGroupRemovedWithOpenWrite(t *testing.T) {
 	w := newWorld(t, 1)
 	n := w.node("i1")
-	cut := strings.Index(testManifest, "[[group]]")
-	n.post(message.ManifestSubmitted{CorrelationID: 1, Body: []byte(testManifest + otherGroup), ExpectedNumber: 1})
+	groupsOffset := strings.Index(testManifest, "[[group]]")
+	n.deliverEvent(message.ManifestSubmitted{CorrelationID: 1, Body: []byte(testManifest + otherGroup), ExpectedNumber: 1})
 	w.run(time.Second)
-	write := w.call(n, "post", "entry-1", model.Token{})
-	n.post(message.ManifestSubmitted{CorrelationID: 2, Body: []byte(testManifest[:cut] + otherGroup), ExpectedNumber: 2})
+	write := w.newRequest(n, "post", "entry-1", model.Token{})
+	n.deliverEvent(message.ManifestSubmitted{CorrelationID: 2, Body: []byte(testManifest[:groupsOffset] + otherGroup), ExpectedNumber: 2})
 	w.run(5 * time.Millisecond)
-	refused := w.call(n, "post", "entry-2", model.Token{})
+	laterWrite := w.newRequest(n, "post", "entry-2", model.Token{})
 	w.run(10 * time.Second)
 	if n.number != 3 {
 		t.Fatalf("manifest in force = %d, want 3", n.number)
 	}
 	if write.result != resultDone {
-		t.Errorf("write in flight = %s %s, want done", write.result, write.why)
+		t.Errorf("write in flight = %s %s, want done", write.result, write.detail)
 	}
-	if refused.result == resultNone {
-		t.Errorf("later write got no answer")
+	if laterWrite.result == resultNone {
+		t.Errorf("write after the removal of the group got no answer")
 	}
 }
 
-// TestRestartInOutage starts an instance while the platform is down: it serves
-// under the manifest that its peers have, and a lower one never replaces it.
+// TestRestartInOutage starts an instance while the platform is down. It must serve
+// under the manifest of its peers, and must replace it neither by one with a lower
+// number nor by one whose body does not match its digest.
 func TestRestartInOutage(t *testing.T) {
 	w := newWorld(t, 2)
-	first := w.node("i1")
-	first.post(message.ManifestSubmitted{CorrelationID: 1, Body: []byte(testManifest + "# second\n"), ExpectedNumber: 1})
+	firstInstance := w.node("i1")
+	firstInstance.deliverEvent(message.ManifestSubmitted{CorrelationID: 1, Body: []byte(testManifest + "# second\n"), ExpectedNumber: 1})
 	w.run(time.Second)
 	w.platform.down = true
 	w.node("i2").dead = true
-	again := w.start("i2")
+	restarted := w.start("i2")
 	w.run(2 * time.Second)
-	if again.number != 2 || !again.ready {
-		t.Fatalf("restarted instance: manifest %d, ready %v, want manifest 2, ready", again.number, again.ready)
+	if restarted.number != 2 || !restarted.ready {
+		t.Fatalf("restarted instance: manifest %d, ready %v, want manifest 2, ready", restarted.number, restarted.ready)
 	}
-	read := w.call(again, "check", "", model.Token{})
+	read := w.newRequest(restarted, "check", "", model.Token{})
 	w.run(time.Second)
 	if read.result != resultDone {
-		t.Errorf("read at the restarted instance = %s %s", read.result, read.why)
+		t.Errorf("read at the restarted instance = %s %s", read.result, read.detail)
 	}
-	again.post(message.PeerMessageReceived{From: "i9", Body: message.ManifestOffer{
+	restarted.deliverEvent(message.PeerMessageReceived{From: "i9", Body: message.ManifestOffer{
 		Number: 1, Digest: manifest.Digest([]byte(testManifest)), Body: []byte(testManifest),
 	}})
 	w.run(time.Second)
-	again.post(message.PeerMessageReceived{From: "i9", Body: message.ManifestOffer{
+	restarted.deliverEvent(message.PeerMessageReceived{From: "i9", Body: message.ManifestOffer{
 		Number: 9, Digest: manifest.Digest([]byte(testManifest)), Body: []byte(testManifest + "# changed on the way\n"),
 	}})
 	w.run(time.Second)
-	if again.number != 2 {
-		t.Errorf("manifest in force = %d after a lower and a changed one were offered, want 2", again.number)
+	if restarted.number != 2 {
+		t.Errorf("manifest in force = %d after a lower and a changed one were offered, want 2", restarted.number)
 	}
 }
 
-// TestLostCommitOfRepeatableWork loses the answer of a commit while the old
-// primary goes on: repeatable work is sent again without asking, other work only
-// after proof.
-func TestLostCommitOfRepeatableWork(t *testing.T) {
+// TestLostCommitOfRetryableRequest loses the response to a commit while the primary
+// stays the same. A retryable request must be sent again without asking for the
+// outcome, any other only once the outcome is resolved.
+func TestLostCommitOfRetryableRequest(t *testing.T) {
 	cases := map[string]struct {
-		kind   string
-		asked  bool
-		result result
+		kind             string
+		resolveRequested bool
+		result           result
 	}{
-		"repeatable":     {kind: "recompute", asked: false, result: resultDone},
-		"not repeatable": {kind: "post", asked: true, result: resultCommitted},
+		"retryable":     {kind: "recompute", resolveRequested: false, result: resultDone},
+		"not retryable": {kind: "post", resolveRequested: true, result: resultCommitted},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t, 1)
 			n := w.node("i1")
 			recompute := "[[kind]]\nname = \"recompute\"\nrank = \"background\"\naccess = \"write\"\ndeadline = \"8s\"\nrepeat = true\n"
-			n.post(message.ManifestSubmitted{CorrelationID: 1, Body: []byte(testManifest + recompute), ExpectedNumber: 1})
+			n.deliverEvent(message.ManifestSubmitted{CorrelationID: 1, Body: []byte(testManifest + recompute), ExpectedNumber: 1})
 			w.run(time.Second)
-			asked := false
+			resolveRequested := false
 			w.onAction = func(_ *node, action message.Action) {
-				_, isSettle := action.(message.ResolveInDoubt)
-				asked = asked || isSettle
+				_, isResolve := action.(message.ResolveInDoubt)
+				resolveRequested = resolveRequested || isResolve
 				if dispatch, isDispatch := action.(message.Dispatch); isDispatch && dispatch.Attempt == 1 {
-					// The work arrives; its answer never does.
-					w.after(linkTime+workTime+linkTime/2, func() { w.database("d1").mute["i1"] = true })
+					// The request arrives, but its response does not.
+					w.after(linkDelay+statementTime+linkDelay/2, func() { w.database("d1").unresponsiveTo["i1"] = true })
 				}
 			}
-			write := w.call(n, c.kind, "entry", model.Token{})
+			write := w.newRequest(n, c.kind, "entry", model.Token{})
 			w.run(5 * time.Second)
-			if write.result != c.result || asked != c.asked {
-				t.Errorf("result = %s %s, group asked %v; want %s, %v", write.result, write.why, asked, c.result, c.asked)
+			if write.result != c.result || resolveRequested != c.resolveRequested {
+				t.Errorf("result = %s %s, outcome requested %v; want %s, %v", write.result, write.detail, resolveRequested, c.result, c.resolveRequested)
 			}
 		})
 	}
 }
 
-// TestTokenAheadOfTheGroup reads with a token that no database has reached: the
-// read is refused as too old at its deadline, and does not keep the primary busy
-// meanwhile.
+// TestTokenAheadOfTheGroup reads with a token that no database has reached. The
+// read must be rejected as too stale at its deadline, and must not keep the primary
+// busy until then.
 func TestTokenAheadOfTheGroup(t *testing.T) {
 	w := newWorld(t, 1)
-	ahead := model.Token{Group: "ratings", Position: model.Position{Term: 1, Offset: 1 << 40}}
-	read := w.call(w.node("i1"), "check", "", ahead)
+	token := model.Token{Group: "ratings", Position: model.Position{Term: 1, Offset: 1 << 40}}
+	read := w.newRequest(w.node("i1"), "check", "", token)
 	w.run(10 * time.Second)
-	if read.result != resultNotRun || read.why != "stale" {
-		t.Errorf("read = %s %s, want not run, stale", read.result, read.why)
+	if read.result != resultNotRun || read.detail != "stale" {
+		t.Errorf("read = %s %s, want not run, stale", read.result, read.detail)
 	}
 	const bound = 200
 	if read.attempts > bound {
@@ -185,20 +186,20 @@
 }
 
 // TestGroupRemovedAndManifestChangedAgain changes the manifest once more while a
-// write of a removed group waits for its proof.
+// write to a removed group waits to become durable.
 func TestGroupRemovedAndManifestChangedAgain(t *testing.T) {
 	w := newWorld(t, 1)
 	n := w.node("i1")
 	without := testManifest[:strings.Index(testManifest, "[[group]]")] + otherGroup
 	w.acceptManifest(2, []byte(without))
-	w.split([]string{"d1"}, []string{"d2", "d3"})
-	write := w.call(n, "post", "entry-1", model.Token{})
+	w.partition([]string{"d1"}, []string{"d2", "d3"})
+	write := w.newRequest(n, "post", "entry-1", model.Token{})
 	w.run(20 * time.Millisecond)
 	for number, body := range []string{without, without + "# again\n"} {
 		offer := message.ManifestOffer{
 			Number: uint64(number + 2), Digest: manifest.Digest([]byte(body)), Body: []byte(body),
 		}
-		n.post(message.PeerMessageReceived{From: "i9", Body: offer})
+		n.deliverEvent(message.PeerMessageReceived{From: "i9", Body: offer})
 	}
 	w.heal()
 	w.run(5 * time.Second)
@@ -206,6 +207,6 @@
 		t.Fatalf("manifest in force = %d, want 3", n.number)
 	}
 	if write.result != resultDone {
-		t.Errorf("write in flight = %s %s, want done", write.result, write.why)
+		t.Errorf("write in flight = %s %s, want done", write.result, write.detail)
 	}
 }
--- a/internal/core/engine/fake_database_test.go
+++ b/internal/core/engine/fake_database_test.go
@@ -8,18 +8,18 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-const streamCheck = 100 * time.Millisecond
+const streamCheckInterval = 100 * time.Millisecond
 
 type entry struct {
 	position model.Position
 	key      string
 	value    string
-	// never marks a key that was settled as not committed.
-	never   bool
-	applied time.Time
+	// neverCommitted marks a key that was resolved as not committed.
+	neverCommitted bool
+	applied        time.Time
 }
 
-// fakeDatabase is one database of the group: its log is its content.
+// fakeDatabase is one database of the group. Its content is its log.
 type fakeDatabase struct {
 	world     *world
 	name      model.DatabaseID
@@ -33,41 +33,42 @@
 	leaving   bool
 	dead      bool
 	frozen    bool
-	// mute holds the instances whose open connections are never answered.
-	mute map[string]bool
-	late []func()
+	// unresponsiveTo holds the instances whose open connections get no response.
+	unresponsiveTo map[string]bool
+	deferred       []func()
 }
 
 func newFakeDatabase(w *world, index int) *fakeDatabase {
 	d := &fakeDatabase{
-		world: w, name: model.DatabaseID(fmt.Sprintf("d%d", index)), term: 1, lag: 5 * time.Millisecond, mute: map[string]bool{},
+		world: w, name: model.DatabaseID(fmt.Sprintf("d%d", index)), term: 1, lag: 5 * time.Millisecond, unresponsiveTo: map[string]bool{},
 	}
 	if index > 1 {
 		d.source = w.databases[0]
 		d.streaming = true
 	}
-	w.after(streamCheck, d.checkStream)
+	w.after(streamCheckInterval, d.checkStream)
 	return d
 }
 
-// do runs a function at the database, later if it is frozen, never if dead.
-func (d *fakeDatabase) do(run func()) {
+// runOrDefer runs a function at the database: once it is unfrozen if it is frozen,
+// and not at all if it is dead.
+func (d *fakeDatabase) runOrDefer(run func()) {
 	if d.dead {
 		return
 	}
 	if d.frozen {
-		d.late = append(d.late, run)
+		d.deferred = append(d.deferred, run)
 		return
 	}
 	run()
 }
 
-func (d *fakeDatabase) thaw() {
+func (d *fakeDatabase) unfreeze() {
 	d.frozen = false
-	late := d.late
-	d.late = nil
-	for _, run := range late {
-		d.do(run)
+	deferred := d.deferred
+	d.deferred = nil
+	for _, run := range deferred {
+		d.runOrDefer(run)
 	}
 }
 
@@ -78,7 +79,7 @@
 	return d.log[len(d.log)-1].position
 }
 
-// appliedLog returns what reads see.
+// appliedLog returns the part of the log that reads see.
 func (d *fakeDatabase) appliedLog() []entry {
 	if d.role == model.RolePrimary {
 		return d.log
@@ -109,18 +110,19 @@
 	return s
 }
 
-// commit appends an entry and ships it. It fails where the key is known.
-func (d *fakeDatabase) commit(key, value string, never bool) (model.Position, bool) {
-	if _, found := d.find(key); found && key != "" {
+// commit appends an entry and replicates it. It returns false if the key is already
+// in the log.
+func (d *fakeDatabase) commit(key, value string, neverCommitted bool) (model.Position, bool) {
+	if _, found := d.findKey(key); found && key != "" {
 		return model.Position{}, false
 	}
 	position := model.Position{Term: d.term, Offset: uint64(len(d.log) + 1)}
-	d.log = append(d.log, entry{position: position, key: key, value: value, never: never, applied: d.world.now})
-	d.ship()
+	d.log = append(d.log, entry{position: position, key: key, value: value, neverCommitted: neverCommitted, applied: d.world.now})
+	d.replicate()
 	return position, true
 }
 
-func (d *fakeDatabase) find(key string) (entry, bool) {
+func (d *fakeDatabase) findKey(key string) (entry, bool) {
 	for _, e := range d.log {
 		if e.key == key {
 			return e, true
@@ -129,23 +131,23 @@
 	return entry{}, false
 }
 
-func (d *fakeDatabase) ship() {
+func (d *fakeDatabase) replicate() {
 	for _, replica := range d.world.databases {
 		if replica.source != d {
 			continue
 		}
-		d.world.after(d.world.delay(), func() { replica.do(replica.pull) })
+		d.world.after(d.world.messageDelay(), func() { replica.runOrDefer(replica.fetchEntries) })
 	}
 }
 
-// isStreamUp reports whether the database can take entries from its source.
+// isStreamUp reports whether the database can receive entries from its source.
 func (d *fakeDatabase) isStreamUp() bool {
 	s := d.source
 	return s != nil && !s.dead && !s.frozen && s.role == model.RolePrimary && s.term == d.term &&
-		d.world.linked(string(d.name), string(s.name))
+		d.world.isConnected(string(d.name), string(s.name))
 }
 
-func (d *fakeDatabase) pull() {
+func (d *fakeDatabase) fetchEntries() {
 	if !d.isStreamUp() {
 		return
 	}
@@ -156,20 +158,21 @@
 	}
 }
 
-// checkStream notices within a few heartbeats that a stream is gone or back.
+// checkStream updates streaming with a delay of one check interval after a stream
+// is lost or restored.
 func (d *fakeDatabase) checkStream() {
 	up := d.isStreamUp()
-	d.world.after(streamCheck, func() {
-		d.do(func() {
+	d.world.after(streamCheckInterval, func() {
+		d.runOrDefer(func() {
 			d.streaming = up && d.isStreamUp()
-			d.pull()
+			d.fetchEntries()
 		})
 		d.checkStream()
 	})
 }
 
 // -----------------------------------------------------------------------------
-// Control questions.
+// Control requests.
 
 func (d *fakeDatabase) fence(term model.Term, nonce model.Nonce) message.ControlErr {
 	if term < d.term || term == d.term && nonce != d.nonce {
@@ -197,57 +200,57 @@
 		return message.ControlConflict
 	}
 	d.term, d.role, d.source = term, model.RoleReplica, source
-	shared := 0
-	for shared < min(len(d.log), len(source.log)) && d.log[shared].position == source.log[shared].position {
-		shared++
+	commonLength := 0
+	for commonLength < min(len(d.log), len(source.log)) && d.log[commonLength].position == source.log[commonLength].position {
+		commonLength++
 	}
-	d.log = d.log[:shared]
+	d.log = d.log[:commonLength]
 	d.streaming = d.isStreamUp()
-	d.pull()
+	d.fetchEntries()
 	return message.ControlOK
 }
 
-// actDatabase asks a control question; there is one answer, at the latest when
-// the time is over.
-func (n *node) actDatabase(action message.Action) {
+// performDatabaseAction sends a control request. Exactly one response is delivered,
+// at the timeout at the latest.
+func (n *node) performDatabaseAction(action message.Action) {
 	w := n.world
-	asked := w.now
+	sentAt := w.now
 	var d *fakeDatabase
 	var name model.DatabaseID
-	var ask uint64
-	var limit time.Duration
+	var correlationID uint64
+	var timeout time.Duration
 	var answer func(reply func(message.ControlErr))
 	now := func(run func() message.ControlErr) func(func(message.ControlErr)) {
 		return func(reply func(message.ControlErr)) { reply(run()) }
 	}
 	switch a := action.(type) {
 	case message.Probe:
-		d, name, ask, limit = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
+		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
 		answer = now(func() message.ControlErr { return message.ControlOK })
 	case message.AwaitPosition:
-		d, name, ask, limit = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout+100*time.Millisecond
+		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout+100*time.Millisecond
 		answer = func(reply func(message.ControlErr)) { d.await(a, w.now.Add(a.Timeout), reply) }
 	case message.Fence:
-		d, name, ask, limit = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
+		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
 		answer = now(func() message.ControlErr { return d.fence(a.Term, a.Nonce) })
 	case message.Promote:
-		d, name, ask, limit = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
+		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
 		answer = now(func() message.ControlErr { return d.promote(a.Term, a.Nonce) })
 	case message.Follow:
-		d, name, ask, limit = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
+		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
 		answer = now(func() message.ControlErr { return d.follow(a.Term, w.database(a.Source)) })
 	case message.ResolveInDoubt:
-		n.settle(a)
+		n.resolveInDoubt(a)
 		return
 	}
 	done := false
 	finish := func(status message.DatabaseStatus, err message.ControlErr) {
 		if !done {
 			done = true
-			n.post(message.ControlAnswered{Database: name, CorrelationID: ask, SentAt: asked, Status: status, Err: err})
+			n.deliverEvent(message.ControlAnswered{Database: name, CorrelationID: correlationID, SentAt: sentAt, Status: status, Err: err})
 		}
 	}
-	n.exchange(d, limit, func(back func(func())) {
+	n.exchange(d, timeout, func(back func(func())) {
 		answer(func(err message.ControlErr) {
 			status := d.status()
 			back(func() { finish(status, err) })
@@ -255,25 +258,25 @@
 	}, func(err message.ControlErr) { finish(message.DatabaseStatus{}, err) })
 }
 
-// exchange carries a question to a database and its answer back.
-func (n *node) exchange(d *fakeDatabase, limit time.Duration, ask func(back func(func())), failed func(message.ControlErr)) {
+// exchange delivers a control request to a database and its response back.
+func (n *node) exchange(d *fakeDatabase, timeout time.Duration, request func(back func(func())), onFailure func(message.ControlErr)) {
 	w := n.world
-	w.after(limit, func() { failed(message.ControlTimeout) })
+	w.after(timeout, func() { onFailure(message.ControlTimeout) })
 	if d == nil {
 		return
 	}
-	w.after(w.delay(), func() {
-		if !w.linked(n.name, string(d.name)) {
+	w.after(w.messageDelay(), func() {
+		if !w.isConnected(n.name, string(d.name)) {
 			return
 		}
 		if d.dead {
-			w.after(w.delay(), func() { failed(message.ControlUnreachable) })
+			w.after(w.messageDelay(), func() { onFailure(message.ControlUnreachable) })
 			return
 		}
-		d.do(func() {
-			ask(func(deliver func()) {
-				w.after(w.delay(), func() {
-					if w.linked(n.name, string(d.name)) {
+		d.runOrDefer(func() {
+			request(func(deliver func()) {
+				w.after(w.messageDelay(), func() {
+					if w.isConnected(n.name, string(d.name)) {
 						deliver()
 					}
 				})
@@ -282,33 +285,33 @@
 	})
 }
 
-func (d *fakeDatabase) await(a message.AwaitPosition, until time.Time, reply func(message.ControlErr)) {
-	if !d.received().Less(a.Position) || d.term > a.Position.Term || !d.world.now.Before(until) {
+func (d *fakeDatabase) await(a message.AwaitPosition, deadline time.Time, reply func(message.ControlErr)) {
+	if !d.received().Less(a.Position) || d.term > a.Position.Term || !d.world.now.Before(deadline) {
 		reply(message.ControlOK)
 		return
 	}
-	d.world.after(time.Millisecond, func() { d.do(func() { d.await(a, until, reply) }) })
+	d.world.after(time.Millisecond, func() { d.runOrDefer(func() { d.await(a, deadline, reply) }) })
 }
 
-func (n *node) settle(a message.ResolveInDoubt) {
+func (n *node) resolveInDoubt(a message.ResolveInDoubt) {
 	d := n.world.database(a.Database)
 	done := false
-	finish := func(answered message.InDoubtResolved) {
+	finish := func(resolved message.InDoubtResolved) {
 		if !done {
 			done = true
-			answered.Database, answered.CorrelationID, answered.IdempotencyKey = d.name, a.CorrelationID, a.IdempotencyKey
-			n.post(answered)
+			resolved.Database, resolved.CorrelationID, resolved.IdempotencyKey = d.name, a.CorrelationID, a.IdempotencyKey
+			n.deliverEvent(resolved)
 		}
 	}
 	n.exchange(d, a.Timeout, func(back func(func())) {
-		answered := message.InDoubtResolved{}
+		resolved := message.InDoubtResolved{}
 		if d.role != model.RolePrimary || d.term != a.Term {
-			answered.Err = message.ControlConflict
-		} else if e, found := d.find(a.IdempotencyKey); found {
-			answered.Committed, answered.Position = !e.never, e.position
+			resolved.Err = message.ControlConflict
+		} else if e, found := d.findKey(a.IdempotencyKey); found {
+			resolved.Committed, resolved.Position = !e.neverCommitted, e.position
 		} else {
-			answered.Position, _ = d.commit(a.IdempotencyKey, "", true)
+			resolved.Position, _ = d.commit(a.IdempotencyKey, "", true)
 		}
-		back(func() { finish(answered) })
+		back(func() { finish(resolved) })
 	}, func(err message.ControlErr) { finish(message.InDoubtResolved{Err: err}) })
 }
--- a/internal/core/engine/fake_platform_test.go
+++ b/internal/core/engine/fake_platform_test.go
@@ -9,43 +9,43 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/message"
 )
 
-// fakePlatform is the table service and the object store.
+// fakePlatform is the platform's table service and object store.
 type fakePlatform struct {
-	rows     map[string]message.Row
-	objects  map[string][]byte
-	versions int
-	down     bool
-	slow     time.Duration
-	// lose makes the answers to that many changes get lost.
-	lose int
+	rows          map[string]message.Row
+	objects       map[string][]byte
+	lastVersion   int
+	down          bool
+	responseDelay time.Duration
+	// responsesToLose is the number of writes whose responses will be lost.
+	responsesToLose int
 }
 
 func newFakePlatform() *fakePlatform {
 	return &fakePlatform{rows: map[string]message.Row{}, objects: map[string][]byte{}}
 }
 
-func (p *fakePlatform) put(id string, body []byte) message.Row {
-	p.versions++
-	table, key, _ := strings.Cut(id, "/")
-	row := message.Row{Table: table, Key: key, Version: fmt.Sprint(p.versions), Body: body}
-	p.rows[id] = row
+func (p *fakePlatform) store(rowKey string, body []byte) message.Row {
+	p.lastVersion++
+	table, key, _ := strings.Cut(rowKey, "/")
+	row := message.Row{Table: table, Key: key, Version: fmt.Sprint(p.lastVersion), Body: body}
+	p.rows[rowKey] = row
 	return row
 }
 
 func (p *fakePlatform) write(rows []message.Row) ([]message.Row, message.PlatformErr) {
-	var stand []message.Row
+	var existingRows []message.Row
 	conflict := false
 	for _, row := range rows {
-		now := p.rows[row.Table+"/"+row.Key]
-		conflict = conflict || now.Version != row.Version
-		stand = append(stand, now)
+		existing := p.rows[row.Table+"/"+row.Key]
+		conflict = conflict || existing.Version != row.Version
+		existingRows = append(existingRows, existing)
 	}
 	if conflict {
-		return stand, message.PlatformConflict
+		return existingRows, message.PlatformConflict
 	}
 	var written []message.Row
 	for _, row := range rows {
-		written = append(written, p.put(row.Table+"/"+row.Key, row.Body))
+		written = append(written, p.store(row.Table+"/"+row.Key, row.Body))
 	}
 	return written, message.PlatformOK
 }
@@ -61,13 +61,13 @@
 	return rows
 }
 
-// actPlatform asks the platform; there is one answer, at the latest when the
-// time is over.
-func (n *node) actPlatform(action message.Action) {
+// performPlatformAction sends a request to the platform. Exactly one response is
+// delivered, at the timeout at the latest.
+func (n *node) performPlatformAction(action message.Action) {
 	p := n.world.platform
 	switch a := action.(type) {
 	case message.ReadRow:
-		n.ask(a.Timeout, false, func() message.Event {
+		n.requestPlatform(a.Timeout, false, func() message.Event {
 			if row, found := p.rows[a.Table+"/"+a.Key]; found {
 				return message.RowsRead{CorrelationID: a.CorrelationID, Rows: []message.Row{row}}
 			}
@@ -76,20 +76,20 @@
 			return message.RowsRead{CorrelationID: a.CorrelationID, Err: err}
 		})
 	case message.ScanRows:
-		n.ask(a.Timeout, false, func() message.Event {
+		n.requestPlatform(a.Timeout, false, func() message.Event {
 			return message.RowsRead{CorrelationID: a.CorrelationID, Rows: p.scan(a.Table, a.Prefix)}
 		}, func(err message.PlatformErr) message.Event {
 			return message.RowsRead{CorrelationID: a.CorrelationID, Err: err}
 		})
 	case message.WriteRows:
-		n.ask(a.Timeout, true, func() message.Event {
+		n.requestPlatform(a.Timeout, true, func() message.Event {
 			rows, err := p.write(a.Rows)
 			return message.RowsWritten{CorrelationID: a.CorrelationID, Rows: rows, Err: err}
 		}, func(err message.PlatformErr) message.Event {
 			return message.RowsWritten{CorrelationID: a.CorrelationID, Err: err}
 		})
 	case message.ReadObject:
-		n.ask(a.Timeout, false, func() message.Event {
+		n.requestPlatform(a.Timeout, false, func() message.Event {
 			body, found := p.objects[a.Name]
 			if !found {
 				return message.ObjectRead{CorrelationID: a.CorrelationID, Err: message.PlatformNotFound}
@@ -99,47 +99,47 @@
 			return message.ObjectRead{CorrelationID: a.CorrelationID, Err: err}
 		})
 	case message.WriteObject:
-		n.ask(a.Timeout, false, func() message.Event {
+		n.requestPlatform(a.Timeout, false, func() message.Event {
 			p.objects[a.Name] = a.Body
 			return message.ObjectWritten{CorrelationID: a.CorrelationID, Name: a.Name}
 		}, func(err message.PlatformErr) message.Event {
 			return message.ObjectWritten{CorrelationID: a.CorrelationID, Err: err}
 		})
 	case message.ListInstances:
-		n.ask(a.Timeout, false, func() message.Event { return message.InstancesListed{CorrelationID: a.CorrelationID} },
+		n.requestPlatform(a.Timeout, false, func() message.Event { return message.InstancesListed{CorrelationID: a.CorrelationID} },
 			func(err message.PlatformErr) message.Event {
 				return message.InstancesListed{CorrelationID: a.CorrelationID, Err: err}
 			})
 	}
 }
 
-// ask carries a question to the platform and the answer back.
-func (n *node) ask(limit time.Duration, changes bool, serve func() message.Event, fail func(message.PlatformErr) message.Event) {
+// requestPlatform delivers a request to the platform and its response back.
+func (n *node) requestPlatform(timeout time.Duration, isWrite bool, serve func() message.Event, fail func(message.PlatformErr) message.Event) {
 	w := n.world
-	if w.platform.down || !w.linked(n.name, "platform") {
-		w.after(w.delay(), func() { n.post(fail(message.PlatformUnreachable)) })
+	if w.platform.down || !w.isConnected(n.name, "platform") {
+		w.after(w.messageDelay(), func() { n.deliverEvent(fail(message.PlatformUnreachable)) })
 		return
 	}
 	done := false
 	finish := func(answer message.Event) {
 		if !done {
 			done = true
-			n.post(answer)
+			n.deliverEvent(answer)
 		}
 	}
-	w.after(limit, func() { finish(fail(message.PlatformUnknown)) })
-	w.after(w.delay()+w.platform.slow, func() {
+	w.after(timeout, func() { finish(fail(message.PlatformUnknown)) })
+	w.after(w.messageDelay()+w.platform.responseDelay, func() {
 		if w.platform.down {
 			return
 		}
 		answer := serve()
-		if changes && w.platform.lose > 0 {
-			w.platform.lose--
-			w.after(w.delay(), func() { finish(fail(message.PlatformUnknown)) })
+		if isWrite && w.platform.responsesToLose > 0 {
+			w.platform.responsesToLose--
+			w.after(w.messageDelay(), func() { finish(fail(message.PlatformUnknown)) })
 			return
 		}
-		w.after(w.delay(), func() {
-			if w.linked(n.name, "platform") {
+		w.after(w.messageDelay(), func() {
+			if w.isConnected(n.name, "platform") {
 				finish(answer)
 			}
 		})
--- a/internal/core/engine/history_test.go
+++ b/internal/core/engine/history_test.go
@@ -9,27 +9,27 @@
 )
 
 // -----------------------------------------------------------------------------
-// Work.
+// Requests.
 
-// writeSteadily sends a write through each instance in turn, every 10 ms.
+// writeSteadily sends a write through each instance once every 10 ms.
 func (w *world) writeSteadily(d time.Duration) {
 	const pause = 10 * time.Millisecond
 	for end := w.now.Add(d); w.now.Before(end); {
 		for _, n := range w.nodes {
-			if !n.dead && !n.left && !n.paused {
-				w.call(n, "post", fmt.Sprintf("v%d", len(w.callers)), model.Token{})
+			if !n.dead && !n.drained && !n.paused {
+				w.newRequest(n, "post", fmt.Sprintf("v%d", len(w.callers)), model.Token{})
 			}
 			w.run(pause / time.Duration(len(w.nodes)))
 		}
 	}
 }
 
-// gap is the longest time between two successful ends of writes.
-func (w *world) gap() time.Duration {
+// longestWriteGap returns the longest time between two successful ends of writes.
+func (w *world) longestWriteGap() time.Duration {
 	var ends []time.Time
 	for _, c := range w.callers {
 		if c.kind == "post" && c.result == resultDone {
-			ends = append(ends, c.ended)
+			ends = append(ends, c.endedAt)
 		}
 	}
 	sort.Slice(ends, func(i, j int) bool { return ends[i].Before(ends[j]) })
@@ -41,89 +41,89 @@
 }
 
 // -----------------------------------------------------------------------------
-// The history checker: what callers saw against what the group finally holds.
-// It never looks at an engine's opinion.
+// The history checker compares the results that callers got with the log that the
+// group finally holds. It uses no state of an engine.
 
-// check reports every broken promise of the history.
-func (w *world) check() {
+// checkHistory reports every violation in the history as a test error.
+func (w *world) checkHistory() {
 	w.t.Helper()
 	for _, problem := range w.violations() {
 		w.t.Error(problem)
 	}
 }
 
-// violations lists broken promises.
+// violations returns the violations in the history of all callers.
 func (w *world) violations() []string {
-	held := map[string]int{}
+	heldCounts := map[string]int{}
 	for _, e := range w.primary().log {
-		if !e.never {
-			held[e.value]++
+		if !e.neverCommitted {
+			heldCounts[e.value]++
 		}
 	}
 	var problems []string
 	for _, c := range w.callers {
-		problems = append(problems, w.violationsOf(c, held)...)
+		problems = append(problems, w.callerViolations(c, heldCounts)...)
 	}
 	return problems
 }
 
-func (w *world) violationsOf(c *fakeCaller, held map[string]int) []string {
+func (w *world) callerViolations(c *fakeCaller, heldCounts map[string]int) []string {
 	var problems []string
-	add := func(format string, args ...any) {
+	report := func(format string, args ...any) {
 		problems = append(problems, fmt.Sprintf("%s %s via %s: ", c.kind, c.value, c.node.name)+fmt.Sprintf(format, args...))
 	}
 	if c.result == resultNone && !c.node.dead {
-		add("never answered")
+		report("never answered")
 	}
 	if c.kind == "post" {
-		count := held[c.value]
+		count := heldCounts[c.value]
 		switch c.result {
 		case resultDone, resultCommitted:
 			if count != 1 {
-				add("acknowledged, but held %d times", count)
+				report("acknowledged, but held %d times", count)
 			}
 		case resultNotRun, resultFailed:
 			if count != 0 {
-				add("refused (%s), but held %d times", c.why, count)
+				report("refused (%s), but held %d times", c.detail, count)
 			}
-		case resultUnknown, resultNone, resultCut:
+		case resultUnknown, resultNone, resultConnectionLost:
 			if count > 1 {
-				add("held %d times", count)
+				report("held %d times", count)
 			}
 		}
 		return problems
 	}
 	if c.result == resultDone {
-		problems = append(problems, w.staleOf(c, held)...)
+		problems = append(problems, w.readViolations(c, heldCounts)...)
 	}
 	return problems
 }
 
-// staleOf reports acknowledged writes that a read had to show but did not, and
-// values that it showed although the group does not hold them.
-func (w *world) staleOf(c *fakeCaller, held map[string]int) []string {
+// readViolations returns the acknowledged writes that a read did not show although
+// it had to, and the values that it showed although the group does not hold them.
+func (w *world) readViolations(c *fakeCaller, heldCounts map[string]int) []string {
 	var problems []string
 	shown := map[string]bool{}
-	for _, value := range c.saw {
+	for _, value := range c.returnedValues {
 		shown[value] = true
-		if held[value] == 0 {
+		if heldCounts[value] == 0 {
 			problems = append(problems, fmt.Sprintf("%s via %s showed %s, which was taken back", c.kind, c.node.name, value))
 		}
 	}
-	bound := c.began
+	cutoff := c.startedAt
 	if c.kind == "pull" {
-		bound = c.ended.Add(-2 * time.Second)
+		cutoff = c.endedAt.Add(-2 * time.Second)
 	}
-	for _, other := range w.callers {
-		if other.kind != "post" || other.result != resultDone || shown[other.value] {
+	for _, write := range w.callers {
+		if write.kind != "post" || write.result != resultDone || shown[write.value] {
 			continue
 		}
-		if c.after != nil && other != c.after {
+		if c.afterWrite != nil && write != c.afterWrite {
 			continue
 		}
-		if other.ended.Before(bound) {
+		if write.endedAt.Before(cutoff) {
 			problems = append(problems, fmt.Sprintf("%s via %s at %s did not show %s, acknowledged at %s",
-				c.kind, c.node.name, c.began.Format("05.000"), other.value, other.ended.Format("05.000")))
+				c.kind, c.node.name, c.startedAt.Format("05.000"), write.value, write.endedAt.Format("05.000")))
 		}
 	}
 	return problems
--- a/internal/core/engine/main_test.go
+++ b/internal/core/engine/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain gives the property tests a fixed seed and number of checks, which
-// the command line may change.
+// TestMain sets the seed and the number of checks of the property tests to fixed
+// values, which flags on the command line override.
 func TestMain(m *testing.M) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "20"} {
 		if err := flag.Set(name, value); err != nil {
--- a/internal/core/engine/matrix_test.go
+++ b/internal/core/engine/matrix_test.go
@@ -17,16 +17,16 @@
 
 var update = flag.Bool("update", false, "write the golden files again")
 
-// faultTime is how long a fault lasts that heals by itself.
-const faultTime = 5 * time.Second
+// faultDuration is the duration of a temporary fault.
+const faultDuration = 5 * time.Second
 
 // -----------------------------------------------------------------------------
 // Faults: one entry each.
 
 type fault struct {
 	name string
-	// strike lets the fault happen; n is the instance at whose step it does.
-	strike func(w *world, n *node)
+	// trigger triggers the fault; n is the instance at whose step it happens.
+	trigger func(w *world, n *node)
 }
 
 var faults = []fault{
@@ -35,26 +35,26 @@
 	{"primary frozen 5 s", func(w *world, _ *node) {
 		d := w.primary()
 		d.frozen = true
-		w.after(faultTime, d.thaw)
+		w.after(faultDuration, d.unfreeze)
 	}},
 	{"primary cut off 5 s", func(w *world, _ *node) {
 		d := w.primary()
-		w.splitFor(faultTime, []string{string(d.name)}, w.names(string(d.name)))
+		w.partitionFor(faultDuration, []string{string(d.name)}, w.names(string(d.name)))
 	}},
 	{"primary cut from replicas 5 s", func(w *world, _ *node) {
 		d := w.primary()
-		w.splitFor(faultTime, []string{string(d.name)}, w.replicaNames(d))
+		w.partitionFor(faultDuration, []string{string(d.name)}, w.replicaNames(d))
 	}},
 	{"one replica cut from primary 5 s", func(w *world, _ *node) {
-		w.splitFor(faultTime, []string{string(w.primary().name)}, []string{string(w.replica().name)})
+		w.partitionFor(faultDuration, []string{string(w.primary().name)}, []string{string(w.replica().name)})
 	}},
 	{"zone cut off 5 s", func(w *world, n *node) {
-		zone := []string{n.name, fmt.Sprintf("d%d", (indexOf(n.name)-1)%3+1)}
-		w.splitFor(faultTime, zone, w.names(zone...))
+		zone := []string{n.name, fmt.Sprintf("d%d", (instanceIndex(n.name)-1)%3+1)}
+		w.partitionFor(faultDuration, zone, w.names(zone...))
 	}},
 	{"replicas 5 s behind", func(w *world, _ *node) {
 		for _, d := range w.databases {
-			d.lag = faultTime
+			d.lag = faultDuration
 		}
 	}},
 	{"replica killed", func(w *world, _ *node) { w.replica().dead = true }},
@@ -69,37 +69,38 @@
 	}},
 	{"platform down 5 s", func(w *world, _ *node) {
 		w.platform.down = true
-		w.after(faultTime, func() { w.platform.down = false })
+		w.after(faultDuration, func() { w.platform.down = false })
 	}},
-	{"platform slow 0.8 s", func(w *world, _ *node) { w.platform.slow = 800 * time.Millisecond }},
-	{"platform's answer lost", func(w *world, _ *node) { w.platform.lose = 1 }},
+	{"platform slow 0.8 s", func(w *world, _ *node) { w.platform.responseDelay = 800 * time.Millisecond }},
+	{"platform's answer lost", func(w *world, _ *node) { w.platform.responsesToLose = 1 }},
 	{"messages late and out of order", func(w *world, _ *node) {
-		w.scatter = 40 * time.Millisecond
-		w.after(faultTime, func() { w.scatter = 0 })
+		w.maxExtraDelay = 40 * time.Millisecond
+		w.after(faultDuration, func() { w.maxExtraDelay = 0 })
 	}},
 	{"rival manifest", func(w *world, n *node) {
-		other := w.nodes[indexOf(n.name)%len(w.nodes)]
-		other.post(message.ManifestSubmitted{CorrelationID: 2, Body: []byte(testManifest + "# rival\n"), ExpectedNumber: 1, Submitter: "rival"})
+		other := w.nodes[instanceIndex(n.name)%len(w.nodes)]
+		other.deliverEvent(message.ManifestSubmitted{CorrelationID: 2, Body: []byte(testManifest + "# rival\n"), ExpectedNumber: 1, Submitter: "rival"})
 	}},
 	{"flood of the least urgent", func(w *world, n *node) { w.flood(n, "pull") }},
 	{"flood of the most urgent", func(w *world, n *node) { w.flood(n, "post") }},
 	{"connections silent", func(w *world, n *node) {
 		for _, d := range w.databases {
-			d.mute[n.name] = true
+			d.unresponsiveTo[n.name] = true
 		}
 	}},
 }
 
-// flood sends far more work at once than the group can take.
+// flood sends far more requests at once than the group can serve.
 func (w *world) flood(n *node, kind string) {
-	const many = 400
-	for range many {
-		w.call(n, kind, fmt.Sprintf("f%d", len(w.callers)), model.Token{})
+	const count = 400
+	for range count {
+		w.newRequest(n, kind, fmt.Sprintf("f%d", len(w.callers)), model.Token{})
 	}
 }
 
-// names returns all names but those given.
-func (w *world) names(but ...string) []string {
+// names returns the names of the platform, the databases and the instances, without
+// the excluded ones.
+func (w *world) names(excluded ...string) []string {
 	names := []string{"platform"}
 	for _, d := range w.databases {
 		names = append(names, string(d.name))
@@ -107,13 +108,13 @@
 	for _, n := range w.nodes {
 		names = append(names, n.name)
 	}
-	var kept []string
+	var remaining []string
 	for _, name := range names {
-		if !contains(but, name) {
-			kept = append(kept, name)
+		if !contains(excluded, name) {
+			remaining = append(remaining, name)
 		}
 	}
-	return kept
+	return remaining
 }
 
 func contains(list []string, name string) bool {
@@ -135,7 +136,7 @@
 	return names
 }
 
-// replica returns the first database that is alive and no primary.
+// replica returns the first database that is alive and not a primary.
 func (w *world) replica() *fakeDatabase {
 	for _, d := range w.databases {
 		if d.role != model.RolePrimary && !d.dead {
@@ -145,76 +146,80 @@
 	return w.databases[2]
 }
 
-// splitFor cuts links and heals just these after a while.
-func (w *world) splitFor(d time.Duration, one, other []string) {
-	w.split(one, other)
+// partitionFor breaks the links between the two sides and restores just these after
+// a while.
+func (w *world) partitionFor(d time.Duration, one, other []string) {
+	w.partition(one, other)
 	w.after(d, func() {
 		for _, a := range one {
 			for _, b := range other {
-				delete(w.cut, [2]string{a, b})
+				delete(w.brokenLinks, [2]string{a, b})
 			}
 		}
 	})
 }
 
 // -----------------------------------------------------------------------------
-// Steps: when the fault strikes, and what is watched.
+// Steps: when the fault is triggered, and which operation is observed.
 
 type step struct {
 	name string
-	// arm begins the operation and returns what a caller got of it, to be read
-	// at the end; strike has to be called once, at the step.
-	arm func(w *world, strike func(n *node)) func() string
+	// setup starts the operation and returns a function that returns its result at
+	// the end of the test. It must arrange that trigger is called once, at the
+	// step.
+	setup func(w *world, trigger func(n *node)) func() string
 }
 
-// atAction strikes before the first matching action of the instance.
-func atAction(w *world, strike func(n *node), matches func(n *node, action message.Action) bool) {
-	struck := false
+// atAction triggers the fault before the first matching action is carried out.
+func atAction(w *world, trigger func(n *node), matches func(n *node, action message.Action) bool) {
+	triggered := false
 	w.onAction = func(n *node, action message.Action) {
-		if !struck && matches(n, action) {
-			struck = true
-			strike(n)
+		if !triggered && matches(n, action) {
+			triggered = true
+			trigger(n)
 		}
 	}
 }
 
-// atEvent strikes before the first matching event is taken in.
-func atEvent(w *world, strike func(n *node), matches func(incoming message.Event) bool) {
-	struck := false
+// atEvent triggers the fault before the first matching event is delivered.
+func atEvent(w *world, trigger func(n *node), matches func(incoming message.Event) bool) {
+	triggered := false
 	w.onEvent = func(n *node, incoming message.Event) {
-		if !struck && matches(incoming) {
-			struck = true
-			strike(n)
+		if !triggered && matches(incoming) {
+			triggered = true
+			trigger(n)
 		}
 	}
 }
 
 func (c *fakeCaller) cell() string {
 	if c.result == resultNone {
-		return string(resultCut)
+		return string(resultConnectionLost)
 	}
 	cell := string(c.result)
 	if c.result == resultNotRun {
-		cell += " (" + c.why + ")"
+		cell += " (" + c.detail + ")"
 	}
-	return fmt.Sprintf("%s %.1f s", cell, c.ended.Sub(c.began).Seconds())
+	return fmt.Sprintf("%s %.1f s", cell, c.endedAt.Sub(c.startedAt).Seconds())
 }
 
-// requestStep strikes at an action or event of one request.
-func requestStep(name string, call func(w *world) *fakeCaller, at func(w *world, strike func(n *node))) step {
-	return step{name: name, arm: func(w *world, strike func(n *node)) func() string {
-		at(w, strike)
-		return call(w).cell
+// requestStep triggers the fault at an action or event of one request.
+func requestStep(name string, send func(w *world) *fakeCaller, arrange func(w *world, trigger func(n *node))) step {
+	return step{name: name, setup: func(w *world, trigger func(n *node)) func() string {
+		arrange(w, trigger)
+		return send(w).cell
 	}}
 }
 
-func readOf(kind string) func(w *world) *fakeCaller {
-	return func(w *world) *fakeCaller { return w.call(w.node("i1"), kind, "", model.Token{}) }
+func newRead(kind string) func(w *world) *fakeCaller {
+	return func(w *world) *fakeCaller { return w.newRequest(w.node("i1"), kind, "", model.Token{}) }
 }
 
-func writeOne(w *world) *fakeCaller { return w.call(w.node("i1"), "post", "watched", model.Token{}) }
+func newWrite(w *world) *fakeCaller {
+	return w.newRequest(w.node("i1"), "post", "watched", model.Token{})
+}
 
-func beginOne(w *world) *fakeCaller { return w.begin(w.node("i1"), "watched") }
+func newWatchedTransaction(w *world) *fakeCaller { return w.newTransaction(w.node("i1"), "watched") }
 
 func isDispatch(_ *node, action message.Action) bool {
 	_, ok := action.(message.Dispatch)
@@ -226,8 +231,8 @@
 	return ok && n.name == "i1"
 }
 
-// writesRow reports whether an action writes the row of a table that holds a
-// text.
+// writesRow returns a function that reports whether an action writes a row of the
+// table whose body contains the text.
 func writesRow(table, text string) func(*node, message.Action) bool {
 	return func(_ *node, action message.Action) bool {
 		write, ok := action.(message.WriteRows)
@@ -235,30 +240,32 @@
 	}
 }
 
-func atDispatch(w *world, strike func(n *node)) { atAction(w, strike, isDispatch) }
+func atDispatch(w *world, trigger func(n *node)) { atAction(w, trigger, isDispatch) }
 
-// promotionStep kills the primary and strikes at a step of its replacement.
+// promotionStep kills the primary and triggers the fault at a step of the failover.
 func promotionStep(name string, matches func(*node, message.Action) bool) step {
-	return step{name: name, arm: func(w *world, strike func(n *node)) func() string {
-		atAction(w, strike, matches)
+	return step{name: name, setup: func(w *world, trigger func(n *node)) func() string {
+		atAction(w, trigger, matches)
 		w.primary().dead = true
-		return w.call(w.node("i2"), "post", "watched", model.Token{}).cell
+		return w.newRequest(w.node("i2"), "post", "watched", model.Token{}).cell
 	}}
 }
 
-// submitStep submits a manifest at i1 and strikes at a step of it.
+// submitStep submits a manifest at i1 and triggers the fault at a step of the
+// submission.
 func submitStep(name string, matches func(*node, message.Action) bool) step {
-	return step{name: name, arm: func(w *world, strike func(n *node)) func() string {
-		atAction(w, strike, matches)
+	return step{name: name, setup: func(w *world, trigger func(n *node)) func() string {
+		atAction(w, trigger, matches)
 		n := w.node("i1")
-		n.post(message.ManifestSubmitted{CorrelationID: 1, Body: []byte(testManifest + "# second\n"), ExpectedNumber: 1, Submitter: "pipeline"})
+		n.deliverEvent(message.ManifestSubmitted{CorrelationID: 1, Body: []byte(testManifest + "# second\n"), ExpectedNumber: 1, Submitter: "pipeline"})
 		return func() string { return w.submitCell(n) }
 	}}
 }
 
-// submitCell tells what the submitter got and what is in force where.
+// submitCell returns the result of the submission and the number of the manifest in
+// force on each live instance.
 func (w *world) submitCell(n *node) string {
-	cell := string(resultCut)
+	cell := string(resultConnectionLost)
 	if decided, found := n.decided[1]; found {
 		cell = decided.Err.String()
 	}
@@ -272,43 +279,43 @@
 }
 
 // drainStep drains i1 with a write in flight.
-var drainStep = step{name: "shutdown: a write in flight", arm: func(w *world, strike func(n *node)) func() string {
-	c := writeOne(w)
+var drainStep = step{name: "shutdown: a write in flight", setup: func(w *world, trigger func(n *node)) func() string {
+	c := newWrite(w)
 	n := w.node("i1")
-	n.post(message.DrainRequested{})
-	strike(n)
+	n.deliverEvent(message.DrainRequested{})
+	trigger(n)
 	return func() string {
-		left := "still draining"
-		if n.left {
-			left = "left"
+		drained := "still draining"
+		if n.drained {
+			drained = "left"
 		}
-		return c.cell() + ", " + left
+		return c.cell() + ", " + drained
 	}
 }}
 
 var steps = []step{
-	requestStep("read: waits for a barrier", readOf("check"), func(w *world, strike func(n *node)) {
-		atEvent(w, strike, func(incoming message.Event) bool {
+	requestStep("read: waits for a barrier", newRead("check"), func(w *world, trigger func(n *node)) {
+		atEvent(w, trigger, func(incoming message.Event) bool {
 			_, ok := incoming.(message.RequestArrived)
 			return ok
 		})
 	}),
-	requestStep("read: sent", readOf("check"), atDispatch),
-	requestStep("read with a bound of 2 s: sent", readOf("pull"), atDispatch),
-	requestStep("write: arrived", writeOne, func(w *world, strike func(n *node)) {
-		atEvent(w, strike, func(incoming message.Event) bool {
+	requestStep("read: sent", newRead("check"), atDispatch),
+	requestStep("read with a bound of 2 s: sent", newRead("pull"), atDispatch),
+	requestStep("write: arrived", newWrite, func(w *world, trigger func(n *node)) {
+		atEvent(w, trigger, func(incoming message.Event) bool {
 			_, ok := incoming.(message.RequestArrived)
 			return ok
 		})
 	}),
-	requestStep("write: sent", writeOne, atDispatch),
-	requestStep("write: committed, not proven", writeOne, func(w *world, strike func(n *node)) { atAction(w, strike, isAwait) }),
-	requestStep("transaction: BEGIN sent", beginOne, atDispatch),
-	requestStep("transaction: open", beginOne, func(w *world, strike func(n *node)) {
-		atDispatch(w, func(n *node) { w.after(workTime*5, func() { strike(n) }) })
+	requestStep("write: sent", newWrite, atDispatch),
+	requestStep("write: committed, not proven", newWrite, func(w *world, trigger func(n *node)) { atAction(w, trigger, isAwait) }),
+	requestStep("transaction: BEGIN sent", newWatchedTransaction, atDispatch),
+	requestStep("transaction: open", newWatchedTransaction, func(w *world, trigger func(n *node)) {
+		atDispatch(w, func(n *node) { w.after(statementTime*5, func() { trigger(n) }) })
 	}),
-	requestStep("transaction: COMMIT sent", beginOne, func(w *world, strike func(n *node)) {
-		atDispatch(w, func(n *node) { w.after(workTime*7+workTime/2, func() { strike(n) }) })
+	requestStep("transaction: COMMIT sent", newWatchedTransaction, func(w *world, trigger func(n *node)) {
+		atDispatch(w, func(n *node) { w.after(statementTime*7+statementTime/2, func() { trigger(n) }) })
 	}),
 	promotionStep("promotion: row read", func(n *node, action message.Action) bool {
 		read, ok := action.(message.ReadRow)
@@ -335,50 +342,51 @@
 // -----------------------------------------------------------------------------
 // The matrix.
 
-// runCell lets one fault strike at one step, beside other callers' work, and
-// checks the whole history.
-func runCell(t *testing.T, s step, strike func(w *world, n *node)) string {
+// runCell triggers one fault at one step during mixed requests of other callers,
+// and checks the whole history.
+func runCell(t *testing.T, s step, trigger func(w *world, n *node)) string {
 	t.Helper()
 	w := newWorld(t, 3)
 	w.t = t
 	w.mixedWork(200 * time.Millisecond)
-	cell := s.arm(w, func(n *node) { strike(w, n) })
+	cell := s.setup(w, func(n *node) { trigger(w, n) })
 	w.mixedWork(4 * time.Second)
 	w.run(16 * time.Second)
 	w.onAction, w.onEvent = nil, nil
-	w.check()
+	w.checkHistory()
 	return cell()
 }
 
-// mixedWork sends writes and reads through the instances, every 40 ms.
+// mixedWork sends writes and reads through the instances, one every 40 ms.
 func (w *world) mixedWork(d time.Duration) {
 	const pause = 40 * time.Millisecond
 	kinds := []string{"post", "check", "pull"}
 	for i, end := 0, w.now.Add(d); w.now.Before(end); i++ {
 		n := w.nodes[i%len(w.nodes)]
-		if !n.dead && !n.left && !n.paused {
+		if !n.dead && !n.drained && !n.paused {
 			kind := kinds[i/len(w.nodes)%len(kinds)]
-			w.call(n, kind, fmt.Sprintf("v%d", len(w.callers)), model.Token{})
-			w.roam(n)
+			w.newRequest(n, kind, fmt.Sprintf("v%d", len(w.callers)), model.Token{})
+			w.readWithTokens(n)
 		}
 		w.run(pause)
 	}
 }
 
-// roam reads at an instance with the token of the last write acknowledged at
-// any: with one that opens the session, and with one on the statement.
-func (w *world) roam(n *node) {
+// readWithTokens reads at an instance with the token of the last acknowledged write
+// of any instance: once with the token on the session, and once with it on the
+// statement.
+func (w *world) readWithTokens(n *node) {
 	for i := len(w.callers) - 1; i >= 0; i-- {
 		if before := w.callers[i]; before.result == resultDone && before.kind == "post" {
-			w.call(n, "check", "", before.token).after = before
-			w.callRoaming(n, "check", before.token).after = before
+			w.newRequest(n, "check", "", before.token).afterWrite = before
+			w.newRoamingRequest(n, "check", before.token).afterWrite = before
 			break
 		}
 	}
-	// With an old token, only the bound of 2 s asks for newer states.
+	// With an old token, only the staleness bound of 2 s requires a newer state.
 	for _, first := range w.callers {
 		if first.result == resultDone && first.kind == "post" {
-			w.call(n, "pull", "", first.token)
+			w.newRequest(n, "pull", "", first.token)
 			return
 		}
 	}
@@ -392,7 +400,7 @@
 			for j, f := range faults {
 				t.Run(s.name+"/"+f.name, func(t *testing.T) {
 					t.Parallel()
-					cells[i][j] = runCell(t, s, f.strike)
+					cells[i][j] = runCell(t, s, f.trigger)
 				})
 			}
 		}
@@ -405,8 +413,8 @@
 				t.Run(first.name+"/"+second.name, func(t *testing.T) {
 					t.Parallel()
 					pairs[i][j] = runCell(t, steps[4], func(w *world, n *node) {
-						first.strike(w, n)
-						w.after(150*time.Millisecond, func() { second.strike(w, n) })
+						first.trigger(w, n)
+						w.after(150*time.Millisecond, func() { second.trigger(w, n) })
 					})
 				})
 			}
@@ -446,7 +454,8 @@
 	b.WriteString("| " + strings.Join(cells, " | ") + " |\n")
 }
 
-// compareGolden compares a text with a golden file, or writes it.
+// compareGolden compares a text with a golden file, or writes the file with
+// -update.
 func compareGolden(t *testing.T, path, got string) {
 	t.Helper()
 	if *update {
--- a/internal/core/engine/system_drain.go
+++ b/internal/core/engine/system_drain.go
@@ -67,7 +67,7 @@
 	e.emit(message.Terminate{})
 }
 
-// isFailoverRunning reports whether this instance is conducting a failover.
+// isFailoverRunning reports whether this instance is coordinating a failover.
 func (e *Engine) isFailoverRunning() bool {
 	for _, g := range e.groups {
 		if g.failover.step != failoverIdle && g.failover.step != failoverReadRow {
--- a/internal/core/engine/system_member.go
+++ b/internal/core/engine/system_member.go
@@ -131,7 +131,7 @@
 }
 
 // -----------------------------------------------------------------------------
-// The system.
+// The membership system.
 
 // runMember sends heartbeats, detects instances that have stopped, reads the
 // platform's list of instances and updates the set of links.
--- a/internal/core/engine/system_steward.go
+++ b/internal/core/engine/system_steward.go
@@ -9,9 +9,9 @@
 const rowCheckInterval = 30 * time.Second
 
 // -----------------------------------------------------------------------------
-// The system.
+// The failover system.
 
-// runFailover detects a failure of each group's primary and conducts its
+// runFailover detects a failure of each group's primary and coordinates its
 // replacement.
 func (e *Engine) runFailover() {
 	for _, g := range e.groups {
--- a/internal/core/engine/table_instance.go
+++ b/internal/core/engine/table_instance.go
@@ -64,8 +64,8 @@
 	t.linksChanged = true
 }
 
-// sorted returns the instances in the order of their IDs. The caller must not
-// change the slice.
+// sorted returns the instances in the order of their IDs. The slice must
+// not be changed.
 func (t *instanceTable) sorted() []*instance {
 	if t.ordered != nil {
 		return t.ordered
--- a/internal/core/engine/table_instance_test.go
+++ b/internal/core/engine/table_instance_test.go
@@ -11,28 +11,28 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// TestOrderFollowsTheTable adds and removes instances at random and compares
-// the kept order with the table, and lists returned before with what they were.
-func TestOrderFollowsTheTable(t *testing.T) {
+// TestSortedMatchesTable adds and removes random instances. It checks that the
+// sorted slice matches the table, and that slices returned earlier are not changed.
+func TestSortedMatchesTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newInstanceTable()
 		for range rapid.IntRange(1, 20).Draw(t, "steps") {
-			before := table.sorted()
-			held := slices.Clone(before)
+			earlier := table.sorted()
+			earlierCopy := slices.Clone(earlier)
 			id := model.InstanceID(rapid.StringMatching("i[0-9]").Draw(t, "id"))
 			if rapid.Bool().Draw(t, "remove") {
 				table.remove(id)
 			} else {
 				table.get(id)
 			}
-			if !slices.Equal(held, before) {
-				t.Fatal("a list that was returned before has changed")
+			if !slices.Equal(earlierCopy, earlier) {
+				t.Fatal("a slice that sorted returned earlier has changed")
 			}
-			var names []model.InstanceID
+			var ids []model.InstanceID
 			for _, entry := range table.sorted() {
-				names = append(names, entry.id)
+				ids = append(ids, entry.id)
 			}
-			if diff := cmp.Diff(slices.Sorted(maps.Keys(table.byID)), names); diff != "" {
+			if diff := cmp.Diff(slices.Sorted(maps.Keys(table.byID)), ids); diff != "" {
 				t.Fatal(diff)
 			}
 		}
--- a/internal/core/engine/table_request.go
+++ b/internal/core/engine/table_request.go
@@ -42,10 +42,10 @@
 }
 
 // raise sets the minimum to position if that is newer.
-func (f *minPosition) raise(position model.Position, asOf time.Time) {
-	if f.position.Less(position) {
-		f.position = position
-		f.asOf = asOf
+func (p *minPosition) raise(position model.Position, asOf time.Time) {
+	if p.position.Less(position) {
+		p.position = position
+		p.asOf = asOf
 	}
 }
 
--- a/internal/core/engine/table_steward.go
+++ b/internal/core/engine/table_steward.go
@@ -20,8 +20,8 @@
 type rowPhase string
 
 const (
-	// rowClaimed means that the instance named in the row conducts a failover under
-	// the row's term.
+	// rowClaimed means that the instance named in the row coordinates a failover
+	// under the row's term.
 	rowClaimed rowPhase = "claimed"
 	// rowPromoted means that the row's database is primary in the row's term.
 	rowPromoted rowPhase = "promoted"
@@ -86,8 +86,8 @@
 )
 
 // String returns the name of the step in log events and status reports.
-func (c failoverStep) String() string {
-	return [...]string{"none", "read", "claim", "fence", "promote", "record"}[c]
+func (s failoverStep) String() string {
+	return [...]string{"none", "read", "claim", "fence", "promote", "record"}[s]
 }
 
 // failoverState is the state of failure detection and failover for one group.
--- a/internal/core/engine/world_test.go
+++ b/internal/core/engine/world_test.go
@@ -19,82 +19,83 @@
 // Virtual time.
 
 const (
-	tick     = 5 * time.Millisecond
-	linkTime = time.Millisecond
-	workTime = time.Millisecond
+	tick          = 5 * time.Millisecond
+	linkDelay     = time.Millisecond
+	statementTime = time.Millisecond
 )
 
-type due struct {
-	at    time.Time
-	order int
-	run   func()
+type scheduledCall struct {
+	dueAt    time.Time
+	sequence int
+	run      func()
 }
 
-type dueHeap []due
+type callHeap []scheduledCall
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(i, j int) bool {
-	if h[i].at.Equal(h[j].at) {
-		return h[i].order < h[j].order
+func (h callHeap) Len() int { return len(h) }
+func (h callHeap) Less(i, j int) bool {
+	if h[i].dueAt.Equal(h[j].dueAt) {
+		return h[i].sequence < h[j].sequence
 	}
-	return h[i].at.Before(h[j].at)
+	return h[i].dueAt.Before(h[j].dueAt)
 }
-func (h dueHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-func (h *dueHeap) Push(x any)   { *h = append(*h, x.(due)) }
-func (h *dueHeap) Pop() any {
+func (h callHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *callHeap) Push(x any)   { *h = append(*h, x.(scheduledCall)) }
+func (h *callHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	*h = old[:len(old)-1]
 	return last
 }
 
-// world holds some engines, one group of three databases and the platform, all
-// on virtual time.
+// world simulates some engines, one group of three databases and the platform on
+// virtual time.
 type world struct {
-	t         testing.TB
-	now       time.Time
-	order     int
-	queue     dueHeap
-	nodes     []*node
-	databases []*fakeDatabase
-	platform  *fakePlatform
-	cut       map[[2]string]bool
-	callers   []*fakeCaller
+	t           testing.TB
+	now         time.Time
+	sequence    int
+	queue       callHeap
+	nodes       []*node
+	databases   []*fakeDatabase
+	platform    *fakePlatform
+	brokenLinks map[[2]string]bool
+	callers     []*fakeCaller
 	// onAction is called before an action is carried out.
 	onAction func(n *node, action message.Action)
-	notes    []string
-	// onEvent is called before an engine takes an event of the edges in.
+	logLines []string
+	// onEvent is called before an event is delivered to an engine.
 	onEvent     func(n *node, incoming message.Event)
 	lastSession model.SessionID
-	// scatter delays each message by another time below it.
-	scatter time.Duration
-	random  *rand.Rand
+	// maxExtraDelay bounds the random delay that is added to each message, or is 0
+	// for none.
+	maxExtraDelay time.Duration
+	random        *rand.Rand
 }
 
-// delay is the time that a message takes.
-func (w *world) delay() time.Duration {
-	if w.scatter == 0 {
-		return linkTime
+// messageDelay returns the travel time of the next message.
+func (w *world) messageDelay() time.Duration {
+	if w.maxExtraDelay == 0 {
+		return linkDelay
 	}
-	return linkTime + time.Duration(w.random.Int64N(int64(w.scatter)))
+	return linkDelay + time.Duration(w.random.Int64N(int64(w.maxExtraDelay)))
 }
 
 // node is one instance: an engine and the fakes of its edges.
 type node struct {
-	world   *world
-	name    string
-	engine  *engine.Engine
-	dead    bool
-	paused  bool
-	left    bool
-	ready   bool
-	number  uint64
-	late    []message.Event
-	running map[model.RequestID]*attempt
-	callers map[model.RequestID]*fakeCaller
-	proven  model.Position
-	decided map[uint64]message.ManifestDecided
-	peers   map[string]bool
+	world    *world
+	name     string
+	engine   *engine.Engine
+	dead     bool
+	paused   bool
+	drained  bool
+	ready    bool
+	number   uint64
+	deferred []message.Event
+	running  map[model.RequestID]*attempt
+	callers  map[model.RequestID]*fakeCaller
+	durable  model.Position
+	decided  map[uint64]message.ManifestDecided
+	peers    map[string]bool
 }
 
 const testManifest = `
@@ -151,11 +152,11 @@
 address = "127.0.0.1:7003"
 `
 
-// newWorld starts instances i1 … with the test manifest accepted already, and
-// runs until all are ready.
+// newWorld starts the instances i1, i2 and so on with the test manifest already
+// accepted, and runs until all are ready.
 func newWorld(t testing.TB, instances int) *world {
 	t.Helper()
-	w := &world{t: t, now: time.Unix(1_700_000_000, 0), cut: map[[2]string]bool{}, platform: newFakePlatform(), random: rand.New(rand.NewPCG(1, 2))}
+	w := &world{t: t, now: time.Unix(1_700_000_000, 0), brokenLinks: map[[2]string]bool{}, platform: newFakePlatform(), random: rand.New(rand.NewPCG(1, 2))}
 	for i := 1; i <= 3; i++ {
 		w.databases = append(w.databases, newFakeDatabase(w, i))
 	}
@@ -168,15 +169,14 @@
 	return w
 }
 
-// acceptManifest puts a manifest into the platform as accepted.
+// acceptManifest stores a manifest at the platform as the accepted one.
 func (w *world) acceptManifest(number uint64, body []byte) {
 	digest := manifest.Digest(body)
 	w.platform.objects[digest] = body
-	w.platform.put("manifest/current", []byte(fmt.Sprintf(`{"number":%d,"digest":%q,"nonce":"pipeline"}`, number, digest)))
+	w.platform.store("manifest/current", []byte(fmt.Sprintf(`{"number":%d,"digest":%q,"nonce":"pipeline"}`, number, digest)))
 }
 
-// start starts an instance. Its seeds are all addresses that an instance of the
-// test may have.
+// start starts an instance. Its seed addresses are those of the instances i1 to i3.
 func (w *world) start(name string) *node {
 	var index int
 	fmt.Sscanf(name, "i%d", &index)
@@ -188,7 +188,7 @@
 	n.engine = engine.NewEngine(engine.Options{
 		Instance: model.InstanceID(name), Zone: model.ZoneID(fmt.Sprintf("z%d", (index-1)%3+1)),
 		PeerAddress: peerAddress(index), SeedAddresses: []netip.AddrPort{peerAddress(1), peerAddress(2), peerAddress(3)},
-		StartID: fmt.Sprint(w.order),
+		StartID: fmt.Sprint(w.sequence),
 	})
 	w.nodes = append(w.nodes, n)
 	w.after(0, n.tick)
@@ -217,7 +217,7 @@
 	return nil
 }
 
-// primary returns the database of the highest term that calls itself primary.
+// primary returns the database that is primary in the highest term.
 func (w *world) primary() *fakeDatabase {
 	var best *fakeDatabase
 	for _, d := range w.databases {
@@ -228,51 +228,54 @@
 	return best
 }
 
-// after runs a function later.
+// after schedules a function to run after the duration.
 func (w *world) after(d time.Duration, run func()) {
-	w.order++
-	heap.Push(&w.queue, due{at: w.now.Add(d), order: w.order, run: run})
+	w.sequence++
+	heap.Push(&w.queue, scheduledCall{dueAt: w.now.Add(d), sequence: w.sequence, run: run})
 }
 
-// run lets virtual time pass.
+// run advances virtual time by the duration and runs the functions that are due.
 func (w *world) run(d time.Duration) {
 	end := w.now.Add(d)
-	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
-		next := heap.Pop(&w.queue).(due)
-		w.now = next.at
+	for len(w.queue) > 0 && !w.queue[0].dueAt.After(end) {
+		next := heap.Pop(&w.queue).(scheduledCall)
+		w.now = next.dueAt
 		next.run()
 	}
 	w.now = end
 }
 
-// linked reports whether a message from a reaches b.
-func (w *world) linked(a, b string) bool { return !w.cut[[2]string{a, b}] && !w.cut[[2]string{b, a}] }
+// isConnected reports whether messages between a and b are delivered.
+func (w *world) isConnected(a, b string) bool {
+	return !w.brokenLinks[[2]string{a, b}] && !w.brokenLinks[[2]string{b, a}]
+}
 
-// split cuts every link between the two sides.
-func (w *world) split(one, other []string) {
+// partition breaks every link between the two sides.
+func (w *world) partition(one, other []string) {
 	for _, a := range one {
 		for _, b := range other {
-			w.cut[[2]string{a, b}] = true
+			w.brokenLinks[[2]string{a, b}] = true
 		}
 	}
 }
 
-func (w *world) heal() { w.cut = map[[2]string]bool{} }
+func (w *world) heal() { w.brokenLinks = map[[2]string]bool{} }
 
 // -----------------------------------------------------------------------------
 // Instances.
 
 func (n *node) tick() {
-	if n.dead || n.left {
+	if n.dead || n.drained {
 		return
 	}
 	n.step()
 	n.world.after(tick, n.tick)
 }
 
-// post hands an event to the engine, or keeps it while the instance is paused.
-func (n *node) post(incoming message.Event) {
-	if n.dead || n.left {
+// deliverEvent delivers an event to the engine, or defers it while the instance is
+// paused.
+func (n *node) deliverEvent(incoming message.Event) {
+	if n.dead || n.drained {
 		return
 	}
 	if n.world.onEvent != nil {
@@ -282,7 +285,7 @@
 		return
 	}
 	if n.paused {
-		n.late = append(n.late, incoming)
+		n.deferred = append(n.deferred, incoming)
 		return
 	}
 	n.step(incoming)
@@ -290,13 +293,13 @@
 
 func (n *node) resume() {
 	n.paused = false
-	late := n.late
-	n.late = nil
-	n.step(late...)
+	deferred := n.deferred
+	n.deferred = nil
+	n.step(deferred...)
 }
 
 func (n *node) step(events ...message.Event) {
-	if n.paused || n.dead || n.left {
+	if n.paused || n.dead || n.drained {
 		return
 	}
 	actions := append([]message.Action(nil), n.engine.Step(n.world.now, events)...)
@@ -307,53 +310,54 @@
 		if n.dead {
 			return
 		}
-		n.act(action)
+		n.performAction(action)
 	}
 }
 
-// act carries out an action by the fakes of the edges.
-func (n *node) act(action message.Action) {
+// performAction carries out an action with the fakes of the edges.
+func (n *node) performAction(action message.Action) {
 	switch action := action.(type) {
 	case message.Dispatch, message.ReleaseResult, message.SetDurablePosition, message.AcknowledgeCommit, message.RefuseRequest,
 		message.AbortRequest, message.CancelStatement, message.CloseConnection:
-		n.actCaller(action)
+		n.performCallerAction(action)
 	case message.Probe, message.AwaitPosition, message.Fence, message.Promote, message.Follow, message.ResolveInDoubt:
-		n.actDatabase(action)
+		n.performDatabaseAction(action)
 	case message.ReadRow, message.ScanRows, message.WriteRows, message.ReadObject, message.WriteObject, message.ListInstances:
-		n.actPlatform(action)
+		n.performPlatformAction(action)
 	case message.SendPeer:
-		n.send(action)
+		n.sendToPeer(action)
 	case message.SetPeers:
 		for _, p := range action.Peers {
 			n.peers[fmt.Sprintf("i%d", p.Address.Port()-9000)] = true
 		}
-		n.greet()
+		n.connectPeers()
 	case message.ManifestDecided:
 		n.decided[action.CorrelationID] = action
 	case message.Readiness:
 		n.ready = action.Ready
 	case message.Terminate:
-		n.left = true
+		n.drained = true
 	case message.LogEvent:
-		n.take(action)
+		n.recordLogEvent(action)
 	}
 }
 
-// greet stands for the links' handshake: both sides learn each other's name.
-func (n *node) greet() {
+// connectPeers simulates the handshake of the links, in which both sides learn each
+// other's ID.
+func (n *node) connectPeers() {
 	for _, name := range sortedNames(n.peers) {
 		peer := n.world.node(name)
-		if peer == nil || peer == n || !n.world.linked(n.name, name) {
+		if peer == nil || peer == n || !n.world.isConnected(n.name, name) {
 			continue
 		}
-		n.world.after(n.world.delay(), func() {
-			n.post(message.PeerConnected{Peer: model.InstanceID(peer.name)})
-			peer.post(message.PeerConnected{Peer: model.InstanceID(n.name)})
+		n.world.after(n.world.messageDelay(), func() {
+			n.deliverEvent(message.PeerConnected{Peer: model.InstanceID(peer.name)})
+			peer.deliverEvent(message.PeerConnected{Peer: model.InstanceID(n.name)})
 		})
 	}
 }
 
-func indexOf(name string) int {
+func instanceIndex(name string) int {
 	var index int
 	fmt.Sscanf(name, "i%d", &index)
 	return index
@@ -368,30 +372,31 @@
 	return names
 }
 
-func (n *node) send(action message.SendPeer) {
+func (n *node) sendToPeer(action message.SendPeer) {
 	to := n.world.node(string(action.To))
-	if to == nil || !n.world.linked(n.name, to.name) {
+	if to == nil || !n.world.isConnected(n.name, to.name) {
 		return
 	}
-	n.world.after(n.world.delay(), func() {
-		if n.world.linked(n.name, to.name) {
-			to.post(message.PeerMessageReceived{From: model.InstanceID(n.name), Body: action.Body})
+	n.world.after(n.world.messageDelay(), func() {
+		if n.world.isConnected(n.name, to.name) {
+			to.deliverEvent(message.PeerMessageReceived{From: model.InstanceID(n.name), Body: action.Body})
 		}
 	})
 }
 
-// take keeps the log lines of promotions, terms and manifests.
-func (n *node) take(note message.LogEvent) {
-	if note.Event.Name == "manifest-in-force" {
-		number := note.Fields[0].Value.(uint64)
+// recordLogEvent records a log event. It reports an error if the number of the
+// manifest in force does not increase.
+func (n *node) recordLogEvent(logEvent message.LogEvent) {
+	if logEvent.Event.Name == "manifest-in-force" {
+		number := logEvent.Fields[0].Value.(uint64)
 		if number <= n.number {
 			n.world.t.Errorf("%s: manifest %d came into force after %d", n.name, number, n.number)
 		}
 		n.number = number
 	}
-	line := fmt.Sprintf("%s %d %s", n.name, note.Event.Number, note.Event.Name)
-	for _, field := range note.Fields {
+	line := fmt.Sprintf("%s %d %s", n.name, logEvent.Event.Number, logEvent.Event.Name)
+	for _, field := range logEvent.Fields {
 		line += fmt.Sprintf(" %s=%v", field.Name, field.Value)
 	}
-	n.world.notes = append(n.world.notes, fmt.Sprintf("%s %s", n.world.now.Format("05.000"), line))
+	n.world.logLines = append(n.world.logLines, fmt.Sprintf("%s %s", n.world.now.Format("05.000"), line))
 }
