--- a/internal/edge/backend/backend.go
+++ b/internal/edge/backend/backend.go
@@ -1,20 +1,20 @@
-// Package backend keeps connections to databases and carries statements over
-// them, whatever the databases' protocol is.
+// Package backend pools connections to databases and exchanges statements over
+// them, independently of the databases' protocol.
 //
 // # What flows in and out
 //
-// Statements flow in, with the values and prepared statements that the session
-// they belong to has; before them go the proxy's own statements that bring the
-// connection into that state. Answers flow out, each with the time at which it
-// was there.
+// The input is the statements of a session, together with the session's variables
+// and prepared statements. The proxy's own statements that synchronize the
+// connection with that session state are sent ahead of them. The output is the
+// answers, each with the time at which it was received.
 //
-// The bytes are a Protocol's, which is given to NewPool.
+// The Protocol that is passed to NewPool encodes and decodes the messages.
 //
 // # Usage
 //
 //	pool := backend.NewPool(protocol)
-//	conn, err := pool.Get(ctx, database)
-//	answers, err := conn.Exchange(deadline, calls)
+//	conn, err := pool.Get(ctx, database, variables)
+//	replies, err := conn.Exchange(timeout, requests)
 //	pool.Put(conn)
 package backend
 
@@ -34,48 +34,50 @@
 )
 
 const (
-	// openTimeout bounds the opening of a connection: some ten times what a
-	// database takes for it.
-	openTimeout = 400 * time.Millisecond
-	// idleKept is how long a connection is kept without use. Opening one takes
-	// a slot of the database.
-	idleKept = 12 * time.Second
-	// scarceKept is how long one is kept of which there are fewer than instances:
+	// connectTimeout bounds the opening of a connection. It is about ten times as
+	// long as a database needs.
+	connectTimeout = 400 * time.Millisecond
+	// idleTimeout is how long an unused connection is kept. Opening a connection
+	// takes a slot of the database.
+	idleTimeout = 12 * time.Second
+	// scarceIdleTimeout is how long an unused connection is kept if the database
+	// allows fewer connections than there are instances. It is just long enough
 	// for the next statement of a busy caller.
-	scarceKept = 60 * time.Millisecond
-	// preparedKept is the number of prepared statements on a connection beyond
-	// which it is cleared.
-	preparedKept = 200
+	scarceIdleTimeout = 60 * time.Millisecond
+	// maxPreparedStatements is the number of prepared statements at which a
+	// connection is reset.
+	maxPreparedStatements = 200
 )
 
-// opened counts the connections opened to the databases of each group.
-var opened = expvar.NewMap("backend.opened")
+// connectionsOpened counts the connections opened to the databases of each group.
+var connectionsOpened = expvar.NewMap("backend.opened")
 
-// Protocol opens connections of databases that speak it.
+// Protocol performs the handshake with databases that use it.
 type Protocol interface {
-	// Handshake greets the database behind conn. Its error is a *statement.FailureError
-	// where the database has refused the connection.
+	// Handshake sends the startup message to the database behind conn. Its error
+	// is a *statement.FailureError if the database refused the connection.
 	Handshake(conn net.Conn, target placement.Database) (Codec, error)
 }
 
 // Codec writes statements and reads answers on one connection.
 type Codec interface {
-	// Send writes calls, without waiting for their answers.
-	Send(calls []statement.Request) error
-	// Receive reads the answer to a call that was sent, in the order of
-	// sending.
-	Receive(call statement.Request) (Reply, error)
+	// Send writes requests, without waiting for their answers.
+	Send(requests []statement.Request) error
+	// Receive reads the answer to a request that was sent. It is called in the
+	// order of sending.
+	Receive(request statement.Request) (Reply, error)
 }
 
-// Reply is an answer, with the database's standing where it was asked for.
+// Reply is the answer to one request, with the database's status if the request
+// queried it.
 type Reply struct {
 	statement.Answer
 	ServerStatus statement.ServerStatus
-	// ReceivedAt is when the answer was there, by package clock.
+	// ReceivedAt is when the answer had been read, by package clock.
 	ReceivedAt time.Time
 }
 
-// Pool holds the connections to all databases.
+// Pool holds the idle connections to all databases.
 type Pool struct {
 	protocol Protocol
 
@@ -88,14 +90,14 @@
 	return &Pool{protocol: protocol, idle: map[model.DatabaseID][]*Conn{}}
 }
 
-// Get returns a connection that nobody uses, or opens one. Its errors are
-// *ConnectError, with a *statement.FailureError as its cause where the database has
-// refused.
-func (p *Pool) Get(ctx context.Context, target placement.Database, values Variables) (*Conn, error) {
+// Get returns an idle connection, preferably one with the given variables, or
+// opens a new one. Its errors are *ConnectError, with a *statement.FailureError as
+// the cause if the database refused the connection.
+func (p *Pool) Get(ctx context.Context, target placement.Database, variables Variables) (*Conn, error) {
 	for {
-		conn := p.take(target, values)
+		conn := p.takeIdle(target, variables)
 		if conn == nil {
-			return p.open(ctx, target)
+			return p.connect(ctx, target)
 		}
 		if conn.isOpen() {
 			return conn, nil
@@ -104,8 +106,10 @@
 	}
 }
 
-// take returns an idle connection, preferring one that has the same values.
-func (p *Pool) take(target placement.Database, values Variables) *Conn {
+// takeIdle removes an idle connection from the pool and returns it, preferring one
+// that has the same variables. It returns nil if there is none, or if the one
+// chosen leads to another address or to an earlier incarnation of the database.
+func (p *Pool) takeIdle(target placement.Database, variables Variables) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := p.idle[target.ID]
@@ -114,7 +118,7 @@
 	}
 	chosen := len(idle) - 1
 	for i := len(idle) - 1; i >= 0; i-- {
-		if idle[i].values.Equal(values) {
+		if idle[i].variables.Equal(variables) {
 			chosen = i
 			break
 		}
@@ -128,42 +132,44 @@
 	return conn
 }
 
-func (p *Pool) open(ctx context.Context, target placement.Database) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, openTimeout)
+func (p *Pool) connect(ctx context.Context, target placement.Database) (*Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	dialed, err := socket.Dial(ctx, "tcp", target.Address.String())
 	if err != nil {
 		return nil, &ConnectError{Database: target.ID, Cause: err}
 	}
-	if deadline, has := ctx.Deadline(); has {
+	if deadline, hasDeadline := ctx.Deadline(); hasDeadline {
 		_ = dialed.SetDeadline(deadline)
 	}
-	wire, err := p.protocol.Handshake(dialed, target)
+	codec, err := p.protocol.Handshake(dialed, target)
 	if err != nil {
 		_ = dialed.Close()
 		return nil, &ConnectError{Database: target.ID, Cause: err}
 	}
-	opened.Add(string(target.Group), 1)
-	return &Conn{target: target, net: dialed, wire: wire, prepared: map[string]string{}}, nil
+	connectionsOpened.Add(string(target.Group), 1)
+	return &Conn{target: target, net: dialed, codec: codec, prepared: map[string]string{}}, nil
 }
 
-// Put keeps a connection that is outside any transaction for its next use.
+// Put returns a connection to the pool. The connection must be outside any
+// transaction.
 func (p *Pool) Put(conn *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	conn.used = clock.Now()
+	conn.lastUsedAt = clock.Now()
 	p.idle[conn.target.ID] = append(p.idle[conn.target.ID], conn)
-	if used := conn.used; conn.target.HasScarceConnections {
-		time.AfterFunc(scarceKept, func() { p.discard(conn, used) })
+	if lastUsedAt := conn.lastUsedAt; conn.target.HasScarceConnections {
+		time.AfterFunc(scarceIdleTimeout, func() { p.closeUnused(conn, lastUsedAt) })
 	}
 }
 
-// discard closes a connection that was not used since a time.
-func (p *Pool) discard(conn *Conn, since time.Time) {
+// closeUnused closes an idle connection that was last used at the given time. It
+// leaves a connection alone that was used again since.
+func (p *Pool) closeUnused(conn *Conn, usedAt time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	idle := p.idle[conn.target.ID]
-	if i := slices.Index(idle, conn); i >= 0 && conn.used.Equal(since) {
+	if i := slices.Index(idle, conn); i >= 0 && conn.lastUsedAt.Equal(usedAt) {
 		p.idle[conn.target.ID] = slices.Delete(idle, i, i+1)
 		conn.Close()
 	}
@@ -179,26 +185,26 @@
 	delete(p.idle, id)
 }
 
-// EvictStale closes connections that were not used for a while, and those of
-// databases that keep reports as gone.
+// EvictStale closes connections that were not used for idleTimeout, and those of
+// databases for which keep returns false.
 func (p *Pool) EvictStale(keep func(model.DatabaseID) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := clock.Now()
 	for id, idle := range p.idle {
-		left := idle[:0]
+		remaining := idle[:0]
 		for _, conn := range idle {
-			if !keep(id) || now.Sub(conn.used) > idleKept {
+			if !keep(id) || now.Sub(conn.lastUsedAt) > idleTimeout {
 				go conn.Close()
 				continue
 			}
-			left = append(left, conn)
+			remaining = append(remaining, conn)
 		}
-		clear(idle[len(left):])
-		if len(left) == 0 {
+		clear(idle[len(remaining):])
+		if len(remaining) == 0 {
 			delete(p.idle, id)
 			continue
 		}
-		p.idle[id] = left
+		p.idle[id] = remaining
 	}
 }
--- a/internal/edge/backend/conn.go
+++ b/internal/edge/backend/conn.go
@@ -14,42 +14,42 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/statement"
 )
 
-// Variables are the values of a session, by name.
+// Variables are the variables of a session: their values by name.
 type Variables map[string]string
 
-// Equal reports whether two sessions have the same values.
+// Equal reports whether both have the same names and values.
 func (v Variables) Equal(other Variables) bool { return maps.Equal(v, other) }
 
-// Conn is one connection to a database. It is for one goroutine at a time.
+// Conn is one connection to a database. It may be used by one goroutine at a time.
 type Conn struct {
 	target placement.Database
 	net    net.Conn
-	wire   Codec
-	// values and prepared are what the connection has; prepared holds the name
-	// under which each access and shape is known.
-	values   Variables
-	prepared map[string]string
-	// names counts the names given to prepared statements.
-	names int
-	used  time.Time
+	codec  Codec
+	// variables are those set on the connection. prepared maps each prepared
+	// access and template to the statement's name on the connection.
+	variables Variables
+	prepared  map[string]string
+	// nameCount counts the nameCount given to prepared statements.
+	nameCount  int
+	lastUsedAt time.Time
 }
 
 // Target returns the database at the other end.
 func (c *Conn) Target() placement.Database { return c.target }
 
-// Exchange sends calls together and reads their answers until deadline, by the
-// process's own clock. The replies read before a failure are returned with it;
-// its errors are *ConnectionLostError.
-func (c *Conn) Exchange(timeout time.Duration, calls []statement.Request) ([]Reply, error) {
+// Exchange sends requests together and reads their answers. timeout bounds the
+// whole exchange, by the process's own clock. After a failure it returns the
+// replies read so far along with the error, which is a *ConnectionLostError.
+func (c *Conn) Exchange(timeout time.Duration, requests []statement.Request) ([]Reply, error) {
 	if err := c.net.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return nil, &ConnectionLostError{Database: c.target.ID, Cause: err}
 	}
-	if err := c.wire.Send(calls); err != nil {
+	if err := c.codec.Send(requests); err != nil {
 		return nil, &ConnectionLostError{Database: c.target.ID, Cause: err}
 	}
-	replies := make([]Reply, 0, len(calls))
-	for _, call := range calls {
-		reply, err := c.wire.Receive(call)
+	replies := make([]Reply, 0, len(requests))
+	for _, request := range requests {
+		reply, err := c.codec.Receive(request)
 		if err != nil {
 			return replies, &ConnectionLostError{Database: c.target.ID, Cause: err}
 		}
@@ -59,60 +59,63 @@
 	return replies, nil
 }
 
-// SyncVariables returns the calls that give the connection the values, and counts them
-// as done: where one fails, the connection has to be closed. Inside a
-// transaction nothing is cleared; a session's values only grow there.
-func (c *Conn) SyncVariables(values Variables, inTransaction bool) []statement.Request {
-	var calls []statement.Request
-	if !inTransaction && (c.hasForeign(values) || len(c.prepared) >= preparedKept) {
-		calls = append(calls, statement.Request{Statement: statement.Discard{}})
+// SyncVariables returns the requests that set the given variables on the
+// connection, and records them as carried out: if one of them fails, the
+// connection has to be closed. Inside a transaction the connection is not reset,
+// which is safe because a session can't remove a variable there.
+func (c *Conn) SyncVariables(variables Variables, inTransaction bool) []statement.Request {
+	var requests []statement.Request
+	if !inTransaction && (c.hasExtraVariables(variables) || len(c.prepared) >= maxPreparedStatements) {
+		requests = append(requests, statement.Request{Statement: statement.Discard{}})
 		clear(c.prepared)
-		c.values = nil
+		c.variables = nil
 	}
-	for name, value := range values {
-		if known, found := c.values[name]; found && known == value {
+	for name, value := range variables {
+		if current, found := c.variables[name]; found && current == value {
 			continue
 		}
-		if c.values == nil {
-			c.values = Variables{}
+		if c.variables == nil {
+			c.variables = Variables{}
 		}
-		c.values[name] = value
-		calls = append(calls, statement.Request{Statement: statement.Set{Name: name, Value: value}})
+		c.variables[name] = value
+		requests = append(requests, statement.Request{Statement: statement.Set{Name: name, Value: value}})
 	}
-	return calls
+	return requests
 }
 
-// hasForeign reports whether the connection has a value that is not among
-// values, which only clearing takes away.
-func (c *Conn) hasForeign(values Variables) bool {
-	for name := range c.values {
-		if _, found := values[name]; !found {
+// hasExtraVariables reports whether a variable is set on the connection that is not
+// among variables. Only a reset of the connection removes it.
+func (c *Conn) hasExtraVariables(variables Variables) bool {
+	for name := range c.variables {
+		if _, found := variables[name]; !found {
 			return true
 		}
 	}
 	return false
 }
 
-// EnsurePrepared returns the name under which the connection knows a statement, and
-// the call that prepares it where there is need of one.
-func (c *Conn) EnsurePrepared(wanted statement.Prepare) (string, []statement.Request) {
-	key := strconv.Itoa(int(wanted.Access)) + wanted.Template
+// EnsurePrepared returns the name of a prepared statement on the connection, and
+// the request that prepares it if the connection does not have it yet.
+func (c *Conn) EnsurePrepared(prepare statement.Prepare) (string, []statement.Request) {
+	key := strconv.Itoa(int(prepare.Access)) + prepare.Template
 	if name, found := c.prepared[key]; found {
 		return name, nil
 	}
-	c.names++
-	name := "s" + strconv.Itoa(c.names)
+	c.nameCount++
+	name := "s" + strconv.Itoa(c.nameCount)
 	c.prepared[key] = name
-	return name, []statement.Request{{Statement: statement.Prepare{Name: name, Access: wanted.Access, Template: wanted.Template}}}
+	return name, []statement.Request{{Statement: statement.Prepare{Name: name, Access: prepare.Access, Template: prepare.Template}}}
 }
 
-// Close closes the connection at once; the database rolls back what is open.
+// Close closes the connection at once. The database then rolls back an open
+// transaction.
 func (c *Conn) Close() { _ = c.net.Close() }
 
-// isOpen reports whether the other end has not closed the connection, as far
-// as this end knows: there is nothing to read from an idle connection.
+// isOpen reports whether the connection is still usable, as far as this end knows.
+// An open idle connection has nothing to read, so that data or end of file in the
+// receive buffer means that the connection can't be used.
 func (c *Conn) isOpen() bool {
-	// The deadline of the last exchange may have passed, and would end the look.
+	// The deadline of the last exchange may have passed, which would fail the read.
 	if c.net.SetDeadline(time.Time{}) != nil {
 		return false
 	}
@@ -126,15 +129,15 @@
 	}
 	open := false
 	err = control.Read(func(fd uintptr) bool {
-		var one [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		var peeked [1]byte
+		_, _, err := syscall.Recvfrom(int(fd), peeked[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		open = err == syscall.EAGAIN
 		return true
 	})
 	return err == nil && open
 }
 
-// ConnectError reports that no connection to a database could be opened.
+// ConnectError reports that a connection to a database could not be opened.
 type ConnectError struct {
 	Database model.DatabaseID
 	Cause    error
@@ -148,8 +151,8 @@
 // Unwrap returns the cause.
 func (e *ConnectError) Unwrap() error { return e.Cause }
 
-// ConnectionLostError reports that a connection to a database broke, or that an answer
-// did not come in time.
+// ConnectionLostError reports that a connection to a database broke, or that an
+// answer did not arrive in time.
 type ConnectionLostError struct {
 	Database model.DatabaseID
 	Cause    error
@@ -163,8 +166,8 @@
 // Unwrap returns the cause.
 func (e *ConnectionLostError) Unwrap() error { return e.Cause }
 
-// IsTimeout reports whether an answer did not come in time.
+// IsTimeout reports whether the cause is an answer that did not arrive in time.
 func (e *ConnectionLostError) IsTimeout() bool {
-	var failed net.Error
-	return errors.As(e.Cause, &failed) && failed.Timeout()
+	var netErr net.Error
+	return errors.As(e.Cause, &netErr) && netErr.Timeout()
 }
--- a/internal/edge/backend/pool_test.go
+++ b/internal/edge/backend/pool_test.go
@@ -11,37 +11,40 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/statement"
 )
 
-// lines is a protocol of one line a statement, answered by the same line.
-type lines struct{}
+// lineProtocol is a test protocol: a request is one line, and its answer is the
+// same line.
+type lineProtocol struct{}
 
 // Handshake implements Protocol.
-func (lines) Handshake(conn net.Conn, _ placement.Database) (Codec, error) {
-	return &lineWire{conn: conn, reader: bufio.NewReader(conn)}, nil
+func (lineProtocol) Handshake(conn net.Conn, _ placement.Database) (Codec, error) {
+	return &lineCodec{conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-type lineWire struct {
+type lineCodec struct {
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// Send implements Wire.
-func (w *lineWire) Send(calls []statement.Request) error {
-	for _, call := range calls {
-		if _, err := w.conn.Write([]byte(call.ID + "\n")); err != nil {
+// Send implements Codec.
+func (w *lineCodec) Send(requests []statement.Request) error {
+	for _, request := range requests {
+		if _, err := w.conn.Write([]byte(request.ID + "\n")); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Receive implements Wire.
-func (w *lineWire) Receive(statement.Request) (Reply, error) {
+// Receive implements Codec.
+func (w *lineCodec) Receive(statement.Request) (Reply, error) {
 	line, err := w.reader.ReadString('\n')
 	return Reply{Answer: statement.Answer{Signature: line}}, err
 }
 
-// echo listens for connections and sends each line back.
-func echo(t *testing.T) (netip.AddrPort, func()) {
+// startEchoServer starts a server that sends each line back. It returns the
+// server's address and a function that closes the next accepted connection, in the
+// order of acceptance.
+func startEchoServer(t *testing.T) (netip.AddrPort, func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -73,9 +76,11 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort(), func() { _ = (<-accepted).Close() }
 }
 
-// A connection that rested longer than its last statement was allowed to take is
-// used again, and one that the other end has closed is not.
-func TestRestedConnection(t *testing.T) {
+// Guards against the deadline of the last exchange staying set on an idle
+// connection: once it had passed, the check whether the connection is open failed
+// and the pool dropped a good connection. A connection that the other end has
+// closed must not be reused.
+func TestIdleConnectionReuse(t *testing.T) {
 	for name, c := range map[string]struct {
 		isClosed, isSame bool
 	}{
@@ -83,8 +88,8 @@
 		"closed": {true, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			address, closeOne := echo(t)
-			pool := NewPool(lines{})
+			address, closeOne := startEchoServer(t)
+			pool := NewPool(lineProtocol{})
 			target := placement.Database{ID: "a", Address: address}
 			conn, err := pool.Get(t.Context(), target, nil)
 			if err != nil {
@@ -104,34 +109,34 @@
 				t.Fatal(err)
 			}
 			if (next == conn) != c.isSame {
-				t.Errorf("the same connection: %v, want %v", next == conn, c.isSame)
+				t.Errorf("connection reused: %v, want %v", next == conn, c.isSame)
 			}
 		})
 	}
 }
 
-// A connection of which there are few is closed soon after its last use, and not
-// while it is used.
-func TestScarceConnectionIsGivenBack(t *testing.T) {
-	address, _ := echo(t)
-	pool := NewPool(lines{})
+// A scarce connection is closed soon after its last use, but not while it is in use
+// again when the timer of an earlier Put fires.
+func TestScarceConnectionIsClosedAfterUse(t *testing.T) {
+	address, _ := startEchoServer(t)
+	pool := NewPool(lineProtocol{})
 	target := placement.Database{ID: "a", Address: address, HasScarceConnections: true}
 	conn, err := pool.Get(t.Context(), target, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	pool.Put(conn)
-	if again, err := pool.Get(t.Context(), target, nil); err != nil || again != conn {
-		t.Fatalf("not used again at once: %v", err)
+	if reused, err := pool.Get(t.Context(), target, nil); err != nil || reused != conn {
+		t.Fatalf("the idle connection was not reused: %v", err)
 	}
-	time.Sleep(2 * scarceKept)
+	time.Sleep(2 * scarceIdleTimeout)
 	if _, err := conn.Exchange(time.Second, []statement.Request{{ID: "1"}}); err != nil {
-		t.Fatalf("closed while it was used: %v", err)
+		t.Fatalf("the connection was closed while in use: %v", err)
 	}
 	pool.Put(conn)
-	for end := time.Now().Add(10 * time.Second); conn.isOpen(); time.Sleep(scarceKept / 4) {
-		if time.Now().After(end) {
-			t.Fatal("kept although it is scarce")
+	for deadline := time.Now().Add(10 * time.Second); conn.isOpen(); time.Sleep(scarceIdleTimeout / 4) {
+		if time.Now().After(deadline) {
+			t.Fatal("the scarce connection was not closed after its last use")
 		}
 	}
 }
--- a/internal/edge/session/attempt.go
+++ b/internal/edge/session/attempt.go
@@ -17,76 +17,78 @@
 )
 
 const (
-	// waitShare is the part of a statement's time that it may wait for a seat;
-	// what is left is for running it.
-	waitShare = 0.8
-	// cutOffPatience is the longest wait for a seat while this instance is cut
-	// off and others are not: enough for a replica's seat.
-	cutOffPatience = 25 * time.Millisecond
-	// comeBack is the time after which a caller whose statement was refused for
-	// lack of room should come again: some dozen statements have ended by then.
-	comeBack = "retry after 250 ms"
-	// notProven says why a statement was refused whose database could not be
-	// shown to be the primary.
-	notProven = "no primary is proven; retry after 500 ms"
+	// queueShare is the part of a statement's timeout that it may spend waiting for
+	// a reservation; the rest is for running it.
+	queueShare = 0.8
+	// partitionedTimeout is the longest wait for a reservation while this instance
+	// is partitioned from the primary and other instances are not. It is long
+	// enough for a reservation at a replica.
+	partitionedTimeout = 25 * time.Millisecond
+	// retryAfterText gives the time after which a caller whose statement was not
+	// admitted should retry: about a dozen statements have ended by then.
+	retryAfterText = "retry after 250 ms"
+	// notConfirmedText is the message for a statement whose database could not be
+	// confirmed as the primary.
+	notConfirmedText = "no primary is confirmed; retry after 500 ms"
 )
 
-// visit is one attempt at a database: a seat with its connection.
-type visit struct {
-	seat placement.Reservation
-	conn *backend.Conn
-	sent time.Time
+// attempt is one attempt to run a statement: a reservation with its connection.
+type attempt struct {
+	reservation placement.Reservation
+	conn        *backend.Conn
+	sentAt      time.Time
 }
 
-// need describes to the scheduler what a statement that began at a time wants.
-func (s *session) need(a *asked, began time.Time, primary bool) placement.Requirements {
-	need := placement.Requirements{
-		Group:           a.route.Group,
-		Rank:            a.route.Rank,
-		ArrivedAt:       a.arrived,
-		RequiresPrimary: primary || a.route.Consistency == route.ConsistencyPrimary,
+// requirements returns the scheduling requirements of a statement. beganAt is the
+// time from which the route's maximum staleness counts.
+func (s *session) requirements(req *pendingRequest, beganAt time.Time, primary bool) placement.Requirements {
+	requirements := placement.Requirements{
+		Group:           req.route.Group,
+		Rank:            req.route.Rank,
+		ArrivedAt:       req.arrivedAt,
+		RequiresPrimary: primary || req.route.Consistency == route.ConsistencyPrimary,
 	}
-	if need.RequiresPrimary {
-		return need
+	if requirements.RequiresPrimary {
+		return requirements
 	}
-	need.AsOf = began.Add(-a.route.MaxStaleness)
-	need.Samples = s.server.options.Samples.SamplesOf(a.route.Group)
-	if a.route.Consistency == route.ConsistencyReadYourWrites {
-		need.MinPosition, need.MinPositionAsOf = s.floor, s.floorAt
+	requirements.AsOf = beganAt.Add(-req.route.MaxStaleness)
+	requirements.Samples = s.server.options.Samples.SamplesOf(req.route.Group)
+	if req.route.Consistency == route.ConsistencyReadYourWrites {
+		requirements.MinPosition, requirements.MinPositionAsOf = s.minPosition, s.minPositionAsOf
 	}
-	return need
+	return requirements
 }
 
-// enter gets a seat and a connection. Its failure says that nothing was sent.
-func (s *session) enter(a *asked, need placement.Requirements) (*visit, *statement.FailureError) {
-	patience := time.Duration(waitShare*float64(a.route.Timeout)) - clock.Since(a.arrived)
-	if s.server.options.PrimaryConfirmer.IsPartitioned(a.route.Group) {
-		if need.RequiresPrimary {
-			return nil, &statement.FailureError{Code: statement.CodeBusy, Message: "this instance is cut off; " + comeBack}
+// startAttempt gets a reservation and a connection. After a failure nothing was sent.
+func (s *session) startAttempt(req *pendingRequest, requirements placement.Requirements) (*attempt, *statement.FailureError) {
+	timeout := time.Duration(queueShare*float64(req.route.Timeout)) - clock.Since(req.arrivedAt)
+	if s.server.options.PrimaryConfirmer.IsPartitioned(req.route.Group) {
+		if requirements.RequiresPrimary {
+			return nil, &statement.FailureError{Code: statement.CodeBusy, Message: "this instance is partitioned from the primary; " + retryAfterText}
 		}
-		patience = min(patience, cutOffPatience)
+		timeout = min(timeout, partitionedTimeout)
 	}
-	ctx, cancel := context.WithTimeout(s.server.ctx, patience)
+	ctx, cancel := context.WithTimeout(s.server.ctx, timeout)
 	defer cancel()
-	began := clock.Now()
-	seat, err := s.server.options.Scheduler.Acquire(ctx, need)
-	a.waited += clock.Since(began)
+	queuedAt := clock.Now()
+	reservation, err := s.server.options.Scheduler.Acquire(ctx, requirements)
+	req.queuedFor += clock.Since(queuedAt)
 	if err != nil {
-		return nil, &statement.FailureError{Code: statement.CodeBusy, Message: "no database had room in time; " + comeBack}
+		return nil, &statement.FailureError{Code: statement.CodeBusy, Message: "no database had room in time; " + retryAfterText}
 	}
-	conn, err := s.server.options.Pool.Get(ctx, seat.Database, s.values)
+	conn, err := s.server.options.Pool.Get(ctx, reservation.Database, s.variables)
 	if err != nil {
-		failure := openFailure(err)
-		s.retried(a, seat, err.Error())
-		s.server.options.Scheduler.FinishStatement(seat, placement.Result{Outcome: endingOf(failure.Code, placement.OutcomeUnreachable)})
-		s.server.options.Scheduler.Release(seat)
+		failure := connectFailure(err)
+		s.logRetry(req, reservation, err.Error())
+		s.server.options.Scheduler.FinishStatement(reservation, placement.Result{Outcome: outcomeOfFailure(failure.Code, placement.OutcomeUnreachable)})
+		s.server.options.Scheduler.Release(reservation)
 		return nil, failure
 	}
-	return &visit{seat: seat, conn: conn}, nil
+	return &attempt{reservation: reservation, conn: conn}, nil
 }
 
-// openFailure returns why a connection was not opened.
-func openFailure(err error) *statement.FailureError {
+// connectFailure returns the failure for a connection that could not be opened.
+func connectFailure(err error) *statement.FailureError {
 	var failure *statement.FailureError
 	if errors.As(err, &failure) {
 		return failure
@@ -94,8 +96,9 @@
 	return &statement.FailureError{Code: statement.CodeBusy, Message: err.Error()}
 }
 
-// endingOf returns what a failure says of its database.
-func endingOf(code statement.Code, otherwise placement.Outcome) placement.Outcome {
+// outcomeOfFailure returns the placement outcome of a failure with the given code, or
+// fallback if the code tells nothing about the database.
+func outcomeOfFailure(code statement.Code, fallback placement.Outcome) placement.Outcome {
 	switch code {
 	case statement.CodeConnectionLimit:
 		return placement.OutcomeConnectionLimit
@@ -109,153 +112,158 @@
 		statement.CodeMalformed, statement.CodeGroupNotFound, statement.CodeExecutionFailed, statement.CodeTimeout,
 		statement.CodeOutcomeUnknown, statement.CodeUnrecognized:
 	}
-	return otherwise
+	return fallback
 }
 
-// run sends a statement, behind what brings the connection into the session's
-// state, and returns the reply to it. A nil reply means that the connection was
-// lost. With begin, the transaction is opened first, and its failure is
-// returned in place of the statement's: sent together, the statement would run
-// outside of a transaction that was refused.
-func (s *session) run(a *asked, v *visit, begin *statement.Request, timeout time.Duration) (*backend.Reply, error) {
-	inside := begin == nil && s.transaction != nil
-	calls := v.conn.SyncVariables(s.values, inside)
-	v.sent = clock.Now()
+// sendStatement sends a statement, preceded by the requests that synchronize the
+// connection with the session, and returns the reply to it. A nil reply means that
+// the connection was lost. With begin, the transaction is opened in an exchange of
+// its own, and a failure of it is returned in place of the statement's reply: if
+// both were sent together and the database refused BEGIN, the statement would run
+// outside a transaction.
+func (s *session) sendStatement(req *pendingRequest, att *attempt, begin *statement.Request, timeout time.Duration) (*backend.Reply, error) {
+	inTransaction := begin == nil && s.transaction != nil
+	requests := att.conn.SyncVariables(s.variables, inTransaction)
+	att.sentAt = clock.Now()
 	if begin != nil {
-		opened, err := exchange(v.conn, append(calls, *begin), timeout)
-		if err != nil || opened.Failure != nil {
-			return opened, err
+		beginReply, err := exchange(att.conn, append(requests, *begin), timeout)
+		if err != nil || beginReply.Failure != nil {
+			return beginReply, err
 		}
-		timeout -= clock.Since(v.sent)
-		calls = nil
+		timeout -= clock.Since(att.sentAt)
+		requests = nil
 	}
-	wanted := a.Statement
-	if execute, is := wanted.(statement.Execute); is {
-		name, prepare := v.conn.EnsurePrepared(s.prepared[execute.Name])
-		calls = append(calls, prepare...)
-		wanted = statement.Execute{Name: name, Arguments: execute.Arguments}
+	toSend := req.Statement
+	if execute, is := toSend.(statement.Execute); is {
+		name, prepare := att.conn.EnsurePrepared(s.prepared[execute.Name])
+		requests = append(requests, prepare...)
+		toSend = statement.Execute{Name: name, Arguments: execute.Arguments}
 	}
-	call := statement.Request{ID: a.ID, Statement: wanted}
+	request := statement.Request{ID: req.ID, Statement: toSend}
 	if s.transaction == nil {
-		call.MinPosition = v.seat.MinPosition
+		request.MinPosition = att.reservation.MinPosition
 	}
-	return exchange(v.conn, append(calls, call), timeout)
+	return exchange(att.conn, append(requests, request), timeout)
 }
 
-// exchange sends calls together and returns the reply to the last one, or to the
-// first that failed: what comes behind a failure ran in another state than it
-// was meant for.
-func exchange(conn *backend.Conn, calls []statement.Request, timeout time.Duration) (*backend.Reply, error) {
-	replies, err := conn.Exchange(timeout, calls)
+// exchange sends requests together and returns the reply to the last one, or to the
+// first that failed: a request after a failed one did not run in the intended
+// state of the connection.
+func exchange(conn *backend.Conn, requests []statement.Request, timeout time.Duration) (*backend.Reply, error) {
+	replies, err := conn.Exchange(timeout, requests)
 	for i := range replies {
-		if replies[i].Failure != nil || i == len(calls)-1 {
+		if replies[i].Failure != nil || i == len(requests)-1 {
 			return &replies[i], nil
 		}
 	}
 	return nil, err
 }
 
-// finish tells the scheduler how a visit's statement ended; wrote says that only
-// a primary carries it out.
-func (s *session) finish(v *visit, wrote bool, reply *backend.Reply, err error) {
-	result := placement.Result{Outcome: placement.OutcomeAnswered, Elapsed: clock.Since(v.sent)}
+// reportOutcome reports the outcome of an attempt's statement to the scheduler. wrote
+// is set for a statement that only a primary carries out.
+func (s *session) reportOutcome(att *attempt, wrote bool, reply *backend.Reply, err error) {
+	result := placement.Result{Outcome: placement.OutcomeAnswered, Elapsed: clock.Since(att.sentAt)}
 	switch {
 	case reply == nil:
 		result.Outcome = placement.OutcomeConnectionLost
 		var lost *backend.ConnectionLostError
 		if errors.As(err, &lost) && lost.IsTimeout() {
-			// The database is silent or slow; the scheduler sees that by itself.
+			// The database is unresponsive or slow, which the scheduler detects
+			// itself.
 			result.Outcome = placement.OutcomeNotSent
 		}
 	case reply.Failure == nil && wrote:
 		result.Outcome = placement.OutcomeWritten
 	case reply.Failure != nil:
-		result.Outcome = endingOf(reply.Failure.Code, placement.OutcomeAnswered)
+		result.Outcome = outcomeOfFailure(reply.Failure.Code, placement.OutcomeAnswered)
 		if reply.Failure.Code == statement.CodeBusy {
 			result.Outcome = placement.OutcomeBusy
 		}
-		result.Lag = clock.Since(v.seat.MinPositionAsOf)
+		result.Lag = clock.Since(att.reservation.MinPositionAsOf)
 	}
 	if reply != nil {
 		result.Position = reply.Position
 	}
-	s.server.options.Scheduler.FinishStatement(v.seat, result)
+	s.server.options.Scheduler.FinishStatement(att.reservation, result)
 }
 
-// leave ends a visit: its connection is kept where it is in good order.
-func (s *session) leave(v *visit, keep bool) {
-	if keep {
-		s.server.options.Pool.Put(v.conn)
+// endAttempt releases an attempt's reservation. Its connection returns to the pool if
+// it is reusable, and is closed otherwise.
+func (s *session) endAttempt(att *attempt, reusable bool) {
+	if reusable {
+		s.server.options.Pool.Put(att.conn)
 	} else {
-		v.conn.Close()
+		att.conn.Close()
 	}
-	s.server.options.Scheduler.Release(v.seat)
+	s.server.options.Scheduler.Release(att.reservation)
 }
 
-// prove waits until it is known whether the database of a visit was the primary
-// when it answered.
-func (s *session) prove(a *asked, v *visit, reply *backend.Reply) lease.Validity {
-	wait := a.remaining()
-	if _, reads := a.Statement.(statement.Read); reads && s.server.options.PrimaryConfirmer.IsPartitioned(a.route.Group) {
-		wait = min(wait, cutOffPatience)
+// confirmPrimary waits until it is known whether the database of an attempt was the
+// primary when it answered, within the statement's remaining time.
+func (s *session) confirmPrimary(req *pendingRequest, att *attempt, reply *backend.Reply) lease.Validity {
+	timeout := req.remaining()
+	if _, isRead := req.Statement.(statement.Read); isRead && s.server.options.PrimaryConfirmer.IsPartitioned(req.route.Group) {
+		timeout = min(timeout, partitionedTimeout)
 	}
-	ctx, cancel := context.WithTimeout(s.server.ctx, wait)
+	ctx, cancel := context.WithTimeout(s.server.ctx, timeout)
 	defer cancel()
-	verdict := s.server.options.PrimaryConfirmer.ConfirmPrimary(ctx, v.seat.Grant, reply.ReceivedAt)
-	if verdict == lease.ValidityConfirmed && !reply.Position.IsZero() {
-		s.server.options.Samples.SamplesOf(a.route.Group).Add(v.sent, reply.Position)
+	validity := s.server.options.PrimaryConfirmer.ConfirmPrimary(ctx, att.reservation.Grant, reply.ReceivedAt)
+	if validity == lease.ValidityConfirmed && !reply.Position.IsZero() {
+		s.server.options.Samples.SamplesOf(req.route.Group).Add(att.sentAt, reply.Position)
 	}
-	return verdict
+	return validity
 }
 
 // -----------------------------------------------------------------------------
 // Log lines.
 
-func (s *session) retried(a *asked, seat placement.Reservation, why string) {
-	s.server.note(event.StatementRetried,
-		event.F("request", a.ID), event.F("route", a.route.Name), event.F("database", seat.Database.ID),
-		event.F("epoch", seat.Grant.Epoch), event.F("why", why), event.F("attempt", a.attempts))
+func (s *session) logRetry(req *pendingRequest, reservation placement.Reservation, reason string) {
+	s.server.logEvent(event.StatementRetried,
+		event.F("request", req.ID), event.F("route", req.route.Name), event.F("database", reservation.Database.ID),
+		event.F("epoch", reservation.Grant.Epoch), event.F("why", reason), event.F("attempt", req.attempts))
 }
 
-// measure takes the time of a statement, and its part in queues, into the
+// observeMetrics adds a statement's duration and its time in queues to the
 // histograms: by route, and by rank and group.
-func (s *session) measure(a *asked, outcome string) {
-	took := clock.Since(a.arrived)
-	by := strconv.Itoa(int(a.route.Rank)) + "/" + string(a.route.Group)
-	metrics.Observe("statements", a.route.Name+"/"+outcome, took)
-	metrics.Observe("ranks", by+"/"+outcome, took)
-	metrics.Observe("waits", by, a.waited)
+func (s *session) observeMetrics(req *pendingRequest, outcome string) {
+	elapsed := clock.Since(req.arrivedAt)
+	rankAndGroup := strconv.Itoa(int(req.route.Rank)) + "/" + string(req.route.Group)
+	metrics.Observe("statements", req.route.Name+"/"+outcome, elapsed)
+	metrics.Observe("ranks", rankAndGroup+"/"+outcome, elapsed)
+	metrics.Observe("waits", rankAndGroup, req.queuedFor)
 }
 
-// succeeded logs an answer that goes to the caller.
-func (s *session) succeeded(a *asked, v *visit, reply *backend.Reply, proof string) {
-	s.measure(a, "ok")
+// logAnswer logs a successful answer to the caller. proof is the log field that says
+// why the answer is valid.
+func (s *session) logAnswer(req *pendingRequest, att *attempt, reply *backend.Reply, proof string) {
+	s.observeMetrics(req, "ok")
 	age := time.Duration(0)
-	if !v.seat.MinPositionAsOf.IsZero() {
-		age = clock.Since(v.seat.MinPositionAsOf)
+	if !att.reservation.MinPositionAsOf.IsZero() {
+		age = clock.Since(att.reservation.MinPositionAsOf)
 	}
-	s.server.note(event.StatementAnswered,
-		event.F("request", a.ID), event.F("route", a.route.Name), event.F("statement", nameOf(a.Statement)),
-		event.F("database", v.seat.Database.ID), event.F("primary", v.seat.IsPrimary),
-		event.F("epoch", v.seat.Grant.Epoch), event.F("after", v.seat.MinPosition.String()), event.F("age", age.String()),
-		event.F("position", reply.Position.String()), event.F("proof", proof), event.F("attempts", a.attempts),
-		event.F("waited", a.waited.String()), event.F("took", clock.Since(a.arrived).String()))
+	s.server.logEvent(event.StatementAnswered,
+		event.F("request", req.ID), event.F("route", req.route.Name), event.F("statement", statementName(req.Statement)),
+		event.F("database", att.reservation.Database.ID), event.F("primary", att.reservation.IsPrimary),
+		event.F("epoch", att.reservation.Grant.Epoch), event.F("after", att.reservation.MinPosition.String()), event.F("age", age.String()),
+		event.F("position", reply.Position.String()), event.F("proof", proof), event.F("attempts", req.attempts),
+		event.F("waited", req.queuedFor.String()), event.F("took", clock.Since(req.arrivedAt).String()))
 }
 
-// refused logs a failure that goes to the caller, and returns the answer.
-func (s *session) refused(a *asked, seat placement.Reservation, failure *statement.FailureError, state statement.TransactionState) statement.Answer {
-	s.measure(a, failure.Code.String())
-	s.server.note(event.StatementFailed,
-		event.F("request", a.ID), event.F("route", a.route.Name), event.F("statement", nameOf(a.Statement)),
+// logFailure logs a failure that is returned to the caller, and returns the answer
+// with it.
+func (s *session) logFailure(req *pendingRequest, reservation placement.Reservation, failure *statement.FailureError, state statement.TransactionState) statement.Answer {
+	s.observeMetrics(req, failure.Code.String())
+	s.server.logEvent(event.StatementFailed,
+		event.F("request", req.ID), event.F("route", req.route.Name), event.F("statement", statementName(req.Statement)),
 		event.F("code", failure.Code.String()), event.F("text", failure.Message),
-		event.F("database", seat.Database.ID), event.F("epoch", seat.Grant.Epoch),
-		event.F("attempts", a.attempts), event.F("waited", a.waited.String()),
-		event.F("took", clock.Since(a.arrived).String()))
+		event.F("database", reservation.Database.ID), event.F("epoch", reservation.Grant.Epoch),
+		event.F("attempts", req.attempts), event.F("waited", req.queuedFor.String()),
+		event.F("took", clock.Since(req.arrivedAt).String()))
 	return statement.Answer{Failure: failure, TransactionState: state}
 }
 
-// nameOf names a statement for log lines.
-func nameOf(s statement.Statement) string {
+// statementName returns the name of a statement's type for log lines.
+func statementName(s statement.Statement) string {
 	switch s.(type) {
 	case statement.Read:
 		return "read"
--- a/internal/edge/session/server.go
+++ b/internal/edge/session/server.go
@@ -22,48 +22,53 @@
 )
 
 const (
-	// greetTimeout bounds the wait for a caller's introduction.
-	greetTimeout = 10 * time.Second
-	// shedAfter is how long a session must have been idle to be shed: a caller
-	// that has just connected is about to ask.
-	shedAfter = 250 * time.Millisecond
-	// drainPause is the time between two looks whether any session is left.
-	drainPause = 20 * time.Millisecond
-	// acceptPause is the pause after a failure to accept a connection, such as
-	// too many open files.
-	acceptPause = 50 * time.Millisecond
+	// startupTimeout bounds the wait for a caller's startup message.
+	startupTimeout = 10 * time.Second
+	// minIdleTime is how long a session must have been idle before
+	// CloseIdleSessions closes it: a caller that has just connected is about to
+	// send a request.
+	minIdleTime = 250 * time.Millisecond
+	// drainPollInterval is the time between two checks whether a session remains.
+	drainPollInterval = 20 * time.Millisecond
+	// acceptRetryDelay is the delay after a connection could not be accepted, for
+	// example because of too many open files.
+	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// Router tells what the names stand for that callers connect to.
+// Router maps the names that callers connect to onto routes.
 type Router interface {
-	// Route returns the route of a name that is in force.
+	// Route returns the route of a name in the configuration in force.
 	Route(name string) (route.Route, bool)
-	// ConfirmRoute waits until it is certain whether a name has a route, and reports
-	// whether that could be known soon.
+	// ConfirmRoute waits until it is certain whether a name has a route. isCertain
+	// is false if that could not be determined within a short time.
 	ConfirmRoute(ctx context.Context, name string) (found, isCertain bool)
-	// IdleTransactionTimeout is how long a transaction may rest; zero sets no limit.
+	// IdleTransactionTimeout returns how long a transaction may be idle; zero means
+	// without limit.
 	IdleTransactionTimeout() time.Duration
-	// ConfigurationVersion is the version of the configuration in force.
+	// ConfigurationVersion returns the version of the configuration in force.
 	ConfigurationVersion() uint64
 }
 
-// PrimaryConfirmer tells whether a database was the primary when it answered.
+// PrimaryConfirmer determines whether a database was the primary when it answered.
 type PrimaryConfirmer interface {
-	// ConfirmPrimary waits for the verdict until ctx ends.
+	// ConfirmPrimary returns the validity of a grant for an answer received at the
+	// given time. It waits until the validity is known or ctx ends.
 	ConfirmPrimary(ctx context.Context, grant lease.Grant, answered time.Time) lease.Validity
-	// IsPartitioned reports whether this instance can use a group's primary less than
-	// others can: a caller does better to come again, to another instance.
+	// IsPartitioned reports whether this instance is partitioned from a group's
+	// primary while other instances are not, so that callers should connect to
+	// another instance.
 	IsPartitioned(group model.GroupID) bool
-	// ReportSuspectedPrimary says that a group's primary did not do what a primary does.
+	// ReportSuspectedPrimary reports that a group's primary did not answer or
+	// refused a statement that a primary accepts.
 	ReportSuspectedPrimary(group model.GroupID)
 }
 
-// SampleSource holds the samples of all groups.
+// SampleSource provides the position samples of each group.
 type SampleSource interface {
 	SamplesOf(group model.GroupID) *fresh.PositionSamples
 }
 
-// Options are what a Server needs.
+// Options are the dependencies and settings of a Server.
 type Options struct {
 	ListenAddress    netip.AddrPort
 	Protocol         Protocol
@@ -79,42 +84,43 @@
 type Server struct {
 	options Options
 	ctx     context.Context
-	// running counts the goroutines.
-	running sync.WaitGroup
+	// goroutines counts the goroutines that the end of the server waits for.
+	goroutines sync.WaitGroup
 
 	mu       sync.Mutex
-	sessions map[*session]*rest
-	// leaving says that idle sessions are closed.
-	leaving bool
+	sessions map[*session]*record
+	// draining is set once sessions are closed whenever they are idle.
+	draining bool
 }
 
-// phase tells what a session is doing.
+// phase is the current activity of a session.
 type phase int
 
 // The values of phase.
 const (
 	phaseServing phase = iota
-	// phaseResting: it waits for a request, outside any transaction.
-	phaseResting
-	// phaseOpen: it waits for a request, inside a transaction.
-	phaseOpen
+	// phaseIdle: the session waits for a request, outside any transaction.
+	phaseIdle
+	// phaseIdleInTransaction: the session waits for a request, inside a transaction.
+	phaseIdleInTransaction
 )
 
-// rest is what a session is doing, since when.
-type rest struct {
+// record is the current phase of a session and the time at which it began.
+type record struct {
 	phase phase
 	since time.Time
-	// told says that the session was told to end.
-	told bool
+	// endRequested is set when the server has interrupted the wait for a request
+	// in order to end the session.
+	endRequested bool
 }
 
 // NewServer returns a server that does not listen yet.
 func NewServer(options Options) *Server {
-	return &Server{options: options, sessions: map[*session]*rest{}}
+	return &Server{options: options, sessions: map[*session]*record{}}
 }
 
-// Start listens until ctx ends. The channel gets the end of the server, after
-// that of all sessions.
+// Start listens until ctx ends. The channel receives a value once the server and
+// all of its sessions have ended.
 func (s *Server) Start(ctx context.Context) (<-chan error, error) {
 	var config net.ListenConfig
 	listener, err := config.Listen(ctx, "tcp", s.options.ListenAddress.String())
@@ -125,21 +131,21 @@
 	ended := make(chan error, 1)
 	go func() {
 		<-ctx.Done()
-		// The listener ends with the context; its error would say just that.
+		// The listener is closed because the context ended; an error adds nothing.
 		_ = listener.Close()
 		s.closeAll()
-		s.running.Wait()
+		s.goroutines.Wait()
 		ended <- nil
 	}()
 	s.spawn(func() { s.accept(listener) })
 	return ended, nil
 }
 
-// spawn runs a goroutine that the end of the server waits for.
+// spawn starts a goroutine that the end of the server waits for.
 func (s *Server) spawn(run func()) {
-	s.running.Add(1)
+	s.goroutines.Add(1)
 	go func() {
-		defer s.running.Done()
+		defer s.goroutines.Done()
 		run()
 	}()
 }
@@ -154,157 +160,159 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		s.note(event.NameRefused, event.F("name", ""), event.F("why", err.Error()), event.F("version", 0))
-		time.Sleep(acceptPause)
+		s.logEvent(event.NameRefused, event.F("name", ""), event.F("why", err.Error()), event.F("version", 0))
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-func (s *Server) note(e event.Event, fields ...event.Field) {
+func (s *Server) logEvent(e event.Event, fields ...event.Field) {
 	s.options.Log.Write(time.Now(), e, fields...)
 }
 
 // -----------------------------------------------------------------------------
 // Sessions.
 
-// serve serves one caller from its introduction to its end.
+// serve serves one caller from its startup message to the end of its connection.
 func (s *Server) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
-	ses := &session{server: s, conn: conn, wire: s.options.Protocol.NewCodec(conn)}
-	_ = conn.SetReadDeadline(time.Now().Add(greetTimeout))
-	greeting, err := ses.wire.ReadStartup()
+	ses := &session{server: s, conn: conn, codec: s.options.Protocol.NewCodec(conn)}
+	_ = conn.SetReadDeadline(time.Now().Add(startupTimeout))
+	startup, err := ses.codec.ReadStartup()
 	if err != nil {
 		return
 	}
-	ses.name = greeting.RouteName
+	ses.routeName = startup.RouteName
 	_ = conn.SetWriteDeadline(time.Now().Add(replyTimeout))
-	if found, isCertain := s.options.Router.ConfirmRoute(s.ctx, greeting.RouteName); !found {
-		failure := &statement.FailureError{Code: statement.CodeGroupNotFound, Message: "no route has the name " + greeting.RouteName}
+	if found, isCertain := s.options.Router.ConfirmRoute(s.ctx, startup.RouteName); !found {
+		failure := &statement.FailureError{Code: statement.CodeGroupNotFound, Message: "no route has the name " + startup.RouteName}
 		if !isCertain {
-			failure = &statement.FailureError{Code: statement.CodeBusy, Message: "the configuration is not known yet; " + comeBack}
+			failure = &statement.FailureError{Code: statement.CodeBusy, Message: "the configuration is not known yet; " + retryAfterText}
 		}
-		s.note(event.NameRefused, event.F("name", greeting.RouteName), event.F("why", failure.Message),
+		s.logEvent(event.NameRefused, event.F("name", startup.RouteName), event.F("why", failure.Message),
 			event.F("version", s.options.Router.ConfigurationVersion()))
-		_ = ses.wire.WriteRejection(failure)
+		_ = ses.codec.WriteRejection(failure)
 		return
 	}
-	if ses.wire.WriteReady() != nil {
+	if ses.codec.WriteReady() != nil {
 		return
 	}
-	defer ses.end()
-	for ses.turn() {
+	defer ses.cleanUp()
+	for ses.serveRequest() {
 	}
 }
 
-// turn serves one request and reports whether the session goes on.
-func (ses *session) turn() bool {
-	if !ses.await() {
+// serveRequest serves one request and reports whether the session continues.
+func (ses *session) serveRequest() bool {
+	if !ses.awaitRequest() {
 		return false
 	}
-	arrived := clock.Now()
+	arrivedAt := clock.Now()
 	_ = ses.conn.SetReadDeadline(time.Now().Add(requestTimeout))
-	request, err := ses.wire.ReadRequest()
+	request, err := ses.codec.ReadRequest()
 	if err != nil {
 		return false
 	}
-	answer := ses.handle(request, arrived)
+	answer := ses.handle(request, arrivedAt)
 	_ = ses.conn.SetWriteDeadline(time.Now().Add(replyTimeout))
-	return ses.wire.WriteAnswer(answer) == nil
+	return ses.codec.WriteAnswer(answer) == nil
 }
 
-// await waits for the next request and reports whether there is one. A
-// transaction that rests too long is rolled back.
-func (ses *session) await() bool {
+// awaitRequest waits for the next request and reports whether there is one. It rolls
+// back a transaction that is idle for longer than the limit.
+func (ses *session) awaitRequest() bool {
 	for {
 		limit := ses.server.options.Router.IdleTransactionTimeout()
-		bounded := limit > 0 && ses.transaction != nil && !ses.transaction.failed
-		if !ses.server.rest(ses, limit, bounded) {
+		isLimited := limit > 0 && ses.transaction != nil && !ses.transaction.failed
+		if !ses.server.record(ses, limit, isLimited) {
 			return false
 		}
-		err := ses.wire.AwaitRequest()
-		left := ses.server.wake(ses)
+		err := ses.codec.AwaitRequest()
+		endRequested := ses.server.stopWaiting(ses)
 		switch {
 		case err == nil:
 			return true
-		case !errors.Is(err, os.ErrDeadlineExceeded) || left:
+		case !errors.Is(err, os.ErrDeadlineExceeded) || endRequested:
 			return false
-		case bounded:
-			ses.interrupt("it rested longer than the limit")
+		case isLimited:
+			ses.abortIdleTransaction("the transaction was idle for longer than the limit")
 		}
 	}
 }
 
-// end gives back what the session still holds.
-func (ses *session) end() {
+// cleanUp rolls back an open transaction and removes the session from the server.
+func (ses *session) cleanUp() {
 	if ses.transaction != nil {
-		ses.endTransaction()
+		ses.rollBackTransaction()
 	}
 	ses.server.mu.Lock()
 	delete(ses.server.sessions, ses)
 	ses.server.mu.Unlock()
 }
 
-// rest notes that a session waits for a request, and reports whether it may.
-func (s *Server) rest(ses *session, limit time.Duration, bounded bool) bool {
+// record records that a session starts to wait for a request, and sets the deadline
+// of the wait. It returns false if the session has to end because the server is
+// draining.
+func (s *Server) record(ses *session, limit time.Duration, isLimited bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.leaving && ses.transaction == nil {
+	if s.draining && ses.transaction == nil {
 		return false
 	}
 	deadline := time.Time{}
-	if bounded {
+	if isLimited {
 		deadline = time.Now().Add(limit)
 	}
 	_ = ses.conn.SetReadDeadline(deadline)
-	now := &rest{phase: phaseResting, since: clock.Now()}
+	waiting := &record{phase: phaseIdle, since: clock.Now()}
 	if ses.transaction != nil {
-		now.phase = phaseOpen
+		waiting.phase = phaseIdleInTransaction
 	}
-	s.sessions[ses] = now
+	s.sessions[ses] = waiting
 	return true
 }
 
-// wake notes that a session no longer waits, and reports whether it was told to
-// end meanwhile.
-func (s *Server) wake(ses *session) bool {
+// stopWaiting records that a session no longer waits for a request, and reports
+// whether the server has requested the session's end in the meantime.
+func (s *Server) stopWaiting(ses *session) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	told := s.sessions[ses].told
-	s.sessions[ses] = &rest{phase: phaseServing}
-	return told
+	endRequested := s.sessions[ses].endRequested
+	s.sessions[ses] = &record{phase: phaseServing}
+	return endRequested
 }
 
-// StartDraining closes idle sessions, now and whenever one becomes idle.
+// StartDraining closes idle sessions, now and as soon as another becomes idle.
 func (s *Server) StartDraining() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving = true
-	s.endResting(0)
+	s.draining = true
+	s.endIdle(0)
 }
 
-// CloseIdleSessions closes the sessions that are idle for a moment: their callers connect
-// again, to an instance that is ready.
+// CloseIdleSessions closes the sessions that have been idle for minIdleTime, so that
+// their callers reconnect to an instance that is ready.
 func (s *Server) CloseIdleSessions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.endResting(shedAfter)
+	s.endIdle(minIdleTime)
 }
 
-// endResting ends the sessions that have been idle for a time. The server is
-// locked.
-func (s *Server) endResting(after time.Duration) {
+// endIdle ends the sessions that have been idle for idleTime or longer. The caller
+// holds s.mu.
+func (s *Server) endIdle(idleTime time.Duration) {
 	now := clock.Now()
-	for ses, r := range s.sessions {
-		if r.phase == phaseResting && now.Sub(r.since) >= after {
-			r.told = true
+	for ses, current := range s.sessions {
+		if current.phase == phaseIdle && now.Sub(current.since) >= idleTime {
+			current.endRequested = true
 			_ = ses.conn.SetReadDeadline(time.Unix(1, 0))
 		}
 	}
 }
 
-// AwaitDrained waits until no session is left, for limit at most.
+// AwaitDrained waits until no session remains, for limit at most.
 func (s *Server) AwaitDrained(limit time.Duration) {
-	for end := time.Now().Add(limit); time.Now().Before(end) && s.SessionCount() > 0; {
-		time.Sleep(drainPause)
+	for deadline := time.Now().Add(limit); time.Now().Before(deadline) && s.SessionCount() > 0; {
+		time.Sleep(drainPollInterval)
 	}
 }
 
@@ -324,7 +332,7 @@
 	}
 }
 
-// ListenError reports an address that could not be listened at.
+// ListenError reports that the server could not listen on an address.
 type ListenError struct {
 	Address netip.AddrPort
 	Cause   error
@@ -332,7 +340,7 @@
 
 // Error implements error.
 func (e *ListenError) Error() string {
-	return "could not listen at " + e.Address.String() + ": " + e.Cause.Error()
+	return "could not listen on " + e.Address.String() + ": " + e.Cause.Error()
 }
 
 // Unwrap returns the cause.
--- a/internal/edge/session/session.go
+++ b/internal/edge/session/session.go
@@ -1,32 +1,33 @@
-// Package session serves callers' sessions: it knows statements and answers, and
-// no protocol.
+// Package session serves callers' sessions. It works on statements and answers,
+// independently of the callers' protocol.
 //
 // # What flows in and out
 //
-// Callers' connections flow in; a Protocol reads statements from them and writes
-// answers. Each statement gets a seat from the scheduler and runs on a
-// connection from the pool; its answer flows back once it is known to hold:
+// The input is callers' connections. A Protocol reads statements from them and
+// writes answers. Each statement gets a reservation from the scheduler and runs on
+// a connection from the pool. Its answer is returned once it is known to be valid:
 //
-//	primary   what the primary answered is held until the leases prove that it
-//	          was the primary then
-//	replica   the statement names the position that the replica's log must have
-//	          reached, so that the answer itself proves its age
+//	primary   the answer is held until the leases confirm that the database was
+//	          the primary at that time
+//	replica   the statement carries the minimum position that the replica's log
+//	          must have reached, so that the answer is known to be fresh enough
 //
-// Values and prepared statements are the session's; connections are brought
-// into its state before each statement. A transaction keeps its connection from
-// its first statement to its end.
+// Variables and prepared statements belong to the session. A connection is
+// synchronized with them before each statement. A transaction keeps its connection
+// from its first statement to its end.
 //
-// Three results are never blurred: done, not run, outcome unknown. What is not
-// run is tried again here as long as the route's time-out allows, and then
-// refused with the time after which to come back.
+// A statement has one of three results, which are always kept apart: executed, not
+// executed, outcome unknown. A statement that was not executed is retried as long
+// as the route's timeout allows. After that it is rejected with the time after
+// which the caller should retry.
 //
 // # How it is laid out
 //
-//	server.go       listening, ends, drain
-//	session.go      one session: its state, and which statement does what
+//	server.go       listening, closing and draining sessions
+//	session.go      one session: its state, and the dispatch of statements
 //	single.go       statements outside transactions
 //	transaction.go  transactions
-//	attempt.go      one attempt at a database, and what its end means
+//	attempt.go      one attempt to run a statement at a database
 //
 // # Usage
 //
@@ -46,15 +47,14 @@
 )
 
 const (
-	// replyTimeout bounds the writing of one answer to a caller that does not
-	// read.
+	// replyTimeout bounds the writing of one answer, for callers that do not read.
 	replyTimeout = 5 * time.Second
 	// requestTimeout bounds the reading of one request, from its first byte to
 	// its last.
 	requestTimeout = 10 * time.Second
 )
 
-// StartupMessage is how a caller introduces itself.
+// StartupMessage is the first message of a caller.
 type StartupMessage struct{ RouteName, User string }
 
 // Request is one statement of a caller.
@@ -63,19 +63,19 @@
 	Statement statement.Statement
 }
 
-// Protocol speaks to callers.
+// Protocol creates the codecs for callers' connections.
 type Protocol interface {
 	NewCodec(conn net.Conn) Codec
 }
 
 // Codec reads requests and writes answers on one caller's connection.
 type Codec interface {
-	// AwaitRequest waits for the first byte of a request and takes nothing in.
+	// AwaitRequest waits for the first byte of a request without consuming it.
 	AwaitRequest() error
-	// ReadStartup reads the caller's introduction, Next its next request.
+	// ReadStartup reads the startup message, ReadRequest the next request.
 	ReadStartup() (StartupMessage, error)
 	ReadRequest() (Request, error)
-	// WriteReady accepts the caller, Refuse tells why not.
+	// WriteReady accepts the caller. WriteRejection rejects it with the reason.
 	WriteReady() error
 	WriteRejection(failure *statement.FailureError) error
 	// WriteAnswer answers the request read last.
@@ -84,89 +84,93 @@
 
 // session is one caller's connection.
 type session struct {
-	server *Server
-	conn   net.Conn
-	wire   Codec
-	name   string
-	// values and prepared are what the caller was told that the session has.
-	values   backend.Variables
-	prepared map[string]statement.Prepare
-	// floor is the last position that the session wrote, at floorAt.
-	floor   model.Position
-	floorAt time.Time
-	// transaction is nil outside of one.
+	server    *Server
+	conn      net.Conn
+	codec     Codec
+	routeName string
+	// variables and prepared are the variables and prepared statements that the
+	// caller has set, as acknowledged to it.
+	variables backend.Variables
+	prepared  map[string]statement.Prepare
+	// minPosition is the newest position that the session has written, and
+	// minPositionAsOf the time at which it was recorded.
+	minPosition     model.Position
+	minPositionAsOf time.Time
+	// transaction is the open transaction, or nil.
 	transaction *transaction
 }
 
-// asked is a request on its way through the session.
-type asked struct {
+// pendingRequest is a request that has not been answered yet.
+type pendingRequest struct {
 	Request
-	arrived time.Time
-	route   route.Route
-	// attempts counts the tries, waited sums the time in queues.
-	attempts int
-	waited   time.Duration
+	arrivedAt time.Time
+	route     route.Route
+	// attempts is the number of attempts, queuedFor their total time in queues.
+	attempts  int
+	queuedFor time.Duration
 }
 
-// remaining returns what is left of the statement's time.
-func (a *asked) remaining() time.Duration { return a.route.Timeout - clock.Since(a.arrived) }
+// remaining returns the time until the route's timeout for the statement.
+func (req *pendingRequest) remaining() time.Duration {
+	return req.route.Timeout - clock.Since(req.arrivedAt)
+}
 
 // handle answers one request.
-func (s *session) handle(request Request, arrived time.Time) statement.Answer {
+func (s *session) handle(request Request, arrivedAt time.Time) statement.Answer {
 	if s.transaction != nil {
-		return s.handleInside(request, arrived)
+		return s.handleInTransaction(request, arrivedAt)
 	}
 	if answer, done := s.handleLocal(request.Statement); done {
 		return answer
 	}
-	chosen, found := s.server.options.Router.Route(s.name)
+	matched, found := s.server.options.Router.Route(s.routeName)
 	if !found {
-		return failed(statement.CodeGroupNotFound, "no route has the name "+s.name, statement.TransactionStateIdle)
+		return failureAnswer(statement.CodeGroupNotFound, "no route has the name "+s.routeName, statement.TransactionStateIdle)
 	}
-	a := &asked{Request: request, arrived: arrived, route: chosen}
-	switch wanted := request.Statement.(type) {
+	req := &pendingRequest{Request: request, arrivedAt: arrivedAt, route: matched}
+	switch stmt := request.Statement.(type) {
 	case statement.Begin:
-		s.transaction = &transaction{readOnly: wanted.ReadOnly, began: arrived, route: chosen}
+		s.transaction = &transaction{readOnly: stmt.ReadOnly, beganAt: arrivedAt, route: matched}
 		return statement.Answer{TransactionState: statement.TransactionStateOpen}
 	case statement.Read:
-		return s.single(a, false)
+		return s.runSingle(req, false)
 	case statement.Write:
-		return s.single(a, true)
+		return s.runSingle(req, true)
 	case statement.Execute:
-		known, found := s.prepared[wanted.Name]
+		prepare, found := s.prepared[stmt.Name]
 		if !found {
-			return failed(statement.CodePreparedStatementNotFound, wanted.Name, statement.TransactionStateIdle)
+			return failureAnswer(statement.CodePreparedStatementNotFound, stmt.Name, statement.TransactionStateIdle)
 		}
-		return s.single(a, known.Access == model.AccessWrite)
+		return s.runSingle(req, prepare.Access == model.AccessWrite)
 	default:
-		return failed(statement.CodeMalformed, "not outside a transaction", statement.TransactionStateIdle)
+		return failureAnswer(statement.CodeMalformed, "not outside a transaction", statement.TransactionStateIdle)
 	}
 }
 
-// handleLocal answers the statements that need no database, and reports whether
-// it was one of them.
-func (s *session) handleLocal(wanted statement.Statement) (statement.Answer, bool) {
-	switch wanted := wanted.(type) {
+// handleLocal answers a statement that needs no database. It returns false for any
+// other statement.
+func (s *session) handleLocal(stmt statement.Statement) (statement.Answer, bool) {
+	switch stmt := stmt.(type) {
 	case statement.Set:
-		if s.values == nil {
-			s.values = backend.Variables{}
+		if s.variables == nil {
+			s.variables = backend.Variables{}
 		}
-		s.values[wanted.Name] = wanted.Value
+		s.variables[stmt.Name] = stmt.Value
 	case statement.Prepare:
 		if s.prepared == nil {
 			s.prepared = map[string]statement.Prepare{}
 		}
-		s.prepared[wanted.Name] = wanted
+		s.prepared[stmt.Name] = stmt
 	case statement.Deallocate:
-		delete(s.prepared, wanted.Name)
+		delete(s.prepared, stmt.Name)
 	default:
 		return statement.Answer{}, false
 	}
-	return statement.Answer{TransactionState: s.state()}, true
+	return statement.Answer{TransactionState: s.transactionState()}, true
 }
 
-// state returns where the session stands between two requests.
-func (s *session) state() statement.TransactionState {
+// transactionState returns the session's transaction state between two requests.
+func (s *session) transactionState() statement.TransactionState {
 	switch {
 	case s.transaction == nil:
 		return statement.TransactionStateIdle
@@ -177,13 +181,13 @@
 	}
 }
 
-// wrote notes a position that the session has written.
+// wrote records a position that the session has written.
 func (s *session) wrote(position model.Position) {
-	if s.floor.Less(position) {
-		s.floor, s.floorAt = position, clock.Now()
+	if s.minPosition.Less(position) {
+		s.minPosition, s.minPositionAsOf = position, clock.Now()
 	}
 }
 
-func failed(code statement.Code, text string, state statement.TransactionState) statement.Answer {
+func failureAnswer(code statement.Code, text string, state statement.TransactionState) statement.Answer {
 	return statement.Answer{Failure: &statement.FailureError{Code: code, Message: text}, TransactionState: state}
 }
--- a/internal/edge/session/single.go
+++ b/internal/edge/session/single.go
@@ -11,131 +11,133 @@
 )
 
 const (
-	// maxAttempts bounds the tries of one statement.
+	// maxAttempts bounds the attempts for one statement.
 	maxAttempts = 5
-	// firstShare is the part of a read's remaining time that the first database
-	// gets before another is asked: answers get lost, and the slowest statements
-	// take less.
-	firstShare = 0.35
-	// retryPause is the pause before a statement is sent again that the primary
-	// refused to run.
-	retryPause = 20 * time.Millisecond
+	// firstAttemptShare is the part of a read's remaining time after which its first
+	// attempt times out and another database is tried. An answer may be lost, and
+	// the slowest statements take less than this.
+	firstAttemptShare = 0.35
+	// retryDelay is the delay before a statement is sent again that needs the
+	// primary and was not executed.
+	retryDelay = 20 * time.Millisecond
 )
 
-// conclusion is what the end of an attempt means for its statement.
+// conclusion is the consequence of an attempt's outcome for its statement.
 type conclusion struct {
-	// answer goes to the caller, unless again says that the statement is sent
-	// once more; why then tells the reason.
+	// answer is returned to the caller, unless retry is set: then the statement is
+	// sent again, for the given reason.
 	answer statement.Answer
-	again  bool
-	why    *statement.FailureError
+	retry  bool
+	reason *statement.FailureError
 }
 
-// single runs a statement outside any transaction.
-func (s *session) single(a *asked, writes bool) statement.Answer {
-	need := s.need(a, a.arrived, writes)
+// runSingle runs a statement outside any transaction.
+func (s *session) runSingle(req *pendingRequest, writes bool) statement.Answer {
+	requirements := s.requirements(req, req.arrivedAt, writes)
 	for {
-		a.attempts++
-		v, failure := s.enter(a, need)
-		seat := placement.Reservation{}
+		req.attempts++
+		att, failure := s.startAttempt(req, requirements)
+		reservation := placement.Reservation{}
 		if failure == nil {
-			seat = v.seat
-			ended := s.attempt(a, v, writes)
-			if !ended.again {
+			reservation = att.reservation
+			ended := s.runAttempt(req, att, writes)
+			if !ended.retry {
 				return ended.answer
 			}
-			failure = ended.why
-			s.retried(a, seat, failure.Error())
-			need.ExcludedDatabases = append(need.ExcludedDatabases, seat.Database.ID)
+			failure = ended.reason
+			s.logRetry(req, reservation, failure.Error())
+			requirements.ExcludedDatabases = append(requirements.ExcludedDatabases, reservation.Database.ID)
 		}
-		if !s.mayRetry(a) {
-			return s.refused(a, seat, asNotRun(failure), statement.TransactionStateIdle)
+		if !s.mayRetry(req) {
+			return s.logFailure(req, reservation, notExecuted(failure), statement.TransactionStateIdle)
 		}
-		if need.RequiresPrimary {
-			s.server.options.PrimaryConfirmer.ReportSuspectedPrimary(a.route.Group)
-			time.Sleep(retryPause)
+		if requirements.RequiresPrimary {
+			s.server.options.PrimaryConfirmer.ReportSuspectedPrimary(req.route.Group)
+			time.Sleep(retryDelay)
 		}
 	}
 }
 
-// mayRetry reports whether a statement that did not run may be sent again.
-func (s *session) mayRetry(a *asked) bool {
-	return a.attempts < maxAttempts && !s.server.options.PrimaryConfirmer.IsPartitioned(a.route.Group) && clock.Since(a.arrived) < time.Duration(waitShare*float64(a.route.Timeout))
+// mayRetry reports whether a statement that was not executed may be sent again.
+func (s *session) mayRetry(req *pendingRequest) bool {
+	return req.attempts < maxAttempts && !s.server.options.PrimaryConfirmer.IsPartitioned(req.route.Group) && clock.Since(req.arrivedAt) < time.Duration(queueShare*float64(req.route.Timeout))
 }
 
-// asNotRun returns the failure for a statement that did not run: whatever the
-// databases said, the caller may come again.
-func asNotRun(failure *statement.FailureError) *statement.FailureError {
+// notExecuted returns the failure for a statement that was not executed. Its code is
+// always busy, because the caller may retry whatever the database's own code is.
+func notExecuted(failure *statement.FailureError) *statement.FailureError {
 	if failure.Code == statement.CodeBusy {
 		return failure
 	}
-	return &statement.FailureError{Code: statement.CodeBusy, Message: "not run (" + failure.Error() + "); " + comeBack}
+	return &statement.FailureError{Code: statement.CodeBusy, Message: "not run (" + failure.Error() + "); " + retryAfterText}
 }
 
-// attempt runs a statement at the database of a visit.
-func (s *session) attempt(a *asked, v *visit, writes bool) conclusion {
-	timeout := a.remaining()
-	if !writes && a.attempts == 1 {
-		timeout = time.Duration(firstShare * float64(timeout))
+// runAttempt runs a statement at the database of an attempt and ends the attempt.
+func (s *session) runAttempt(req *pendingRequest, att *attempt, writes bool) conclusion {
+	timeout := req.remaining()
+	if !writes && req.attempts == 1 {
+		timeout = time.Duration(firstAttemptShare * float64(timeout))
 	}
-	reply, err := s.run(a, v, nil, timeout)
-	s.finish(v, writes, reply, err)
+	reply, err := s.sendStatement(req, att, nil, timeout)
+	s.reportOutcome(att, writes, reply, err)
 	if reply == nil {
-		s.leave(v, false)
-		return s.lost(a, v, writes, err)
+		s.endAttempt(att, false)
+		return s.concludeLost(req, att, writes, err)
 	}
 	keep := reply.TransactionState == statement.TransactionStateIdle && (reply.Failure == nil || reply.Failure.Code != statement.CodePreparedStatementNotFound)
-	s.leave(v, keep)
+	s.endAttempt(att, keep)
 	if reply.Failure != nil {
-		return s.failure(a, v, reply, writes)
+		return s.concludeFailure(req, att, reply, writes)
 	}
-	return s.success(a, v, reply, writes)
+	return s.concludeSuccess(req, att, reply, writes)
 }
 
-// lost concludes an attempt without an answer.
-func (s *session) lost(a *asked, v *visit, writes bool, err error) conclusion {
+// concludeLost concludes an attempt that got no answer. A read is retried while
+// there is time; the outcome of a write is unknown.
+func (s *session) concludeLost(req *pendingRequest, att *attempt, writes bool, err error) conclusion {
 	if !writes {
-		if a.remaining() <= 0 {
-			return conclusion{answer: s.refused(a, v.seat,
-				&statement.FailureError{Code: statement.CodeTimeout, Message: "no answer inside the route's time-out"}, statement.TransactionStateIdle)}
+		if req.remaining() <= 0 {
+			return conclusion{answer: s.logFailure(req, att.reservation,
+				&statement.FailureError{Code: statement.CodeTimeout, Message: "no answer within the route's timeout"}, statement.TransactionStateIdle)}
 		}
-		return conclusion{again: true, why: &statement.FailureError{Code: statement.CodeBusy, Message: err.Error()}}
+		return conclusion{retry: true, reason: &statement.FailureError{Code: statement.CodeBusy, Message: err.Error()}}
 	}
-	s.server.options.PrimaryConfirmer.ReportSuspectedPrimary(a.route.Group)
-	return conclusion{answer: s.refused(a, v.seat,
+	s.server.options.PrimaryConfirmer.ReportSuspectedPrimary(req.route.Group)
+	return conclusion{answer: s.logFailure(req, att.reservation,
 		&statement.FailureError{Code: statement.CodeOutcomeUnknown, Message: "the answer of the database was lost"}, statement.TransactionStateIdle)}
 }
 
-// failure concludes an attempt that the database refused or failed.
-func (s *session) failure(a *asked, v *visit, reply *backend.Reply, writes bool) conclusion {
+// concludeFailure concludes an attempt that the database answered with a failure.
+func (s *session) concludeFailure(req *pendingRequest, att *attempt, reply *backend.Reply, writes bool) conclusion {
 	if reply.Failure.Code.GuaranteesNotExecuted() || !writes && reply.Failure.Code == statement.CodeExecutionFailed {
-		return conclusion{again: true, why: reply.Failure}
+		return conclusion{retry: true, reason: reply.Failure}
 	}
-	return conclusion{answer: s.refused(a, v.seat, reply.Failure, statement.TransactionStateIdle)}
+	return conclusion{answer: s.logFailure(req, att.reservation, reply.Failure, statement.TransactionStateIdle)}
 }
 
-// success concludes an attempt that the database answered: the answer holds if
-// its position was asked for, or if the database was the primary.
-func (s *session) success(a *asked, v *visit, reply *backend.Reply, writes bool) conclusion {
+// concludeSuccess concludes an attempt that the database answered with success. The
+// answer is valid if the request carried a minimum position, or if the database is
+// confirmed as the primary of that time.
+func (s *session) concludeSuccess(req *pendingRequest, att *attempt, reply *backend.Reply, writes bool) conclusion {
 	answer := statement.Answer{Rows: reply.Rows, Signature: reply.Signature, TransactionState: statement.TransactionStateIdle}
-	if !writes && !v.seat.MinPosition.IsZero() {
-		s.succeeded(a, v, reply, "position")
+	if !writes && !att.reservation.MinPosition.IsZero() {
+		s.logAnswer(req, att, reply, "position")
 		return conclusion{answer: answer}
 	}
-	switch verdict := s.prove(a, v, reply); {
-	case verdict == lease.ValidityConfirmed:
+	switch validity := s.confirmPrimary(req, att, reply); {
+	case validity == lease.ValidityConfirmed:
 		if writes {
 			s.wrote(reply.Position)
 		}
-		s.succeeded(a, v, reply, "lease")
+		s.logAnswer(req, att, reply, "lease")
 		return conclusion{answer: answer}
 	case writes:
-		return conclusion{answer: s.refused(a, v.seat, &statement.FailureError{
-			Code: statement.CodeOutcomeUnknown, Message: "the commit's primary is " + verdict.String(),
+		return conclusion{answer: s.logFailure(req, att.reservation, &statement.FailureError{
+			Code: statement.CodeOutcomeUnknown, Message: "the commit's primary is " + validity.String(),
 		}, statement.TransactionStateIdle)}
-	case verdict == lease.ValidityReplaced:
-		return conclusion{again: true, why: &statement.FailureError{Code: statement.CodeBusy, Message: "the primary was replaced"}}
+	case validity == lease.ValidityReplaced:
+		return conclusion{retry: true, reason: &statement.FailureError{Code: statement.CodeBusy, Message: "the primary was replaced"}}
 	default:
-		return conclusion{answer: s.refused(a, v.seat, &statement.FailureError{Code: statement.CodeBusy, Message: notProven}, statement.TransactionStateIdle)}
+		return conclusion{answer: s.logFailure(req, att.reservation, &statement.FailureError{Code: statement.CodeBusy, Message: notConfirmedText}, statement.TransactionStateIdle)}
 	}
 }
--- a/internal/edge/session/transaction.go
+++ b/internal/edge/session/transaction.go
@@ -12,244 +12,254 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// rollbackTimeout bounds the rollback of a transaction on a connection that is
-// kept afterwards.
+// rollbackTimeout bounds the rollback of a transaction whose connection returns to
+// the pool afterwards.
 const rollbackTimeout = time.Second
 
-// transaction is what a caller has begun and not ended.
+// transaction is a transaction that a caller has begun and not ended.
 type transaction struct {
 	readOnly bool
-	// began is when its BEGIN arrived; route is the one in force then.
-	began time.Time
-	route route.Route
-	// visit is nil before the first statement, and after the connection was
-	// lost or given up.
-	visit *visit
-	// wrote says that a write was sent, failed that only its end is left.
+	// beganAt is when BEGIN arrived; route is the route in force at that time.
+	beganAt time.Time
+	route   route.Route
+	// attempt holds the connection. It is nil before the first statement, and after
+	// the connection was lost or released.
+	attempt *attempt
+	// wrote is set once a write was sent. failed is set once the transaction
+	// accepts only COMMIT and ROLLBACK.
 	wrote, failed bool
 }
 
-// handleInside answers a request inside a transaction.
-func (s *session) handleInside(request Request, arrived time.Time) statement.Answer {
+// handleInTransaction answers a request inside a transaction.
+func (s *session) handleInTransaction(request Request, arrivedAt time.Time) statement.Answer {
 	t := s.transaction
-	a := &asked{Request: request, arrived: arrived, route: t.route}
+	req := &pendingRequest{Request: request, arrivedAt: arrivedAt, route: t.route}
 	if _, is := request.Statement.(statement.Rollback); is {
-		s.endTransaction()
+		s.rollBackTransaction()
 		return statement.Answer{TransactionState: statement.TransactionStateIdle}
 	}
 	if t.failed {
-		return s.handleFailed(a)
+		return s.handleFailed(req)
 	}
 	if answer, done := s.handleLocal(request.Statement); done {
 		return answer
 	}
 	writes := false
-	switch wanted := request.Statement.(type) {
+	switch stmt := request.Statement.(type) {
 	case statement.Read, statement.Commit:
 	case statement.Write:
 		writes = true
 	case statement.Execute:
-		known, found := s.prepared[wanted.Name]
+		prepare, found := s.prepared[stmt.Name]
 		if !found {
-			return s.failTransaction(a, &statement.FailureError{Code: statement.CodePreparedStatementNotFound, Message: wanted.Name})
+			return s.failTransaction(req, &statement.FailureError{Code: statement.CodePreparedStatementNotFound, Message: stmt.Name})
 		}
-		writes = known.Access == model.AccessWrite
+		writes = prepare.Access == model.AccessWrite
 	default:
-		return s.failTransaction(a, &statement.FailureError{Code: statement.CodeMalformed, Message: "not inside a transaction"})
+		return s.failTransaction(req, &statement.FailureError{Code: statement.CodeMalformed, Message: "not inside a transaction"})
 	}
-	if t.visit == nil {
-		return s.first(a, writes)
+	if t.attempt == nil {
+		return s.runFirst(req, writes)
 	}
-	s.server.options.Scheduler.StartStatement(t.visit.seat)
+	s.server.options.Scheduler.StartStatement(t.attempt.reservation)
 	t.wrote = t.wrote || writes
-	reply, err := s.run(a, t.visit, nil, a.remaining())
-	s.finish(t.visit, writes, reply, err)
-	return s.concludeInside(a, reply, err, false)
+	reply, err := s.sendStatement(req, t.attempt, nil, req.remaining())
+	s.reportOutcome(t.attempt, writes, reply, err)
+	return s.concludeInTransaction(req, reply, err, false)
 }
 
-// handleFailed answers a request while only the transaction's end is left.
-func (s *session) handleFailed(a *asked) statement.Answer {
-	if _, is := a.Statement.(statement.Commit); is {
-		s.endTransaction()
-		return failed(statement.CodeAborted, "the transaction was rolled back", statement.TransactionStateIdle)
+// handleFailed answers a request in a failed transaction. A COMMIT ends it, with an
+// answer that says that it was rolled back.
+func (s *session) handleFailed(req *pendingRequest) statement.Answer {
+	if _, is := req.Statement.(statement.Commit); is {
+		s.rollBackTransaction()
+		return failureAnswer(statement.CodeAborted, "the transaction was rolled back", statement.TransactionStateIdle)
 	}
-	return failed(statement.CodeMalformed, "the transaction has failed and waits for its end", statement.TransactionStateFailed)
+	return failureAnswer(statement.CodeMalformed, "the transaction has failed; only COMMIT or ROLLBACK is accepted", statement.TransactionStateFailed)
 }
 
-// first runs the transaction's first statement, behind its BEGIN. Nothing has
-// run before, so that it may be tried at several databases.
-func (s *session) first(a *asked, writes bool) statement.Answer {
+// runFirst runs the transaction's first statement, after its BEGIN. Nothing of the
+// transaction has run before, so that it may be retried at other databases.
+func (s *session) runFirst(req *pendingRequest, writes bool) statement.Answer {
 	t := s.transaction
-	need := s.need(a, t.began, !t.readOnly)
+	requirements := s.requirements(req, t.beganAt, !t.readOnly)
 	for {
-		a.attempts++
-		v, failure := s.enter(a, need)
+		req.attempts++
+		att, failure := s.startAttempt(req, requirements)
 		if failure == nil {
 			begin := statement.Request{Statement: statement.Begin{ReadOnly: t.readOnly}}
 			if t.readOnly {
-				begin.MinPosition = v.seat.MinPosition
+				begin.MinPosition = att.reservation.MinPosition
 			}
-			t.visit = v
+			t.attempt = att
 			t.wrote = writes
-			reply, err := s.run(a, v, &begin, a.remaining())
-			s.finish(v, writes, reply, err)
+			reply, err := s.sendStatement(req, att, &begin, req.remaining())
+			s.reportOutcome(att, writes, reply, err)
 			if reply == nil || reply.Failure == nil || !reply.Failure.Code.GuaranteesNotExecuted() {
-				return s.concludeInside(a, reply, err, true)
+				return s.concludeInTransaction(req, reply, err, true)
 			}
 			failure = reply.Failure
-			s.recycle(v, reply)
-			t.visit = nil
-			s.retried(a, v.seat, failure.Error())
-			need.ExcludedDatabases = append(need.ExcludedDatabases, v.seat.Database.ID)
+			s.endUnexecuted(att, reply)
+			t.attempt = nil
+			s.logRetry(req, att.reservation, failure.Error())
+			requirements.ExcludedDatabases = append(requirements.ExcludedDatabases, att.reservation.Database.ID)
 		}
-		if !s.mayRetry(a) {
-			return s.failTransaction(a, asNotRun(failure))
+		if !s.mayRetry(req) {
+			return s.failTransaction(req, notExecuted(failure))
 		}
-		if need.RequiresPrimary {
-			s.server.options.PrimaryConfirmer.ReportSuspectedPrimary(a.route.Group)
-			time.Sleep(retryPause)
+		if requirements.RequiresPrimary {
+			s.server.options.PrimaryConfirmer.ReportSuspectedPrimary(req.route.Group)
+			time.Sleep(retryDelay)
 		}
 	}
 }
 
-// concludeInside answers a statement that was sent inside the transaction.
-func (s *session) concludeInside(a *asked, reply *backend.Reply, err error, first bool) statement.Answer {
+// concludeInTransaction answers a statement that was sent inside the transaction.
+// The answer to the first statement is returned only if its BEGIN carried a minimum
+// position, or if the database is confirmed as the primary.
+func (s *session) concludeInTransaction(req *pendingRequest, reply *backend.Reply, err error, isFirst bool) statement.Answer {
 	t := s.transaction
-	_, commits := a.Statement.(statement.Commit)
+	_, isCommit := req.Statement.(statement.Commit)
 	if reply == nil {
-		return s.lostInside(a, commits, err)
+		return s.concludeLostInTransaction(req, isCommit, err)
 	}
 	if reply.Failure != nil {
-		if commits {
-			return s.failedCommit(a, reply)
+		if isCommit {
+			return s.concludeFailedCommit(req, reply)
 		}
-		return s.failTransaction(a, reply.Failure)
+		return s.failTransaction(req, reply.Failure)
 	}
 	answer := statement.Answer{Rows: reply.Rows, Signature: reply.Signature, TransactionState: statement.TransactionStateOpen}
-	if commits {
-		return s.committed(a, reply, answer)
+	if isCommit {
+		return s.concludeCommit(req, reply, answer)
 	}
 	proof := "transaction"
-	if first {
+	if isFirst {
 		proof = "position"
-		if t.visit.seat.MinPosition.IsZero() {
+		if t.attempt.reservation.MinPosition.IsZero() {
 			proof = "lease"
-			if verdict := s.prove(a, t.visit, reply); verdict != lease.ValidityConfirmed {
-				s.abandonVisit()
-				return s.failTransaction(a, &statement.FailureError{Code: statement.CodeAborted, Message: "the primary is " + verdict.String() + "; " + notProven})
+			if validity := s.confirmPrimary(req, t.attempt, reply); validity != lease.ValidityConfirmed {
+				s.abortAttempt()
+				return s.failTransaction(req, &statement.FailureError{Code: statement.CodeAborted, Message: "the primary is " + validity.String() + "; " + notConfirmedText})
 			}
 		}
 	}
-	s.succeeded(a, t.visit, reply, proof)
+	s.logAnswer(req, t.attempt, reply, proof)
 	return answer
 }
 
-// lostInside answers a statement whose answer was lost. Without its COMMIT
-// nothing of a transaction is kept.
-func (s *session) lostInside(a *asked, commits bool, err error) statement.Answer {
+// concludeLostInTransaction answers a statement whose answer was lost. The outcome is
+// unknown only for the COMMIT of a transaction with writes: before its COMMIT a
+// transaction has changed nothing.
+func (s *session) concludeLostInTransaction(req *pendingRequest, isCommit bool, err error) statement.Answer {
 	t := s.transaction
 	wrote := t.wrote
-	seat := t.visit.seat
-	s.abandonVisit()
-	s.server.options.PrimaryConfirmer.ReportSuspectedPrimary(a.route.Group)
-	if commits && wrote {
+	reservation := t.attempt.reservation
+	s.abortAttempt()
+	s.server.options.PrimaryConfirmer.ReportSuspectedPrimary(req.route.Group)
+	if isCommit && wrote {
 		s.transaction = nil
-		return s.refused(a, seat, &statement.FailureError{Code: statement.CodeOutcomeUnknown, Message: "the answer to COMMIT was lost"}, statement.TransactionStateIdle)
+		return s.logFailure(req, reservation, &statement.FailureError{Code: statement.CodeOutcomeUnknown, Message: "the answer to COMMIT was lost"}, statement.TransactionStateIdle)
 	}
 	failure := &statement.FailureError{Code: statement.CodeAborted, Message: "the transaction's database was lost: " + err.Error()}
-	if commits {
+	if isCommit {
 		s.transaction = nil
-		return s.refused(a, seat, failure, statement.TransactionStateIdle)
+		return s.logFailure(req, reservation, failure, statement.TransactionStateIdle)
 	}
-	return s.failTransaction(a, failure)
+	return s.failTransaction(req, failure)
 }
 
-// failedCommit answers a COMMIT that the database did not carry out.
-func (s *session) failedCommit(a *asked, reply *backend.Reply) statement.Answer {
-	seat := s.transaction.visit.seat
-	s.abandonVisit()
+// concludeFailedCommit answers a COMMIT that the database answered with a failure.
+func (s *session) concludeFailedCommit(req *pendingRequest, reply *backend.Reply) statement.Answer {
+	reservation := s.transaction.attempt.reservation
+	s.abortAttempt()
 	s.transaction = nil
-	return s.refused(a, seat, reply.Failure, statement.TransactionStateIdle)
+	return s.logFailure(req, reservation, reply.Failure, statement.TransactionStateIdle)
 }
 
-// committed answers a COMMIT that the database carried out.
-func (s *session) committed(a *asked, reply *backend.Reply, answer statement.Answer) statement.Answer {
+// concludeCommit answers a COMMIT that the database carried out. If the transaction
+// has written and the primary can't be confirmed, the outcome is unknown.
+func (s *session) concludeCommit(req *pendingRequest, reply *backend.Reply, answer statement.Answer) statement.Answer {
 	t := s.transaction
 	s.transaction = nil
 	answer.TransactionState = statement.TransactionStateIdle
-	v := t.visit
-	s.leave(v, reply.TransactionState == statement.TransactionStateIdle)
+	att := t.attempt
+	s.endAttempt(att, reply.TransactionState == statement.TransactionStateIdle)
 	if !t.wrote {
-		s.succeeded(a, v, reply, "reads only")
+		s.logAnswer(req, att, reply, "reads only")
 		return answer
 	}
-	if verdict := s.prove(a, v, reply); verdict != lease.ValidityConfirmed {
-		return s.refused(a, v.seat, &statement.FailureError{
-			Code: statement.CodeOutcomeUnknown, Message: "the commit's primary is " + verdict.String(),
+	if validity := s.confirmPrimary(req, att, reply); validity != lease.ValidityConfirmed {
+		return s.logFailure(req, att.reservation, &statement.FailureError{
+			Code: statement.CodeOutcomeUnknown, Message: "the commit's primary is " + validity.String(),
 		}, statement.TransactionStateIdle)
 	}
 	s.wrote(reply.Position)
-	s.succeeded(a, v, reply, "lease")
+	s.logAnswer(req, att, reply, "lease")
 	return answer
 }
 
-// failTransaction answers with a failure, after which only the end of the
-// transaction is left.
-func (s *session) failTransaction(a *asked, failure *statement.FailureError) statement.Answer {
+// failTransaction answers with a failure and marks the transaction as failed. Its
+// connection is released.
+func (s *session) failTransaction(req *pendingRequest, failure *statement.FailureError) statement.Answer {
 	t := s.transaction
 	t.failed = true
-	seat := placement.Reservation{}
-	if t.visit != nil {
-		seat = t.visit.seat
-		s.release(t.visit)
-		t.visit = nil
+	reservation := placement.Reservation{}
+	if t.attempt != nil {
+		reservation = t.attempt.reservation
+		s.rollBackAttempt(t.attempt)
+		t.attempt = nil
 	}
-	return s.refused(a, seat, failure, statement.TransactionStateFailed)
+	return s.logFailure(req, reservation, failure, statement.TransactionStateFailed)
 }
 
-// endTransaction rolls back what is open.
-func (s *session) endTransaction() {
-	if v := s.transaction.visit; v != nil {
-		s.release(v)
+// rollBackTransaction ends the session's transaction and rolls it back at the
+// database.
+func (s *session) rollBackTransaction() {
+	if att := s.transaction.attempt; att != nil {
+		s.rollBackAttempt(att)
 	}
 	s.transaction = nil
 }
 
-// abandonVisit closes the connection of the transaction; the database rolls it
-// back.
-func (s *session) abandonVisit() {
-	s.leave(s.transaction.visit, false)
-	s.transaction.visit = nil
+// abortAttempt closes the connection of the transaction, so that the database rolls
+// it back.
+func (s *session) abortAttempt() {
+	s.endAttempt(s.transaction.attempt, false)
+	s.transaction.attempt = nil
 }
 
-// interrupt rolls a transaction back without its caller having asked.
-func (s *session) interrupt(why string) {
+// abortIdleTransaction rolls back a transaction without a request from the caller,
+// and marks it as failed.
+func (s *session) abortIdleTransaction(reason string) {
 	t := s.transaction
 	id := model.DatabaseID("")
-	if t.visit != nil {
-		id = t.visit.seat.Database.ID
-		s.release(t.visit)
-		t.visit = nil
+	if t.attempt != nil {
+		id = t.attempt.reservation.Database.ID
+		s.rollBackAttempt(t.attempt)
+		t.attempt = nil
 	}
 	t.failed = true
-	s.server.note(event.TransactionEnded,
-		event.F("request", ""), event.F("route", t.route.Name), event.F("database", id), event.F("why", why))
+	s.server.logEvent(event.TransactionEnded,
+		event.F("request", ""), event.F("route", t.route.Name), event.F("database", id), event.F("why", reason))
 }
 
-// recycle keeps the connection of a visit whose first statement did not run.
-func (s *session) recycle(v *visit, reply *backend.Reply) {
+// endUnexecuted ends an attempt whose first statement was not executed. It rolls back
+// a transaction that is still open. The connection is closed if the database does
+// not have a prepared statement that the connection should have.
+func (s *session) endUnexecuted(att *attempt, reply *backend.Reply) {
 	if reply.Failure.Code == statement.CodePreparedStatementNotFound || reply.TransactionState == statement.TransactionStateIdle {
-		s.leave(v, reply.Failure.Code != statement.CodePreparedStatementNotFound)
+		s.endAttempt(att, reply.Failure.Code != statement.CodePreparedStatementNotFound)
 		return
 	}
-	s.release(v)
+	s.rollBackAttempt(att)
 }
 
-// release rolls back what is open on a visit's connection and keeps it, in the
-// background: the caller need not wait for it.
-func (s *session) release(v *visit) {
+// rollBackAttempt rolls back the transaction on an attempt's connection and ends the
+// attempt. It runs in the background, so that the caller does not wait for it.
+func (s *session) rollBackAttempt(att *attempt) {
 	s.server.spawn(func() {
-		replies, err := v.conn.Exchange(rollbackTimeout, []statement.Request{{Statement: statement.Rollback{}}})
-		s.leave(v, err == nil && len(replies) == 1 && replies[0].Failure == nil && replies[0].TransactionState == statement.TransactionStateIdle)
+		replies, err := att.conn.Exchange(rollbackTimeout, []statement.Request{{Statement: statement.Rollback{}}})
+		s.endAttempt(att, err == nil && len(replies) == 1 && replies[0].Failure == nil && replies[0].TransactionState == statement.TransactionStateIdle)
 	})
 }
--- a/internal/edge/socket/socket.go
+++ b/internal/edge/socket/socket.go
@@ -1,10 +1,10 @@
-// Package socket opens TCP connections on which the system itself finds out a
+// Package socket opens TCP connections on which the operating system detects a
 // peer that is gone.
 //
 // # What flows in and out
 //
-// An address flows in; a connection flows out that the system breaks when the
-// other end acknowledges nothing for a while, be it data or keepalive probes.
+// The input is an address. The output is a connection that the operating system
+// closes when the other end stops acknowledging data or keepalive probes.
 //
 // # Usage
 //
@@ -19,17 +19,18 @@
 )
 
 const (
-	// keepaliveIdle, keepaliveInterval and keepaliveCount set the TCP
-	// keepalive: a connection without traffic is found broken after 8 s.
+	// keepaliveIdle, keepaliveInterval and keepaliveCount configure the TCP
+	// keepalive so that a broken connection without traffic is detected after 8 s.
 	keepaliveIdle     = 5 * time.Second
 	keepaliveInterval = time.Second
 	keepaliveCount    = 3
-	// unacknowledged is the time after which the system breaks a connection
-	// whose other end does not acknowledge what was sent.
-	unacknowledged = 5 * time.Second
+	// unacknowledgedTimeout is how long sent data may stay unacknowledged before the
+	// operating system closes the connection.
+	unacknowledgedTimeout = 5 * time.Second
 )
 
-// Dial opens a connection. Its signature is that of net.Dialer.DialContext.
+// Dial opens a connection. It has the signature of net.Dialer.DialContext, so that
+// it can be used as the DialContext of an http.Transport.
 func Dial(ctx context.Context, network, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		KeepAliveConfig: net.KeepAliveConfig{
--- a/internal/edge/socket/socket_linux.go
+++ b/internal/edge/socket/socket_linux.go
@@ -5,15 +5,15 @@
 // tcpUserTimeout is the number of the socket option TCP_USER_TIMEOUT.
 const tcpUserTimeout = 18
 
-// setUserTimeout has the system break a connection whose peer does not
-// acknowledge what was sent to it.
+// setUserTimeout makes the operating system close the connection if sent data stays
+// unacknowledged for unacknowledgedTimeout.
 func setUserTimeout(raw syscall.RawConn) error {
-	var failed error
+	var optionErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledged.Milliseconds()))
+		optionErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(unacknowledgedTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
--- a/internal/edge/store/store.go
+++ b/internal/edge/store/store.go
@@ -1,15 +1,19 @@
-// Package store is the platform's table store as the fleet uses it.
+// Package store defines the interface to the platform's table store that the fleet
+// uses.
 //
 // # What flows in and out
 //
-// The package has the port only: reads, watches and conditional writes of rows,
-// and what a failure of each means. An adapter implements Store in the words of
-// one platform; tests implement it in memory.
+// The package defines the interface only: reads, watches and conditional writes of
+// rows, and the meaning of their failures. An adapter implements Store for the
+// protocol of one platform; tests implement it in memory.
 //
 // # Usage
 //
 //	rows, err := s.Read(ctx, "groups")
-//	version, err := s.Write(ctx, store.Change{Expected: []store.Row{{Table: "groups", Key: "g", Version: 4}}, Set: ...})
+//	version, err := s.Write(ctx, store.Transaction{
+//		Preconditions: []store.Row{{Table: "groups", Key: "g", Version: 4}},
+//		Upserts:       ...,
+//	})
 package store
 
 import (
@@ -24,22 +28,22 @@
 type Row struct {
 	Table, Key string
 	Value      []byte
-	// Version is that of the row's last change; zero stands for a row that does
-	// not exist.
+	// Version is the store's version at the row's last change; zero stands for a
+	// row that does not exist.
 	Version uint64
-	// Deleted says, in a watch, that the row does not exist any more.
+	// Deleted is set in the result of a watch if the row no longer exists.
 	Deleted bool
 }
 
-// Rows is the answer to a read or a watch.
+// Rows is the result of a read or a watch.
 type Rows struct {
 	Rows []Row
-	// Version is the store's counter at the moment of the answer.
+	// Version is the store's version at the time of the result.
 	Version uint64
 }
 
-// Transaction is one transaction: it is carried out whole where every row of Expected
-// has the version that it names, and not at all otherwise.
+// Transaction is an atomic write. It is carried out completely if every row of
+// Preconditions has the version given there, and not at all otherwise.
 type Transaction struct {
 	Preconditions []Row
 	Upserts       []Row
@@ -48,21 +52,21 @@
 
 // Store is the table store.
 type Store interface {
-	// Read returns all rows of a table as of one moment.
+	// Read returns all rows of a table as of one version.
 	Read(ctx context.Context, table string) (Rows, error)
-	// Watch returns the rows of a table that have changed after a version, as
-	// soon as there are any, or none after the wait.
+	// Watch returns the rows of a table that have changed after a version. It
+	// returns as soon as there are any, or with no rows once wait has passed.
 	Watch(ctx context.Context, table string, after uint64, wait time.Duration) (Rows, error)
-	// Write carries out a change and returns the store's version after it.
-	Write(ctx context.Context, change Transaction) (uint64, error)
+	// Write carries out a transaction and returns the store's version after it.
+	Write(ctx context.Context, transaction Transaction) (uint64, error)
 }
 
 // Promotion asks the platform to make a database the primary of its group.
 type Promotion struct {
 	Group    model.GroupID
 	Database model.DatabaseID
-	// Holder is the instance that has the duty, Token the number that rises
-	// with each change of the holder.
+	// Holder is the instance that holds the coordinator lease. FencingToken is the
+	// lease's number, which increases each time the holder changes.
 	Holder       model.InstanceID
 	FencingToken uint64
 }
@@ -70,28 +74,30 @@
 // Promoter carries out promotions.
 type Promoter interface {
 	// Promote returns once the platform has accepted the promotion. After an
-	// error with OutcomeUnknown it may still take effect; no byte of the call
-	// is left on its way.
+	// error with OutcomeUnknown the promotion may still take effect, but only if
+	// the platform has received the call already: no byte of it remains in
+	// transit.
 	Promote(ctx context.Context, promotion Promotion) error
 }
 
-// Outcome tells what a failed call has done.
+// Outcome is the effect of a failed call on the store.
 type Outcome int
 
 // The values of Outcome.
 const (
-	// OutcomeUnknown: there was no answer; a change may be made yet.
+	// OutcomeUnknown: there was no response; the change may have been made, or may
+	// still be made.
 	OutcomeUnknown Outcome = iota
-	// OutcomeRefused: nothing was done.
+	// OutcomeRefused: nothing was changed.
 	OutcomeRefused
-	// OutcomeConflict: a row was not at the expected version; nothing was done.
+	// OutcomeConflict: a row was not at the expected version; nothing was changed.
 	OutcomeConflict
-	// OutcomeCompacted: the changes after that version can't be told any
-	// more; the table has to be read anew.
+	// OutcomeCompacted: the store no longer has the changes after the given
+	// version; the whole table has to be read again.
 	OutcomeCompacted
 )
 
-// String names o for log lines.
+// String returns the name of o for log lines.
 func (o Outcome) String() string {
 	return [...]string{"unknown", "refused", "conflict", "history-gone"}[o]
 }
@@ -108,11 +114,12 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// OutcomeOf returns what a failed call has done.
+// OutcomeOf returns the outcome of a failed call: that of the *Error in err's chain,
+// or OutcomeUnknown if there is none.
 func OutcomeOf(err error) Outcome {
-	var failed *Error
-	if errors.As(err, &failed) {
-		return failed.Outcome
+	var storeErr *Error
+	if errors.As(err, &storeErr) {
+		return storeErr.Outcome
 	}
 	return OutcomeUnknown
 }
