--- a/internal/edge/backend/pool_test.go
+++ b/internal/edge/backend/pool_test.go
@@ -26,9 +26,9 @@
 }
 
 // Send implements Codec.
-func (w *lineCodec) Send(requests []statement.Request) error {
+func (c *lineCodec) Send(requests []statement.Request) error {
 	for _, request := range requests {
-		if _, err := w.conn.Write([]byte(request.ID + "\n")); err != nil {
+		if _, err := c.conn.Write([]byte(request.ID + "\n")); err != nil {
 			return err
 		}
 	}
@@ -36,8 +36,8 @@
 }
 
 // Receive implements Codec.
-func (w *lineCodec) Receive(statement.Request) (Reply, error) {
-	line, err := w.reader.ReadString('\n')
+func (c *lineCodec) Receive(statement.Request) (Reply, error) {
+	line, err := c.reader.ReadString('\n')
 	return Reply{Answer: statement.Answer{Signature: line}}, err
 }
 
--- a/internal/edge/session/attempt.go
+++ b/internal/edge/session/attempt.go
@@ -134,7 +134,7 @@
 		requests = nil
 	}
 	toSend := req.Statement
-	if execute, is := toSend.(statement.Execute); is {
+	if execute, isExecute := toSend.(statement.Execute); isExecute {
 		name, prepare := att.conn.EnsurePrepared(s.prepared[execute.Name])
 		requests = append(requests, prepare...)
 		toSend = statement.Execute{Name: name, Arguments: execute.Arguments}
@@ -159,9 +159,9 @@
 	return nil, err
 }
 
-// reportOutcome reports the outcome of an attempt's statement to the scheduler. wrote
-// is set for a statement that only a primary carries out.
-func (s *session) reportOutcome(att *attempt, wrote bool, reply *backend.Reply, err error) {
+// reportOutcome reports the outcome of an attempt's statement to the scheduler.
+// isWrite is set for a statement that only a primary carries out.
+func (s *session) reportOutcome(att *attempt, isWrite bool, reply *backend.Reply, err error) {
 	result := placement.Result{Outcome: placement.OutcomeAnswered, Elapsed: clock.Since(att.sentAt)}
 	switch {
 	case reply == nil:
@@ -172,7 +172,7 @@
 			// itself.
 			result.Outcome = placement.OutcomeNotSent
 		}
-	case reply.Failure == nil && wrote:
+	case reply.Failure == nil && isWrite:
 		result.Outcome = placement.OutcomeWritten
 	case reply.Failure != nil:
 		result.Outcome = outcomeOfFailure(reply.Failure.Code, placement.OutcomeAnswered)
--- a/internal/edge/session/single.go
+++ b/internal/edge/session/single.go
@@ -32,19 +32,19 @@
 }
 
 // runSingle runs a statement outside any transaction.
-func (s *session) runSingle(req *pendingRequest, writes bool) statement.Answer {
-	requirements := s.requirements(req, req.arrivedAt, writes)
+func (s *session) runSingle(req *pendingRequest, isWrite bool) statement.Answer {
+	requirements := s.requirements(req, req.arrivedAt, isWrite)
 	for {
 		req.attempts++
 		att, failure := s.startAttempt(req, requirements)
 		reservation := placement.Reservation{}
 		if failure == nil {
 			reservation = att.reservation
-			ended := s.runAttempt(req, att, writes)
-			if !ended.retry {
-				return ended.answer
+			result := s.runAttempt(req, att, isWrite)
+			if !result.retry {
+				return result.answer
 			}
-			failure = ended.reason
+			failure = result.reason
 			s.logRetry(req, reservation, failure.Error())
 			requirements.ExcludedDatabases = append(requirements.ExcludedDatabases, reservation.Database.ID)
 		}
@@ -73,29 +73,29 @@
 }
 
 // runAttempt runs a statement at the database of an attempt and ends the attempt.
-func (s *session) runAttempt(req *pendingRequest, att *attempt, writes bool) conclusion {
+func (s *session) runAttempt(req *pendingRequest, att *attempt, isWrite bool) conclusion {
 	timeout := req.remaining()
-	if !writes && req.attempts == 1 {
+	if !isWrite && req.attempts == 1 {
 		timeout = time.Duration(firstAttemptShare * float64(timeout))
 	}
 	reply, err := s.sendStatement(req, att, nil, timeout)
-	s.reportOutcome(att, writes, reply, err)
+	s.reportOutcome(att, isWrite, reply, err)
 	if reply == nil {
 		s.endAttempt(att, false)
-		return s.concludeLost(req, att, writes, err)
+		return s.concludeLost(req, att, isWrite, err)
 	}
-	keep := reply.TransactionState == statement.TransactionStateIdle && (reply.Failure == nil || reply.Failure.Code != statement.CodePreparedStatementNotFound)
-	s.endAttempt(att, keep)
+	reusable := reply.TransactionState == statement.TransactionStateIdle && (reply.Failure == nil || reply.Failure.Code != statement.CodePreparedStatementNotFound)
+	s.endAttempt(att, reusable)
 	if reply.Failure != nil {
-		return s.concludeFailure(req, att, reply, writes)
+		return s.concludeFailure(req, att, reply, isWrite)
 	}
-	return s.concludeSuccess(req, att, reply, writes)
+	return s.concludeSuccess(req, att, reply, isWrite)
 }
 
 // concludeLost concludes an attempt that got no answer. A read is retried while
 // there is time; the outcome of a write is unknown.
-func (s *session) concludeLost(req *pendingRequest, att *attempt, writes bool, err error) conclusion {
-	if !writes {
+func (s *session) concludeLost(req *pendingRequest, att *attempt, isWrite bool, err error) conclusion {
+	if !isWrite {
 		if req.remaining() <= 0 {
 			return conclusion{answer: s.logFailure(req, att.reservation,
 				&statement.FailureError{Code: statement.CodeTimeout, Message: "no answer within the route's timeout"}, statement.TransactionStateIdle)}
@@ -108,8 +108,8 @@
 }
 
 // concludeFailure concludes an attempt that the database answered with a failure.
-func (s *session) concludeFailure(req *pendingRequest, att *attempt, reply *backend.Reply, writes bool) conclusion {
-	if reply.Failure.Code.GuaranteesNotExecuted() || !writes && reply.Failure.Code == statement.CodeExecutionFailed {
+func (s *session) concludeFailure(req *pendingRequest, att *attempt, reply *backend.Reply, isWrite bool) conclusion {
+	if reply.Failure.Code.GuaranteesNotExecuted() || !isWrite && reply.Failure.Code == statement.CodeExecutionFailed {
 		return conclusion{retry: true, reason: reply.Failure}
 	}
 	return conclusion{answer: s.logFailure(req, att.reservation, reply.Failure, statement.TransactionStateIdle)}
@@ -118,20 +118,20 @@
 // concludeSuccess concludes an attempt that the database answered with success. The
 // answer is valid if the request carried a minimum position, or if the database is
 // confirmed as the primary of that time.
-func (s *session) concludeSuccess(req *pendingRequest, att *attempt, reply *backend.Reply, writes bool) conclusion {
+func (s *session) concludeSuccess(req *pendingRequest, att *attempt, reply *backend.Reply, isWrite bool) conclusion {
 	answer := statement.Answer{Rows: reply.Rows, Signature: reply.Signature, TransactionState: statement.TransactionStateIdle}
-	if !writes && !att.reservation.MinPosition.IsZero() {
+	if !isWrite && !att.reservation.MinPosition.IsZero() {
 		s.logAnswer(req, att, reply, "position")
 		return conclusion{answer: answer}
 	}
 	switch validity := s.confirmPrimary(req, att, reply); {
 	case validity == lease.ValidityConfirmed:
-		if writes {
+		if isWrite {
 			s.wrote(reply.Position)
 		}
 		s.logAnswer(req, att, reply, "lease")
 		return conclusion{answer: answer}
-	case writes:
+	case isWrite:
 		return conclusion{answer: s.logFailure(req, att.reservation, &statement.FailureError{
 			Code: statement.CodeOutcomeUnknown, Message: "the commit's primary is " + validity.String(),
 		}, statement.TransactionStateIdle)}
--- a/internal/edge/session/transaction.go
+++ b/internal/edge/session/transaction.go
@@ -34,7 +34,7 @@
 func (s *session) handleInTransaction(request Request, arrivedAt time.Time) statement.Answer {
 	t := s.transaction
 	req := &pendingRequest{Request: request, arrivedAt: arrivedAt, route: t.route}
-	if _, is := request.Statement.(statement.Rollback); is {
+	if _, isRollback := request.Statement.(statement.Rollback); isRollback {
 		s.rollBackTransaction()
 		return statement.Answer{TransactionState: statement.TransactionStateIdle}
 	}
@@ -44,34 +44,34 @@
 	if answer, done := s.handleLocal(request.Statement); done {
 		return answer
 	}
-	writes := false
+	isWrite := false
 	switch stmt := request.Statement.(type) {
 	case statement.Read, statement.Commit:
 	case statement.Write:
-		writes = true
+		isWrite = true
 	case statement.Execute:
 		prepare, found := s.prepared[stmt.Name]
 		if !found {
 			return s.failTransaction(req, &statement.FailureError{Code: statement.CodePreparedStatementNotFound, Message: stmt.Name})
 		}
-		writes = prepare.Access == model.AccessWrite
+		isWrite = prepare.Access == model.AccessWrite
 	default:
 		return s.failTransaction(req, &statement.FailureError{Code: statement.CodeMalformed, Message: "not inside a transaction"})
 	}
 	if t.attempt == nil {
-		return s.runFirst(req, writes)
+		return s.runFirst(req, isWrite)
 	}
 	s.server.options.Scheduler.StartStatement(t.attempt.reservation)
-	t.wrote = t.wrote || writes
+	t.wrote = t.wrote || isWrite
 	reply, err := s.sendStatement(req, t.attempt, nil, req.remaining())
-	s.reportOutcome(t.attempt, writes, reply, err)
+	s.reportOutcome(t.attempt, isWrite, reply, err)
 	return s.concludeInTransaction(req, reply, err, false)
 }
 
 // handleFailed answers a request in a failed transaction. A COMMIT ends it, with an
 // answer that says that it was rolled back.
 func (s *session) handleFailed(req *pendingRequest) statement.Answer {
-	if _, is := req.Statement.(statement.Commit); is {
+	if _, isCommit := req.Statement.(statement.Commit); isCommit {
 		s.rollBackTransaction()
 		return failureAnswer(statement.CodeAborted, "the transaction was rolled back", statement.TransactionStateIdle)
 	}
@@ -80,7 +80,7 @@
 
 // runFirst runs the transaction's first statement, after its BEGIN. Nothing of the
 // transaction has run before, so that it may be retried at other databases.
-func (s *session) runFirst(req *pendingRequest, writes bool) statement.Answer {
+func (s *session) runFirst(req *pendingRequest, isWrite bool) statement.Answer {
 	t := s.transaction
 	requirements := s.requirements(req, t.beganAt, !t.readOnly)
 	for {
@@ -92,9 +92,9 @@
 				begin.MinPosition = att.reservation.MinPosition
 			}
 			t.attempt = att
-			t.wrote = writes
+			t.wrote = isWrite
 			reply, err := s.sendStatement(req, att, &begin, req.remaining())
-			s.reportOutcome(att, writes, reply, err)
+			s.reportOutcome(att, isWrite, reply, err)
 			if reply == nil || reply.Failure == nil || !reply.Failure.Code.GuaranteesNotExecuted() {
 				return s.concludeInTransaction(req, reply, err, true)
 			}
