--- a/internal/edge/session/session.go
+++ b/internal/edge/session/session.go
@@ -123,14 +123,14 @@
 	if answer, done := s.handleLocal(request.Statement); done {
 		return answer
 	}
-	matched, found := s.server.options.Router.Route(s.routeName)
+	matchedRoute, found := s.server.options.Router.Route(s.routeName)
 	if !found {
 		return failureAnswer(statement.CodeGroupNotFound, "no route has the name "+s.routeName, statement.TransactionStateIdle)
 	}
-	req := &pendingRequest{Request: request, arrivedAt: arrivedAt, route: matched}
+	req := &pendingRequest{Request: request, arrivedAt: arrivedAt, route: matchedRoute}
 	switch stmt := request.Statement.(type) {
 	case statement.Begin:
-		s.transaction = &transaction{readOnly: stmt.ReadOnly, beganAt: arrivedAt, route: matched}
+		s.transaction = &transaction{readOnly: stmt.ReadOnly, beganAt: arrivedAt, route: matchedRoute}
 		return statement.Answer{TransactionState: statement.TransactionStateOpen}
 	case statement.Read:
 		return s.runSingle(req, false)
@@ -143,7 +143,7 @@
 		}
 		return s.runSingle(req, prepare.Access == model.AccessWrite)
 	default:
-		return failureAnswer(statement.CodeMalformed, "not outside a transaction", statement.TransactionStateIdle)
+		return failureAnswer(statement.CodeMalformed, "the statement is malformed or not valid outside a transaction", statement.TransactionStateIdle)
 	}
 }
 
--- a/internal/edge/session/transaction.go
+++ b/internal/edge/session/transaction.go
@@ -56,7 +56,7 @@
 		}
 		isWrite = prepare.Access == model.AccessWrite
 	default:
-		return s.failTransaction(req, &statement.FailureError{Code: statement.CodeMalformed, Message: "not inside a transaction"})
+		return s.failTransaction(req, &statement.FailureError{Code: statement.CodeMalformed, Message: "the statement is malformed or not valid inside a transaction"})
 	}
 	if t.attempt == nil {
 		return s.runFirst(req, isWrite)
