--- a/internal/edge/postgres/frame.go
+++ b/internal/edge/postgres/frame.go
@@ -31,16 +31,18 @@
 )
 
 const (
-	// HeaderSize is the size of a frame's type and length, in bytes.
+	// HeaderSize is the size of the type and length of a frame, in bytes.
 	HeaderSize = 5
-	// lengthSize is the size of the length of a startup packet, in bytes.
-	lengthSize = 4
-	// idleSize is what a Reader keeps while nothing is buffered, in bytes.
-	idleSize = 512
+	// lengthFieldSize is the size of the length field of a startup packet, in
+	// bytes.
+	lengthFieldSize = 4
+	// idleBufferSize is the size of the buffer that a Reader keeps while
+	// nothing is buffered, in bytes.
+	idleBufferSize = 512
 	// bufferSize is the size of the pooled buffers, in bytes.
 	bufferSize = 16 << 10
-	// startupLimit is the greatest startup packet, in bytes.
-	startupLimit = 10_000
+	// maxStartupPacketSize is the maximum size of a startup packet, in bytes.
+	maxStartupPacketSize = 10_000
 )
 
 var buffers = sync.Pool{New: func() any {
@@ -48,18 +50,18 @@
 	return &buffer
 }}
 
-// Frame is one message as it stands on the wire. It is valid until the next
-// call of its Reader.
+// Frame is one message as encoded on the wire. It is valid until the next call
+// of its Reader.
 type Frame struct {
 	Type byte
 	// Raw holds the type, the length and the body.
 	Raw []byte
 }
 
-// Body returns what follows the length.
+// Body returns the bytes after the length.
 func (f Frame) Body() []byte { return f.Raw[HeaderSize:] }
 
-// SizeError reports a frame whose length is impossible or above the limit.
+// SizeError reports a frame whose length is invalid or above the limit.
 type SizeError struct {
 	Type  byte
 	Size  int
@@ -71,63 +73,64 @@
 	return fmt.Sprintf("frame %q of %d bytes, allowed are 4 to %d", e.Type, e.Size, e.Limit)
 }
 
-// Reader cuts a stream into frames. It is for one goroutine at a time.
+// Reader splits a stream into frames. It is not safe for concurrent use.
 type Reader struct {
-	source io.Reader
-	limit  int
-	keep   bool
-	idle   []byte
-	buffer []byte
-	pooled *[]byte
-	start  int
-	end    int
-	reads  uint64
-}
-
-// NewReader returns a Reader of source that refuses frames above limit bytes.
-// It keeps a small buffer only while nothing is buffered.
+	source      io.Reader
+	limit       int
+	retain      bool
+	idleBuffer  []byte
+	buffer      []byte
+	pooled      *[]byte
+	unreadStart int
+	unreadEnd   int
+	readCount   uint64
+}
+
+// NewReader returns a Reader of source that rejects frames above limit bytes.
+// It keeps only a small buffer while nothing is buffered.
 func NewReader(source io.Reader, limit int) *Reader {
-	return &Reader{source: source, limit: limit, idle: make([]byte, idleSize)}
+	return &Reader{source: source, limit: limit, idleBuffer: make([]byte, idleBufferSize)}
 }
 
-// NewRetainingReader returns a Reader that keeps its whole buffer also while it is
-// idle, for connections that are few and busy.
+// NewRetainingReader returns a Reader that keeps its full buffer while idle,
+// for connections that are few and busy.
 func NewRetainingReader(source io.Reader, limit int) *Reader {
-	return &Reader{source: source, limit: limit, keep: true}
+	return &Reader{source: source, limit: limit, retain: true}
 }
 
-// SetSource changes where the bytes come from, for a connection that goes on
-// under TLS. Nothing may be buffered.
+// SetSource replaces the source, for a connection that continues under TLS.
+// Nothing may be buffered.
 func (r *Reader) SetSource(source io.Reader) { r.source = source }
 
-// SetLimit changes the greatest frame, in bytes.
+// SetLimit changes the maximum size of a frame, in bytes.
 func (r *Reader) SetLimit(limit int) { r.limit = limit }
 
-// Buffered returns the number of bytes that were read but not taken yet.
-func (r *Reader) Buffered() int { return r.end - r.start }
+// Buffered returns the number of bytes that were read from the source and not
+// returned yet.
+func (r *Reader) Buffered() int { return r.unreadEnd - r.unreadStart }
 
-// ReadCount counts the reads that brought bytes. It tells whether anything has
-// arrived since it was asked before.
-func (r *Reader) ReadCount() uint64 { return r.reads }
+// ReadCount returns the number of reads that returned bytes. Comparing two
+// results tells whether anything has arrived in between.
+func (r *Reader) ReadCount() uint64 { return r.readCount }
 
 // HasFrame reports whether Next would return without a read.
 func (r *Reader) HasFrame() bool {
-	size, whole := r.frameSize()
-	return whole && size >= HeaderSize && r.Buffered() >= size
+	size, known := r.frameSize()
+	return known && size >= HeaderSize && r.Buffered() >= size
 }
 
-// Next returns the next frame. Its errors are a *SizeError, after which the
-// stream is of no more use, or those of the source; after a timeout it may be
-// called again.
+// Next returns the next frame. Its error is a *SizeError, after which the
+// stream cannot be read further, or an error of the source. After a timeout it
+// may be called again.
 func (r *Reader) Next() (Frame, error) {
 	for {
 		size, known := r.frameSize()
 		if known && (size < HeaderSize || size > r.limit) {
-			return Frame{}, &SizeError{Type: r.buffer[r.start], Size: size - 1, Limit: r.limit}
+			return Frame{}, &SizeError{Type: r.buffer[r.unreadStart], Size: size - 1, Limit: r.limit}
 		}
 		if known && r.Buffered() >= size {
-			raw := r.buffer[r.start : r.start+size : r.start+size]
-			r.start += size
+			raw := r.buffer[r.unreadStart : r.unreadStart+size : r.unreadStart+size]
+			r.unreadStart += size
 			return Frame{Type: raw[0], Raw: raw}, nil
 		}
 		err := r.Fill()
@@ -137,17 +140,18 @@
 	}
 }
 
-// NextStartupPacket returns the body of a startup packet, which has no type byte.
+// NextStartupPacket returns the body of a startup packet, which has no type
+// byte. Its errors are those of Next.
 func (r *Reader) NextStartupPacket() ([]byte, error) {
 	for {
-		if r.Buffered() >= lengthSize {
-			size := int(int32(binary.BigEndian.Uint32(r.buffer[r.start:])))
-			if size < 2*lengthSize || size > startupLimit {
-				return nil, &SizeError{Size: size, Limit: startupLimit}
+		if r.Buffered() >= lengthFieldSize {
+			size := int(int32(binary.BigEndian.Uint32(r.buffer[r.unreadStart:])))
+			if size < 2*lengthFieldSize || size > maxStartupPacketSize {
+				return nil, &SizeError{Size: size, Limit: maxStartupPacketSize}
 			}
 			if r.Buffered() >= size {
-				body := r.buffer[r.start+lengthSize : r.start+size : r.start+size]
-				r.start += size
+				body := r.buffer[r.unreadStart+lengthFieldSize : r.unreadStart+size : r.unreadStart+size]
+				r.unreadStart += size
 				return body, nil
 			}
 		}
@@ -158,48 +162,48 @@
 	}
 }
 
-// Fill reads once from the source and keeps what came. A frame returned before
-// is no longer valid.
+// Fill reads once from the source into the buffer. A frame returned before is
+// no longer valid.
 func (r *Reader) Fill() error {
 	if r.Buffered() == 0 {
-		r.rest()
+		r.releaseBuffer()
 	}
 	if r.buffer == nil {
 		return r.fillIdle()
 	}
 	r.makeRoom()
-	n, err := r.source.Read(r.buffer[r.end:])
-	return r.took(n, err)
+	n, err := r.source.Read(r.buffer[r.unreadEnd:])
+	return r.recordRead(n, err)
 }
 
-// Close gives the buffers back. The Reader is of no more use.
+// Close releases the buffers. The Reader must not be used afterwards.
 func (r *Reader) Close() {
-	r.keep = false
-	r.start = r.end
-	r.rest()
+	r.retain = false
+	r.unreadStart = r.unreadEnd
+	r.releaseBuffer()
 }
 
 // -----------------------------------------------------------------------------
 // Buffers.
 
 func (r *Reader) fillIdle() error {
-	if r.keep {
-		r.take()
+	if r.retain {
+		r.acquireBuffer()
 		n, err := r.source.Read(r.buffer)
-		return r.took(n, err)
+		return r.recordRead(n, err)
 	}
-	n, err := r.source.Read(r.idle)
+	n, err := r.source.Read(r.idleBuffer)
 	if n > 0 {
-		r.take()
-		copy(r.buffer, r.idle[:n])
+		r.acquireBuffer()
+		copy(r.buffer, r.idleBuffer[:n])
 	}
-	return r.took(n, err)
+	return r.recordRead(n, err)
 }
 
-func (r *Reader) took(n int, err error) error {
-	r.end += n
+func (r *Reader) recordRead(n int, err error) error {
+	r.unreadEnd += n
 	if n > 0 {
-		r.reads++
+		r.readCount++
 		return nil
 	}
 	if err == nil {
@@ -208,16 +212,17 @@
 	return err
 }
 
-func (r *Reader) take() {
+func (r *Reader) acquireBuffer() {
 	r.pooled = buffers.Get().(*[]byte)
 	r.buffer = *r.pooled
-	r.start, r.end = 0, 0
+	r.unreadStart, r.unreadEnd = 0, 0
 }
 
-// rest gives up the buffer of an empty reader, or rewinds it.
-func (r *Reader) rest() {
-	r.start, r.end = 0, 0
-	if r.keep && r.pooled != nil {
+// releaseBuffer returns the buffer of an empty reader to the pool, or rewinds
+// it if the reader retains it.
+func (r *Reader) releaseBuffer() {
+	r.unreadStart, r.unreadEnd = 0, 0
+	if r.retain && r.pooled != nil {
 		return
 	}
 	if r.pooled != nil {
@@ -227,19 +232,20 @@
 	r.buffer = nil
 }
 
-// makeRoom moves what is buffered to the front, and doubles the buffer where it
-// is full: memory grows with what arrived, not with what a length promises.
+// makeRoom moves the buffered bytes to the front, and doubles the buffer if it
+// is full. Memory thus grows with the bytes received, not with the length that
+// a header announces.
 func (r *Reader) makeRoom() {
-	if r.end < len(r.buffer) {
+	if r.unreadEnd < len(r.buffer) {
 		return
 	}
-	if r.start > 0 {
-		r.end = copy(r.buffer, r.buffer[r.start:r.end])
-		r.start = 0
+	if r.unreadStart > 0 {
+		r.unreadEnd = copy(r.buffer, r.buffer[r.unreadStart:r.unreadEnd])
+		r.unreadStart = 0
 		return
 	}
 	grown := make([]byte, 2*len(r.buffer))
-	copy(grown, r.buffer[:r.end])
+	copy(grown, r.buffer[:r.unreadEnd])
 	if r.pooled != nil {
 		buffers.Put(r.pooled)
 		r.pooled = nil
@@ -251,5 +257,5 @@
 	if r.Buffered() < HeaderSize {
 		return 0, false
 	}
-	return 1 + int(int32(binary.BigEndian.Uint32(r.buffer[r.start+1:]))), true
+	return 1 + int(int32(binary.BigEndian.Uint32(r.buffer[r.unreadStart+1:]))), true
 }
--- a/internal/edge/postgres/frame_test.go
+++ b/internal/edge/postgres/frame_test.go
@@ -14,9 +14,9 @@
 
 const testLimit = 1 << 17
 
-// stream returns the bytes of three messages, of which one is larger than the
-// pooled buffers.
-func stream(t testing.TB) ([]byte, []string) {
+// testStream returns the bytes of three messages, one of which is larger than
+// the pooled buffers, and the messages themselves.
+func testStream(t testing.TB) ([]byte, []string) {
 	t.Helper()
 	var all []byte
 	var parts []string
@@ -31,28 +31,28 @@
 	return all, parts
 }
 
-// TestReader cuts the same stream that comes in different pieces.
+// TestReader splits the same stream when it arrives in different pieces.
 func TestReader(t *testing.T) {
-	all, want := stream(t)
+	all, want := testStream(t)
 	sources := map[string]func() io.Reader{
 		"whole":         func() io.Reader { return bytes.NewReader(all) },
 		"byte by byte":  func() io.Reader { return iotest.OneByteReader(bytes.NewReader(all)) },
 		"halves":        func() io.Reader { return iotest.HalfReader(bytes.NewReader(all)) },
-		"with timeouts": func() io.Reader { return &timeouts{source: iotest.HalfReader(bytes.NewReader(all))} },
+		"with timeouts": func() io.Reader { return &timeoutReader{source: iotest.HalfReader(bytes.NewReader(all))} },
 	}
 	for name, source := range sources {
 		t.Run(name, func(t *testing.T) {
 			for _, reader := range []*Reader{NewReader(source(), testLimit), NewRetainingReader(source(), testLimit)} {
-				if diff := cmp.Diff(want, frames(t, reader)); diff != "" {
-					t.Error("the frames are not those of the stream")
+				if diff := cmp.Diff(want, readFrames(t, reader)); diff != "" {
+					t.Error("the frames differ from the messages of the stream")
 				}
 			}
 		})
 	}
 }
 
-// frames reads to the end of the stream.
-func frames(t *testing.T, reader *Reader) []string {
+// readFrames reads all frames of the stream.
+func readFrames(t *testing.T, reader *Reader) []string {
 	t.Helper()
 	var got []string
 	for {
@@ -68,41 +68,41 @@
 	}
 }
 
-// timeouts fails every second read with a timeout.
-type timeouts struct {
-	source io.Reader
-	n      int
+// timeoutReader fails every second read with a timeout.
+type timeoutReader struct {
+	source    io.Reader
+	readCount int
 }
 
-func (r *timeouts) Read(b []byte) (int, error) {
-	r.n++
-	if r.n%2 == 0 {
+func (r *timeoutReader) Read(b []byte) (int, error) {
+	r.readCount++
+	if r.readCount%2 == 0 {
 		return 0, os.ErrDeadlineExceeded
 	}
 	return r.source.Read(b)
 }
 
-// TestReaderRefuses gives lengths that are impossible or too great.
-func TestReaderRefuses(t *testing.T) {
+// TestReaderInvalidLength reads frames whose length is invalid or too large.
+func TestReaderInvalidLength(t *testing.T) {
 	for name, raw := range map[string][]byte{
 		"negative":  {'Q', 0xff, 0xff, 0xff, 0xff},
 		"too short": {'Q', 0, 0, 0, 3},
-		"too great": {'Q', 0x7f, 0xff, 0xff, 0xff},
+		"too large": {'Q', 0x7f, 0xff, 0xff, 0xff},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := NewReader(bytes.NewReader(raw), testLimit).Next()
-			var size *SizeError
-			if !errors.As(err, &size) {
+			var sizeErr *SizeError
+			if !errors.As(err, &sizeErr) {
 				t.Errorf("got %v", err)
 			}
 		})
 	}
 }
 
-// FuzzReader cuts any bytes: every frame has the length that it says, and the
-// frames together are the beginning of the stream.
+// FuzzReader splits arbitrary data. Every frame must have the length in its
+// header, and the frames together must be a prefix of the stream.
 func FuzzReader(f *testing.F) {
-	all, _ := stream(f)
+	all, _ := testStream(f)
 	f.Add(all[:200])
 	f.Add([]byte{'Q', 0, 0, 0, 4, 'S', 0, 0, 0, 4})
 	f.Add([]byte{'Q', 0, 0, 0, 3})
@@ -117,7 +117,7 @@
 			got = append(got, frame.Raw...)
 		}
 		if !bytes.HasPrefix(raw, got) {
-			t.Error("frames are not the stream's")
+			t.Error("the frames are not a prefix of the stream")
 		}
 	})
 }
