--- a/internal/edge/caller/attempt.go
+++ b/internal/edge/caller/attempt.go
@@ -10,107 +10,111 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/edge/database"
 )
 
-// sendTimeout bounds the sending of a batch to a database.
+// sendTimeout is the maximum time for sending a batch to a database.
 const sendTimeout = 5 * time.Second
 
-// attempt runs a dispatched request. It reports whether the request is done
-// with for now: it has ended, or its transaction is open. Otherwise the core
-// has the next word.
-func (s *session) attempt(ctx context.Context, r *request, b *batch, d message.Dispatch) (bool, error) {
+// runAttempt runs a dispatched request on a backend connection. It returns true
+// if the request has ended or its transaction is open, and false if the core
+// decides what happens next. An error ends the session.
+func (s *session) runAttempt(ctx context.Context, r *request, b *batch, d message.Dispatch) (bool, error) {
 	r.attempt = d.Attempt
 	r.dispatch = d
-	if r.passed {
-		s.ended(r, message.OutcomeDatabaseError{SQLState: problemBroken.state})
-		return true, s.endWith(r, problemBroken, statusIdle)
+	if r.partlySent {
+		s.reportOutcome(r, message.OutcomeDatabaseError{SQLState: problemConnectionLost.sqlState})
+		return true, s.endWithProblem(r, problemConnectionLost, statusIdle)
 	}
-	r.sent = time.Time{}
-	r.opened = 0
+	r.sentAt = time.Time{}
+	r.connectTime = 0
 	r.position = model.Position{}
-	r.released = model.Position{}
-	r.state = ""
-	conn, opened, err := s.edge.pool.Acquire(ctx, d.Database, d.Deadline)
-	r.opened = opened
+	r.releasedPosition = model.Position{}
+	r.sqlState = ""
+	conn, connectTime, err := s.server.pool.Acquire(ctx, d.Database, d.Deadline)
+	r.connectTime = connectTime
 	if err != nil {
-		s.ended(r, message.OutcomeNotStarted{Reason: whyRefused(err)})
+		s.reportOutcome(r, message.OutcomeNotStarted{Reason: notStartedReason(err)})
 		return false, nil
 	}
 	r.conn = conn
-	p, err := s.replay(conn)
+	p, err := s.replaySettings(conn)
 	if err != nil {
-		s.dropConn(r)
-		s.ended(r, message.OutcomeNotStarted{Reason: message.NotStartedBrokenConnection})
+		s.discardConn(r)
+		s.reportOutcome(r, message.OutcomeNotStarted{Reason: message.NotStartedBrokenConnection})
 		return false, nil
 	}
 	if p != nil {
-		s.freeConn(r)
-		s.ended(r, message.OutcomeDatabaseError{SQLState: p.state})
-		return true, s.endWith(r, p, statusIdle)
+		s.releaseConn(r)
+		s.reportOutcome(r, message.OutcomeDatabaseError{SQLState: p.sqlState})
+		return true, s.endWithProblem(r, p, statusIdle)
 	}
 	return s.exchange(ctx, r, b)
 }
 
-func whyRefused(err error) message.NotStartedReason {
-	var refused *database.AcquireError
-	if errors.As(err, &refused) {
-		return refused.Reason
+func notStartedReason(err error) message.NotStartedReason {
+	var acquireErr *database.AcquireError
+	if errors.As(err, &acquireErr) {
+		return acquireErr.Reason
 	}
 	return message.NotStartedUnreachable
 }
 
-// exchange sends a batch and relays its answer. It reports whether the request
-// is done with for now.
+// exchange sends a batch and relays its answer. Its results are those of
+// runAttempt.
 func (s *session) exchange(ctx context.Context, r *request, b *batch) (bool, error) {
-	s.resetOut()
-	o := &s.work.outgoing
+	s.resetOutput()
+	o := &s.workspace.outgoing
 	o.reset()
-	if r.first {
-		o.prelude(r.conn, r.dispatch, b.extended)
+	if r.firstBatch {
+		o.appendSetup(r.conn, r.dispatch, b.extended)
 	}
-	o.body(r.conn, b)
-	kept := r.first && b.isSetting()
+	o.appendBatch(r.conn, b)
+	kept := r.firstBatch && b.isSet()
 	if b.traits.leavesState && !kept {
 		r.conn.State.NeedsReset = true
 	}
-	r.sent = time.Now()
+	r.sentAt = time.Now()
 	n, err := r.conn.Write(o.bytes, sendTimeout)
 	if err != nil {
-		return s.unsent(r, b, n)
+		return s.finishUnsent(r, b, n)
 	}
-	y := newRelay(s, r, b)
-	result := y.run(ctx)
-	s.mailbox.done()
+	rl := newRelay(s, r, b)
+	result := rl.run(ctx)
+	s.mailbox.endRead()
 	s.stopWatch()
-	return s.conclude(ctx, r, b, result)
+	return s.finishExchange(ctx, r, b, result)
 }
 
-// unsent ends an attempt whose batch could not be sent whole.
-func (s *session) unsent(r *request, b *batch, n int) (bool, error) {
-	if n == 0 && r.first {
-		s.dropConn(r)
-		s.ended(r, message.OutcomeNotStarted{Reason: message.NotStartedBrokenConnection})
+// finishUnsent ends an attempt of whose batch only the first n bytes could be
+// sent. If nothing was sent of the batch that opens the request, nothing can
+// have run.
+func (s *session) finishUnsent(r *request, b *batch, n int) (bool, error) {
+	if n == 0 && r.firstBatch {
+		s.discardConn(r)
+		s.reportOutcome(r, message.OutcomeNotStarted{Reason: message.NotStartedBrokenConnection})
 		return false, nil
 	}
-	return s.lost(r, b, resultLost{})
+	return s.finishConnectionLost(r, b, resultConnectionLost{})
 }
 
-// lost ends an attempt whose connection is of no more use.
-func (s *session) lost(r *request, b *batch, l resultLost) (bool, error) {
-	s.dropConn(r)
+// finishConnectionLost closes the connection of an attempt and reports it as
+// lost.
+func (s *session) finishConnectionLost(r *request, b *batch, lost resultConnectionLost) (bool, error) {
+	s.discardConn(r)
 	lostConnections.Add(1)
-	s.ended(r, message.OutcomeConnectionLost{
-		MayHaveCommitted: mayCommit(r, b),
-		PartlySent:       r.passed,
-		Unresponsive:     l.silent,
+	s.reportOutcome(r, message.OutcomeConnectionLost{
+		MayHaveCommitted: mayHaveCommitted(r, b),
+		PartlySent:       r.partlySent,
+		Unresponsive:     lost.unresponsive,
 	})
 	return false, nil
 }
 
-// mayCommit reports whether the batch, once sent, may have committed something.
-func mayCommit(r *request, b *batch) bool {
-	if r.dispatch.Access == model.AccessRead || !b.runs() {
+// mayHaveCommitted reports whether the batch, once sent, may have committed
+// something.
+func mayHaveCommitted(r *request, b *batch) bool {
+	if r.dispatch.Access == model.AccessRead || !b.executes() {
 		return false
 	}
-	if r.first && !b.traits.opensTransaction() {
+	if r.firstBatch && !b.traits.opensTransaction() {
 		return true
 	}
 	return b.traits.commits
--- a/internal/edge/caller/authenticate.go
+++ b/internal/edge/caller/authenticate.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// hashScheme begins a password hash.
+	// hashScheme is the prefix of a password hash.
 	hashScheme = "pbkdf2-sha256"
-	// hashRounds is the number of rounds of a new hash.
-	hashRounds = 60_000
-	// hashRoundsMost bounds the rounds of a hash that is read.
-	hashRoundsMost = 10_000_000
+	// defaultHashRounds is the number of PBKDF2 rounds of a new hash.
+	defaultHashRounds = 60_000
+	// maxHashRounds is the maximum number of rounds that ParsePasswordHash
+	// accepts.
+	maxHashRounds = 10_000_000
 	// saltSize and hashSize are in bytes.
 	saltSize = 16
 	hashSize = 32
 )
 
-// Users maps the names of those who may connect to their password hashes.
+// Users maps the names of the users who may connect to their password hashes.
 type Users map[model.CallerID]PasswordHash
 
-// PasswordHash is what is kept of a password.
+// PasswordHash is a salted PBKDF2 hash of a password.
 type PasswordHash struct {
 	rounds int
 	salt   []byte
@@ -43,18 +44,18 @@
 // Error implements error.
 func (e *PasswordHashError) Error() string { return "password hash: " + e.Detail }
 
-// NewPasswordHash hashes a password with a new salt.
+// NewPasswordHash hashes a password with a new random salt.
 func NewPasswordHash(password string) (PasswordHash, error) {
 	salt := make([]byte, saltSize)
 	_, err := rand.Read(salt)
 	if err != nil {
 		return PasswordHash{}, err
 	}
-	hash, err := pbkdf2.Key(sha256.New, password, salt, hashRounds, hashSize)
-	return PasswordHash{rounds: hashRounds, salt: salt, hash: hash}, err
+	hash, err := pbkdf2.Key(sha256.New, password, salt, defaultHashRounds, hashSize)
+	return PasswordHash{rounds: defaultHashRounds, salt: salt, hash: hash}, err
 }
 
-// ParsePasswordHash reads the form that String writes. Its error is a
+// ParsePasswordHash parses the format that String writes. Its error is a
 // *PasswordHashError.
 func ParsePasswordHash(text string) (PasswordHash, error) {
 	fields := strings.Split(text, "$")
@@ -62,7 +63,7 @@
 		return PasswordHash{}, &PasswordHashError{Detail: "expected " + hashScheme + "$ROUNDS$SALT$HASH"}
 	}
 	rounds, err := strconv.Atoi(fields[1])
-	if err != nil || rounds < 1 || rounds > hashRoundsMost {
+	if err != nil || rounds < 1 || rounds > maxHashRounds {
 		return PasswordHash{}, &PasswordHashError{Detail: "bad number of rounds"}
 	}
 	salt, err := base64.RawStdEncoding.DecodeString(fields[2])
@@ -86,68 +87,69 @@
 	}, "$")
 }
 
-// matches reports whether password is the one that was hashed, in a time that
-// does not depend on where they differ.
+// matches reports whether password is the one that was hashed. The comparison
+// takes constant time.
 func (h PasswordHash) matches(password string) bool {
 	hash, err := pbkdf2.Key(sha256.New, password, h.salt, h.rounds, hashSize)
 	return err == nil && subtle.ConstantTimeCompare(hash, h.hash) == 1
 }
 
-// unknownUser takes the place of a user that does not exist, so that the answer
-// takes as long.
-var unknownUser = PasswordHash{rounds: hashRounds, salt: make([]byte, saltSize), hash: make([]byte, hashSize)}
+// unknownUserHash is checked for users that do not exist, so that the response
+// time does not reveal which users exist.
+var unknownUserHash = PasswordHash{rounds: defaultHashRounds, salt: make([]byte, saltSize), hash: make([]byte, hashSize)}
 
-// check finds settings that don't go together.
-func (o Options) check() error {
+// validate returns an *OptionsError if the options contradict each other.
+func (o Options) validate() error {
 	if o.RequireTLS && o.TLS == nil {
 		return &OptionsError{Detail: "TLS is required but there is no certificate"}
 	}
 	if o.IdempotencyKeyPrefix == "" {
-		return &OptionsError{Detail: "no beginning of keys"}
+		return &OptionsError{Detail: "the prefix of idempotency keys is empty"}
 	}
 	return nil
 }
 
-// authenticate asks a caller for its password. Without TLS it is asked over
-// loopback only: it would be readable on any other path.
-func (e *Server) authenticate(h *hello) *problem {
+// authenticate requests and checks the caller's password. Without TLS it
+// requests one over loopback only, because a password could be read on any
+// other path.
+func (srv *Server) authenticate(h *handshake) *problem {
 	user := h.startup.Parameters["user"]
 	if user == "" {
-		return &problem{state: stateInvalidAuth, message: "no user name given", fatal: true}
+		return &problem{sqlState: stateInvalidAuth, message: "no user name given", fatal: true}
 	}
-	if e.options.RequireTLS && !h.secured {
-		return &problem{state: stateInvalidAuth, message: "TLS is required", fatal: true}
+	if srv.options.RequireTLS && !h.usesTLS {
+		return &problem{sqlState: stateInvalidAuth, message: "TLS is required", fatal: true}
 	}
-	if e.options.Trust {
+	if srv.options.Trust {
 		return nil
 	}
-	if len(e.options.Users) == 0 {
-		return &problem{state: stateInvalidAuth, message: "no users are configured", fatal: true}
+	if len(srv.options.Users) == 0 {
+		return &problem{sqlState: stateInvalidAuth, message: "no users are configured", fatal: true}
 	}
-	if !h.secured && !isLoopback(h.conn) {
-		return &problem{state: stateInvalidAuth, message: "TLS is required for a password", fatal: true}
+	if !h.usesTLS && !isLoopback(h.conn) {
+		return &problem{sqlState: stateInvalidAuth, message: "TLS is required for a password", fatal: true}
 	}
 	password, err := h.askPassword()
 	if err != nil {
-		return &problem{state: stateProtocolViolation, message: "expected a password", fatal: true}
+		return &problem{sqlState: stateProtocolViolation, message: "expected a password", fatal: true}
 	}
-	hash, known := e.options.Users[model.CallerID(user)]
+	hash, known := srv.options.Users[model.CallerID(user)]
 	if !known {
-		hash = unknownUser
+		hash = unknownUserHash
 	}
 	if !hash.matches(password) || !known {
 		return &problem{
-			state:   stateInvalidPassword,
-			message: "password authentication failed for user " + quoted(user),
-			fatal:   true,
+			sqlState: stateInvalidPassword,
+			message:  "password authentication failed for user " + quoted(user),
+			fatal:    true,
 		}
 	}
 	return nil
 }
 
-func (h *hello) askPassword() (string, error) {
-	question, _ := (&pgproto3.AuthenticationCleartextPassword{}).Encode(nil)
-	_, err := h.conn.Write(question)
+func (h *handshake) askPassword() (string, error) {
+	request, _ := (&pgproto3.AuthenticationCleartextPassword{}).Encode(nil)
+	_, err := h.conn.Write(request)
 	if err != nil {
 		return "", err
 	}
@@ -158,9 +160,9 @@
 	if frame.Type != 'p' {
 		return "", &ProtocolError{Detail: "expected a password"}
 	}
-	var answer pgproto3.PasswordMessage
-	err = answer.Decode(frame.Body())
-	return answer.Password, err
+	var response pgproto3.PasswordMessage
+	err = response.Decode(frame.Body())
+	return response.Password, err
 }
 
 func isLoopback(conn net.Conn) bool {
--- a/internal/edge/caller/batch.go
+++ b/internal/edge/caller/batch.go
@@ -12,135 +12,140 @@
 
 // batch is what a caller sends before it waits for an answer: one simple Query,
 // or the messages of the extended protocol up to Sync. It is kept until its
-// request ends, since it may have to be sent again.
+// request ends, because it may have to be sent again.
 type batch struct {
-	// raw holds the messages as they came.
+	// raw holds the messages as received.
 	raw []byte
-	// extended says that the messages are of the extended protocol, and parts
+	// extended is true if the messages are of the extended protocol; messages
 	// lists them.
 	extended bool
-	parts    []part
-	// text is that of the simple Query.
-	text   string
-	traits traits
-	hint   hint
-	// only is the command of the session that the simple Query is, or nil.
-	only *command
-	// early says that the caller has had the problem already, by a Flush.
-	early bool
-	// problem refuses the batch without running it.
+	messages []extendedMessage
+	// queryText is the text of the simple Query.
+	queryText string
+	traits    traits
+	hint      hint
+	// queryCommand is the session command in the simple Query, or nil if it is
+	// another statement.
+	queryCommand *command
+	// flushRejected is true if problem was sent to the caller early, in answer
+	// to a Flush.
+	flushRejected bool
+	// problem is the reason why the batch is rejected without being run, or
+	// nil.
 	problem *problem
 }
 
-// part is one message of the extended protocol.
-type part struct {
-	kind byte
-	// start and end bound the message in batch.raw.
+// extendedMessage is one message of the extended protocol.
+type extendedMessage struct {
+	frameType byte
+	// start and end are the offsets of the message in batch.raw.
 	start, end int
-	// named says that the message names a prepared statement: name is the
-	// caller's own name, statement what the session knows by it, or nil.
-	named     bool
-	name      string
-	statement *statement
+	// namesStatement is true if the message refers to a prepared statement:
+	// name is the caller's name for it, statement is the session's statement of
+	// that name, or nil if there is none.
+	namesStatement bool
+	name           string
+	statement      *statement
 }
 
 func (b *batch) reset() {
-	if cap(b.raw) > keptBuffer {
+	if cap(b.raw) > maxRetainedBuffer {
 		b.raw = nil
 	}
-	clear(b.parts)
-	*b = batch{raw: b.raw[:0], parts: b.parts[:0]}
+	clear(b.messages)
+	*b = batch{raw: b.raw[:0], messages: b.messages[:0]}
 }
 
-// isEmpty reports whether the batch asks for nothing but a ReadyForQuery.
-func (b *batch) isEmpty() bool { return b.extended && len(b.parts) == 0 }
+// isEmpty reports whether the batch holds nothing but a Sync.
+func (b *batch) isEmpty() bool { return b.extended && len(b.messages) == 0 }
 
-// add appends a message of the extended protocol.
-func (b *batch) add(frame postgres.Frame) *part {
+// addMessage appends a message of the extended protocol.
+func (b *batch) addMessage(frame postgres.Frame) *extendedMessage {
 	start := len(b.raw)
 	b.raw = append(b.raw, frame.Raw...)
-	b.parts = append(b.parts, part{kind: frame.Type, start: start, end: len(b.raw)})
-	return &b.parts[len(b.parts)-1]
+	b.messages = append(b.messages, extendedMessage{frameType: frame.Type, start: start, end: len(b.raw)})
+	return &b.messages[len(b.messages)-1]
 }
 
-// refuse keeps the first problem.
-func (b *batch) refuse(p *problem) {
+// reject marks the batch as rejected. The first problem is kept.
+func (b *batch) reject(p *problem) {
 	if b.problem == nil {
 		b.problem = p
 	}
 }
 
 // -----------------------------------------------------------------------------
-// Reading.
+// Reading batches.
 
-// readBatch reads the caller's next batch. It returns io.EOF where the caller
-// says goodbye, and a *ProtocolError where the stream is of no more use.
+// readBatch reads the caller's next batch. Its error is errCallerTerminated after
+// a Terminate message, a *ProtocolError or *postgres.SizeError if the stream
+// cannot be read further, or an error of the connection.
 func (s *session) readBatch(b *batch) error {
 	for {
 		frame, err := s.reader.Next()
 		if err != nil {
 			return err
 		}
-		whole, err := s.takeFrame(b, frame)
-		if err != nil || whole {
+		complete, err := s.addFrame(b, frame)
+		if err != nil || complete {
 			return err
 		}
 	}
 }
 
-// takeFrame adds one message to b, and reports whether b is whole.
-func (s *session) takeFrame(b *batch, frame postgres.Frame) (bool, error) {
+// addFrame adds one message to b, and reports whether b is complete.
+func (s *session) addFrame(b *batch, frame postgres.Frame) (bool, error) {
 	switch frame.Type {
 	case 'Q':
-		if len(b.parts) > 0 {
+		if len(b.messages) > 0 {
 			return false, &ProtocolError{Detail: "a simple query among extended messages"}
 		}
-		return true, s.takeQuery(b, frame)
+		return true, s.addQuery(b, frame)
 	case 'P', 'B', 'D', 'E', 'C':
 		b.extended = true
-		return false, s.takePart(b, frame)
+		return false, s.addExtendedMessage(b, frame)
 	case 'S':
 		b.extended = true
 		b.finish()
 		return true, nil
 	case 'H':
 		b.extended = true
-		return false, s.refuseFlush(b)
+		return false, s.rejectFlush(b)
 	case 'F':
-		b.refuse(problemFunctionCall)
+		b.reject(problemFunctionCall)
 		return true, nil
 	case 'd', 'c', 'f':
 		return false, nil
 	case 'X':
-		return false, errGoodbye
+		return false, errCallerTerminated
 	}
 	return false, &ProtocolError{Detail: "unknown message type " + quoted(string(frame.Type))}
 }
 
-func (s *session) takeQuery(b *batch, frame postgres.Frame) error {
+func (s *session) addQuery(b *batch, frame postgres.Frame) error {
 	var query pgproto3.Query
 	err := query.Decode(frame.Body())
 	if err != nil {
 		return &ProtocolError{Detail: "malformed Query"}
 	}
 	b.raw = append(b.raw, frame.Raw...)
-	b.text = query.String
-	b.traits = scan(query.String)
+	b.queryText = query.String
+	b.traits = scanTraits(query.String)
 	h, err := parseHint(query.String)
 	if err != nil {
-		b.refuse(hintProblem(err))
+		b.reject(hintProblem(err))
 	}
 	b.hint = h
-	b.only = parseCommand(query.String, b.traits)
-	s.checkToken(b)
+	b.queryCommand = parseCommand(query.String, b.traits)
+	s.checkTokenGroup(b)
 	return nil
 }
 
-// checkToken refuses a token of another group.
-func (s *session) checkToken(b *batch) {
+// checkTokenGroup rejects the batch if its token belongs to another group.
+func (s *session) checkTokenGroup(b *batch) {
 	group := b.hint.token.Group
 	if group != "" && group != s.group {
-		b.refuse(hintProblem(&HintError{
+		b.reject(hintProblem(&HintError{
 			Name:   "token",
 			Value:  b.hint.token.String(),
 			Detail: "the token is of another group",
@@ -148,23 +153,23 @@
 	}
 }
 
-func (s *session) takePart(b *batch, frame postgres.Frame) error {
-	if len(b.raw)+len(frame.Raw) > s.edge.options.MaxMessageSize {
-		b.refuse(problemTooLarge)
+func (s *session) addExtendedMessage(b *batch, frame postgres.Frame) error {
+	if len(b.raw)+len(frame.Raw) > s.server.options.MaxMessageSize {
+		b.reject(problemTooLarge)
 		return nil
 	}
-	p := b.add(frame)
-	body := b.raw[p.start+postgres.HeaderSize : p.end]
+	m := b.addMessage(frame)
+	body := b.raw[m.start+postgres.HeaderSize : m.end]
 	switch frame.Type {
 	case 'P':
-		return s.takeParse(b, p, body)
+		return s.addParse(b, m, body)
 	case 'B':
 		_, rest, ok := cutString(body)
 		name, _, named := cutString(rest)
 		if !ok || !named {
 			return &ProtocolError{Detail: "malformed Bind"}
 		}
-		s.refer(b, p, name)
+		s.resolveStatement(b, m, name)
 	case 'D', 'C':
 		if len(body) < 2 {
 			return &ProtocolError{Detail: "malformed Describe or Close"}
@@ -174,115 +179,117 @@
 			return &ProtocolError{Detail: "malformed Describe or Close"}
 		}
 		if body[0] == 'S' {
-			s.refer(b, p, name)
+			s.resolveStatement(b, m, name)
 		}
 	}
 	return nil
 }
 
-// takeParse remembers the statement under its name; the session keeps it once
-// a database has accepted it.
-func (s *session) takeParse(b *batch, p *part, body []byte) error {
+// addParse adds a Parse message and its statement to b. The session stores the
+// statement only when a database has accepted it.
+func (s *session) addParse(b *batch, m *extendedMessage, body []byte) error {
 	var parse pgproto3.Parse
 	err := parse.Decode(body)
 	if err != nil {
 		return &ProtocolError{Detail: "malformed Parse"}
 	}
-	p.named = true
-	p.name = parse.Name
-	statement, err := newStatement(&parse)
+	m.namesStatement = true
+	m.name = parse.Name
+	stmt, err := newStatement(&parse)
 	if err != nil {
-		b.refuse(hintProblem(err))
+		b.reject(hintProblem(err))
 		return nil
 	}
-	p.statement = statement
-	if !s.statements.hasRoom(statement) {
-		b.refuse(problemStatements)
+	m.statement = stmt
+	if !s.statements.hasRoom(stmt) {
+		b.reject(problemTooManyStatements)
 	}
-	b.note(statement)
-	s.checkToken(b)
+	b.addStatement(stmt)
+	s.checkTokenGroup(b)
 	return nil
 }
 
-// refuseFlush tells a caller at once that it can't have a part of its answer
-// before Sync, since it will not send Sync before.
-func (s *session) refuseFlush(b *batch) error {
-	if b.early {
+// rejectFlush answers a Flush with an error at once. The proxy sends no part of
+// an answer before Sync, and the caller may send Sync only after it has
+// received one.
+func (s *session) rejectFlush(b *batch) error {
+	if b.flushRejected {
 		return nil
 	}
-	b.refuse(problemFlush)
-	b.early = true
+	b.reject(problemFlush)
+	b.flushRejected = true
 	if s.request != nil {
-		s.breakTransaction(message.OutcomeDatabaseError{SQLState: problemFlush.state})
+		s.abortTransaction(message.OutcomeDatabaseError{SQLState: problemFlush.sqlState})
 	}
-	s.say(b.problem)
+	s.appendProblem(b.problem)
 	return s.flush()
 }
 
-// refer resolves the statement that a message names: one of this batch, or one
-// of the session.
-func (s *session) refer(b *batch, p *part, name []byte) {
-	p.named = true
-	for i := len(b.parts) - 2; i >= 0; i-- {
-		other := &b.parts[i]
-		if other.kind == 'P' && other.name == string(name) {
-			p.name = other.name
-			p.statement = other.statement
+// resolveStatement finds the statement that a message names, in this batch or
+// among those of the session.
+func (s *session) resolveStatement(b *batch, m *extendedMessage, name []byte) {
+	m.namesStatement = true
+	for i := len(b.messages) - 2; i >= 0; i-- {
+		other := &b.messages[i]
+		if other.frameType == 'P' && other.name == string(name) {
+			m.name = other.name
+			m.statement = other.statement
 			return
 		}
 	}
-	p.statement = s.statements.get(name)
-	if p.statement == nil {
-		p.name = string(name)
+	m.statement = s.statements.get(name)
+	if m.statement == nil {
+		m.name = string(name)
 		return
 	}
-	p.name = p.statement.name
-	b.note(p.statement)
-	s.checkToken(b)
+	m.name = m.statement.name
+	b.addStatement(m.statement)
+	s.checkTokenGroup(b)
 }
 
-// note adds what is known of a statement to the batch.
-func (b *batch) note(statement *statement) {
-	b.traits = b.traits.join(statement.traits)
-	h := statement.hint.over(b.hint)
+// addStatement merges the traits and the hint of a statement into those of the
+// batch.
+func (b *batch) addStatement(stmt *statement) {
+	b.traits = b.traits.merge(stmt.traits)
+	h := stmt.hint.withDefaults(b.hint)
 	if h.key == "" {
 		h.key = b.hint.key
 	}
 	b.hint = h
 }
 
-// finish completes a batch at its Sync.
+// finish appends the Sync that completes a batch.
 func (b *batch) finish() {
 	sync, _ := (&pgproto3.Sync{}).Encode(b.raw)
 	b.raw = sync
 }
 
-// cutString cuts at the zero byte that ends a string.
+// cutString splits body at the zero byte that ends its first string.
 func cutString(body []byte) ([]byte, []byte, bool) {
 	return bytes.Cut(body, []byte{0})
 }
 
-// appendFrame appends a message of a type and a body in two pieces.
-func appendFrame(to []byte, kind byte, pieces ...[]byte) []byte {
-	to = append(to, kind, 0, 0, 0, 0)
-	at := len(to) - 4
+// appendFrame appends a message with the given type and a body made of pieces.
+func appendFrame(to []byte, frameType byte, pieces ...[]byte) []byte {
+	to = append(to, frameType, 0, 0, 0, 0)
+	lengthAt := len(to) - 4
 	for _, piece := range pieces {
 		to = append(to, piece...)
 	}
-	binary.BigEndian.PutUint32(to[at:], uint32(len(to)-at))
+	binary.BigEndian.PutUint32(to[lengthAt:], uint32(len(to)-lengthAt))
 	return to
 }
 
-// databaseProblem returns a database's error as the caller shall get it.
+// databaseProblem returns the error of a database as a problem for the caller.
 func databaseProblem(frame postgres.Frame) *problem {
 	var response pgproto3.ErrorResponse
 	if response.Decode(frame.Body()) != nil {
-		return problemBroken
+		return problemConnectionLost
 	}
 	return &problem{
-		state:   response.Code,
-		message: response.Message,
-		detail:  response.Detail,
-		hint:    response.Hint,
+		sqlState: response.Code,
+		message:  response.Message,
+		detail:   response.Detail,
+		hint:     response.Hint,
 	}
 }
--- a/internal/edge/caller/cancel.go
+++ b/internal/edge/caller/cancel.go
@@ -8,32 +8,32 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// cancel tells the core that the request which runs for a session is withdrawn.
-// The core decides: a request that waits is refused, one that runs is
-// interrupted at its database.
-func (e *Server) cancel(process uint32, secret []byte) {
-	s := e.findSession(process)
-	if s == nil || subtle.ConstantTimeCompare(s.secret, secret) != 1 {
+// cancelSessionRequest reports to the core that the current request of a
+// session was canceled. The core then rejects the request if it is waiting, or
+// cancels its statement at the database if it is running.
+func (srv *Server) cancelSessionRequest(processID uint32, secret []byte) {
+	s := srv.findSession(processID)
+	if s == nil || subtle.ConstantTimeCompare(s.cancelSecret, secret) != 1 {
 		return
 	}
-	id := model.RequestID(s.current.Load())
+	id := model.RequestID(s.currentRequest.Load())
 	if id == 0 {
 		return
 	}
 	cancelRequests.Add(1)
-	e.note(event.CancelAsked, "session", s.id, "request", id)
-	e.sink.Post(message.RequestCanceled{Request: id})
+	srv.logEvent(event.CancelAsked, "session", s.id, "request", id)
+	srv.sink.Post(message.RequestCanceled{Request: id})
 }
 
-// findSession looks up a session by the number given to its caller, which is
-// the lower half of its own.
-func (e *Server) findSession(process uint32) *session {
-	e.mu.RLock()
-	defer e.mu.RUnlock()
-	high := e.lastSession.Load() &^ (1<<32 - 1)
-	s := e.sessions[model.SessionID(high|uint64(process))]
+// findSession finds a session by the process ID that its caller received, which
+// is the lower 32 bits of the session ID.
+func (srv *Server) findSession(processID uint32) *session {
+	srv.mu.RLock()
+	defer srv.mu.RUnlock()
+	high := srv.lastSession.Load() &^ (1<<32 - 1)
+	s := srv.sessions[model.SessionID(high|uint64(processID))]
 	if s == nil && high > 0 {
-		s = e.sessions[model.SessionID((high-1<<32)|uint64(process))]
+		s = srv.sessions[model.SessionID((high-1<<32)|uint64(processID))]
 	}
 	return s
 }
--- a/internal/edge/caller/cancel_test.go
+++ b/internal/edge/caller/cancel_test.go
@@ -9,10 +9,11 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/message"
 )
 
-// cancelRaw sends a cancel request with a session's key.
-func cancelRaw(t *testing.T, b *bench, key pgproto3.BackendKeyData) {
+// cancelRaw sends a cancel request with the process ID and secret key of a
+// session.
+func cancelRaw(t *testing.T, setup *testSetup, key pgproto3.BackendKeyData) {
 	t.Helper()
-	caller := dialRaw(t, b)
+	caller := dialRaw(t, setup)
 	packet, err := (&pgproto3.CancelRequest{ProcessID: key.ProcessID, SecretKey: key.SecretKey}).Encode(nil)
 	if err != nil {
 		t.Fatal(err)
@@ -21,143 +22,144 @@
 	caller.conn.Read(make([]byte, 1))
 }
 
-// TestCancel cancels a statement that runs: the cancel request reaches the
-// connection that the statement runs on, which is not used again.
+// TestCancel cancels a running statement. The cancel request must reach the
+// connection that runs the statement, and that connection must not be used
+// again.
 func TestCancel(t *testing.T) {
-	b := newBench(t)
+	setup := newTestSetup(t)
 	running := make(chan uint32, 1)
-	b.db.on("select slow", func(c *fakeConn) {
-		running <- c.process
+	setup.db.answerWith("select slow", func(c *fakeConn) {
+		running <- c.processID
 		canceled := <-c.db.canceled
-		if canceled == c.process {
-			c.fail("57014", "canceled")
+		if canceled == c.processID {
+			c.sendError("57014", "canceled")
 		}
 	})
-	caller := startRaw(t, b)
+	caller := startRaw(t, setup)
 	caller.send(&pgproto3.Query{String: "select slow"})
 	<-running
-	cancelRaw(t, b, pgproto3.BackendKeyData{ProcessID: caller.key.ProcessID, SecretKey: []byte{0, 0, 0, 0}})
-	cancelRaw(t, b, caller.key)
+	cancelRaw(t, setup, pgproto3.BackendKeyData{ProcessID: caller.key.ProcessID, SecretKey: []byte{0, 0, 0, 0}})
+	cancelRaw(t, setup, caller.key)
 	if diff := cmp.Diff([]string{"ERROR 57014", "ready I"}, caller.answer()); diff != "" {
 		t.Error(diff)
 	}
 	caller.query("select a")
-	if diff := cmp.Diff(2, b.db.connections()); diff != "" {
+	if diff := cmp.Diff(2, setup.db.connections()); diff != "" {
 		t.Error("the connection was used again after a cancel request: ", diff)
 	}
 }
 
-// TestCancelIdle cancels a session that runs nothing: nothing is told to
-// anybody, also not within a transaction.
+// TestCancelIdle cancels a session that runs no statement. Nothing may be
+// reported to the core, not even inside a transaction.
 func TestCancelIdle(t *testing.T) {
-	b := newBench(t)
-	b.core.hook = func(event message.Event) bool {
+	setup := newTestSetup(t)
+	setup.core.hook = func(event message.Event) bool {
 		if _, ok := event.(message.RequestCanceled); ok {
-			t.Error("the core was told")
+			t.Error("the cancellation was reported to the core")
 		}
 		return false
 	}
-	caller := startRaw(t, b)
-	cancelRaw(t, b, caller.key)
+	caller := startRaw(t, setup)
+	cancelRaw(t, setup, caller.key)
 	caller.query("BEGIN")
-	cancelRaw(t, b, caller.key)
+	cancelRaw(t, setup, caller.key)
 	caller.query("COMMIT")
 }
 
 // TestCancelWaiting cancels a request that waits for its dispatch.
 func TestCancelWaiting(t *testing.T) {
-	b := newBench(t)
+	setup := newTestSetup(t)
 	waiting := make(chan struct{}, 1)
-	b.core.hook = func(event message.Event) bool {
+	setup.core.hook = func(event message.Event) bool {
 		switch event := event.(type) {
 		case message.RequestArrived:
 			waiting <- struct{}{}
 			return true
 		case message.RequestCanceled:
-			b.edge.HandleAction(message.RefuseRequest{Request: event.Request, Reason: message.RefuseCanceled})
+			setup.server.HandleAction(message.RefuseRequest{Request: event.Request, Reason: message.RefuseCanceled})
 			return true
 		}
 		return false
 	}
-	caller := startRaw(t, b)
+	caller := startRaw(t, setup)
 	caller.send(&pgproto3.Query{String: "select a"})
 	<-waiting
-	cancelRaw(t, b, caller.key)
+	cancelRaw(t, setup, caller.key)
 	if diff := cmp.Diff([]string{"ERROR 57014", "ready I"}, caller.answer()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestCallerGone closes a caller's connection while its request runs: the core
-// learns it, and the database is asked to stop.
-func TestCallerGone(t *testing.T) {
-	b := newBench(t)
+// TestCallerDisconnects closes a caller's connection while its request runs.
+// The core must be notified, and the statement canceled at the database.
+func TestCallerDisconnects(t *testing.T) {
+	setup := newTestSetup(t)
 	running := make(chan struct{}, 1)
-	b.db.on("select slow", func(c *fakeConn) {
+	setup.db.answerWith("select slow", func(c *fakeConn) {
 		running <- struct{}{}
 		<-c.db.canceled
-		c.fail("57014", "canceled")
+		c.sendError("57014", "canceled")
 	})
-	caller := startRaw(t, b)
+	caller := startRaw(t, setup)
 	caller.send(&pgproto3.Query{String: "select slow"})
 	<-running
 	caller.conn.Close()
-	ended := <-b.core.ended
+	ended := <-setup.core.ended
 	if diff := cmp.Diff(message.Outcome(message.OutcomeDatabaseError{SQLState: "57014"}), ended.Outcome); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestAbandonRunning has the core abandon a request while its statement runs.
-func TestAbandonRunning(t *testing.T) {
-	b := newBench(t)
+// TestAbortRunning lets the core abort a request while its statement runs.
+func TestAbortRunning(t *testing.T) {
+	setup := newTestSetup(t)
 	running := make(chan struct{}, 1)
-	b.db.on("INSERT slow", func(c *fakeConn) {
+	setup.db.answerWith("INSERT slow", func(c *fakeConn) {
 		running <- struct{}{}
-		c.mute()
+		c.stopAnswering()
 	})
-	caller := startRaw(t, b)
+	caller := startRaw(t, setup)
 	caller.send(&pgproto3.Query{String: "INSERT slow"})
 	<-running
-	b.edge.HandleAction(message.AbortRequest{Request: 1, Attempt: 1, OutcomeUnknown: true})
+	setup.server.HandleAction(message.AbortRequest{Request: 1, Attempt: 1, OutcomeUnknown: true})
 	if diff := cmp.Diff([]string{"ERROR 08007", "ready I"}, caller.answer()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestDrain drains the edge with one session idle and one whose request runs:
-// the request ends whole, and both are told to connect again.
+// TestDrain drains the server with one idle session and one whose request runs.
+// The request must complete, and both callers must be told to connect again.
 func TestDrain(t *testing.T) {
-	b := newBench(t)
-	running, finish := make(chan struct{}), make(chan struct{})
-	b.db.on("select slow", func(c *fakeConn) {
+	setup := newTestSetup(t)
+	running, release := make(chan struct{}), make(chan struct{})
+	setup.db.answerWith("select slow", func(c *fakeConn) {
 		close(running)
-		<-finish
-		c.standard("select slow", true)
+		<-release
+		c.answerDefault("select slow", true)
 	})
-	idle, busy := startRaw(t, b), startRaw(t, b)
+	idle, busy := startRaw(t, setup), startRaw(t, setup)
 	busy.send(&pgproto3.Query{String: "select slow"})
 	<-running
-	b.edge.HandleAction(message.Drain{})
+	setup.server.HandleAction(message.Drain{})
 	if diff := cmp.Diff([]string{"FATAL 57P01"}, idle.answer()); diff != "" {
 		t.Error(diff)
 	}
-	close(finish)
+	close(release)
 	if diff := cmp.Diff([]string{"row select slow", "SELECT 1", "ready I"}, busy.answer()); diff != "" {
 		t.Error(diff)
 	}
 	if diff := cmp.Diff([]string{"FATAL 57P01"}, busy.answer()); diff != "" {
 		t.Error(diff)
 	}
-	<-b.gone
+	<-setup.stopped
 }
 
-// TestDrainTransaction drains the edge while a transaction is open.
+// TestDrainTransaction drains the server while a transaction is open.
 func TestDrainTransaction(t *testing.T) {
-	b := newBench(t)
-	caller := startRaw(t, b)
+	setup := newTestSetup(t)
+	caller := startRaw(t, setup)
 	caller.query("BEGIN")
-	b.edge.HandleAction(message.Drain{})
+	setup.server.HandleAction(message.Drain{})
 	if diff := cmp.Diff([]string{"INSERT 0 1", "ready T"}, caller.query("INSERT x")); diff != "" {
 		t.Error(diff)
 	}
@@ -168,23 +170,23 @@
 	if diff := cmp.Diff([]string{"FATAL 57P01"}, caller.answer()); diff != "" {
 		t.Error(diff)
 	}
-	<-b.gone
+	<-setup.stopped
 }
 
-// TestEnd ends the edge while a request runs: nothing is left behind.
-func TestEnd(t *testing.T) {
-	b := newBench(t)
+// TestStop stops the server while a request runs. No session may remain.
+func TestStop(t *testing.T) {
+	setup := newTestSetup(t)
 	running := make(chan struct{}, 1)
-	b.db.on("select slow", func(c *fakeConn) {
+	setup.db.answerWith("select slow", func(c *fakeConn) {
 		running <- struct{}{}
-		c.mute()
+		c.stopAnswering()
 	})
-	caller := startRaw(t, b)
+	caller := startRaw(t, setup)
 	caller.send(&pgproto3.Query{String: "select slow"})
 	<-running
-	b.stop()
-	<-b.gone
-	if diff := cmp.Diff(0, b.edge.SessionCount()); diff != "" {
+	setup.stop()
+	<-setup.stopped
+	if diff := cmp.Diff(0, setup.server.SessionCount()); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/edge/caller/command.go
+++ b/internal/edge/caller/command.go
@@ -2,59 +2,61 @@
 
 import "strings"
 
-// verb tells which command of the session a statement is.
-type verb int
+// commandKind is the kind of a session command.
+type commandKind int
 
 const (
-	// verbSet is SET name = value.
-	verbSet verb = iota
-	// verbReset is RESET name.
-	verbReset
-	// verbResetAll is RESET ALL.
-	verbResetAll
-	// verbDiscard is DISCARD ALL.
-	verbDiscard
-	// verbDeallocate is DEALLOCATE name, or ALL, which leaves the name empty.
-	verbDeallocate
-	// verbShow is SHOW of a setting of the proxy's own.
-	verbShow
+	// commandSet is SET name = value.
+	commandSet commandKind = iota
+	// commandReset is RESET name.
+	commandReset
+	// commandResetAll is RESET ALL.
+	commandResetAll
+	// commandDiscard is DISCARD ALL.
+	commandDiscard
+	// commandDeallocate is DEALLOCATE name, or DEALLOCATE ALL with an empty
+	// name.
+	commandDeallocate
+	// commandShow is SHOW of a proxy setting.
+	commandShow
 )
 
-// ownPrefix begins the names of the proxy's own settings.
-const ownPrefix = "eelgrassfold."
+// proxyPrefix is the prefix of the names of proxy settings.
+const proxyPrefix = "eelgrassfold."
 
-// command is a statement about the session's own state.
+// command is a statement that changes or shows the state of the session.
 type command struct {
-	verb  verb
+	kind  commandKind
 	name  string
 	value string
 	// text is the whole statement.
 	text string
 }
 
-// isOwn reports whether the command is about a setting of the proxy's own.
-func (c *command) isOwn() bool { return strings.HasPrefix(c.name, ownPrefix) }
+// isProxySetting reports whether the command is about a proxy setting.
+func (c *command) isProxySetting() bool { return strings.HasPrefix(c.name, proxyPrefix) }
 
-// parseCommand returns the command that text is, or nil. Only the forms that
-// drivers send are known; any other is a statement for the database.
+// parseCommand returns the session command in text, or nil if it holds none. It
+// recognizes only the forms that drivers send; every other statement goes to
+// the database.
 func parseCommand(text string, t traits) *command {
-	if t.several {
+	if t.multipleStatements {
 		return nil
 	}
-	switch t.first {
+	switch t.firstWord {
 	case "SET", "RESET", "DISCARD", "DEALLOCATE", "SHOW":
 	default:
 		return nil
 	}
-	plain := strings.TrimRight(skipBlank(text), "; \t\r\n")
-	_, rest := cutWord(plain)
-	switch t.first {
+	trimmed := strings.TrimRight(skipBlank(text), "; \t\r\n")
+	_, rest := cutWord(trimmed)
+	switch t.firstWord {
 	case "SET":
-		return parseSet(plain, rest)
+		return parseSet(trimmed, rest)
 	case "RESET":
 		return parseReset(rest)
 	case "DISCARD":
-		return whenAll(rest, &command{verb: verbDiscard})
+		return commandIfAll(rest, &command{kind: commandDiscard})
 	case "DEALLOCATE":
 		if word, after := cutWord(rest); strings.EqualFold(word, "PREPARE") {
 			rest = after
@@ -62,10 +64,10 @@
 		return parseDeallocate(rest)
 	}
 	name := settingName(strings.TrimSpace(rest))
-	if !strings.HasPrefix(name, ownPrefix) {
+	if !strings.HasPrefix(name, proxyPrefix) {
 		return nil
 	}
-	return &command{verb: verbShow, name: name}
+	return &command{kind: commandShow, name: name}
 }
 
 func parseDeallocate(rest string) *command {
@@ -76,10 +78,10 @@
 	case strings.EqualFold(name, "ALL"):
 		name = ""
 	}
-	return &command{verb: verbDeallocate, name: strings.Trim(name, "\"")}
+	return &command{kind: commandDeallocate, name: strings.Trim(name, "\"")}
 }
 
-func whenAll(rest string, c *command) *command {
+func commandIfAll(rest string, c *command) *command {
 	if strings.EqualFold(strings.TrimSpace(rest), "ALL") {
 		return c
 	}
@@ -89,17 +91,17 @@
 func parseReset(rest string) *command {
 	name := settingName(strings.TrimSpace(rest))
 	if name == "all" {
-		return &command{verb: verbResetAll}
+		return &command{kind: commandResetAll}
 	}
 	if name == "" || strings.ContainsAny(name, " \t\r\n") {
 		return nil
 	}
-	return &command{verb: verbReset, name: name}
+	return &command{kind: commandReset, name: name}
 }
 
-// parseSet reads SET [SESSION] name {= | TO} value. SET LOCAL, SET ROLE and
-// their like are statements for the database.
-func parseSet(plain, rest string) *command {
+// parseSet parses SET [SESSION] name {= | TO} value. SET LOCAL, SET ROLE and
+// similar statements go to the database.
+func parseSet(trimmed, rest string) *command {
 	word, after := cutWord(rest)
 	if strings.EqualFold(word, "SESSION") {
 		rest = after
@@ -122,10 +124,11 @@
 	if name == "" || value == "" {
 		return nil
 	}
-	return &command{verb: verbSet, name: settingName(name), value: unquote(value), text: plain}
+	return &command{kind: commandSet, name: settingName(name), value: unquote(value), text: trimmed}
 }
 
-// cutWord cuts the first word off, up to white space or an equals sign.
+// cutWord splits text after its first word, which ends at white space or an
+// equals sign.
 func cutWord(text string) (string, string) {
 	text = strings.TrimLeft(text, " \t\r\n")
 	i := strings.IndexAny(text, " \t\r\n=")
@@ -137,7 +140,7 @@
 
 func isBlank(b byte) bool { return b == ' ' || b == '\t' || b == '\r' || b == '\n' }
 
-// unquote takes the quotes off a literal.
+// unquote removes the quotes of a string literal.
 func unquote(value string) string {
 	if len(value) >= 2 && value[0] == '\'' && value[len(value)-1] == '\'' {
 		return strings.ReplaceAll(value[1:len(value)-1], "''", "'")
--- a/internal/edge/caller/conclude.go
+++ b/internal/edge/caller/conclude.go
@@ -7,170 +7,176 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// conclude acts on the end of an exchange.
-func (s *session) conclude(ctx context.Context, r *request, b *batch, end result) (bool, error) {
-	switch end := end.(type) {
-	case resultLost:
-		return s.lost(r, b, end)
-	case resultRefused:
-		s.putBack(r)
-		s.ended(r, message.OutcomeNotStarted{Reason: end.why})
+// finishExchange handles the result of an exchange. Its results are those of
+// runAttempt.
+func (s *session) finishExchange(ctx context.Context, r *request, b *batch, res result) (bool, error) {
+	switch end := res.(type) {
+	case resultConnectionLost:
+		return s.finishConnectionLost(r, b, end)
+	case resultNotStarted:
+		s.returnConn(r)
+		s.reportOutcome(r, message.OutcomeNotStarted{Reason: end.reason})
 		return false, nil
 	case resultBehind:
-		s.putBack(r)
-		s.ended(r, message.OutcomeBehind{Position: r.position})
+		s.returnConn(r)
+		s.reportOutcome(r, message.OutcomeBehind{Position: r.position})
 		return false, nil
-	case resultStopped:
-		s.dropConn(r)
-		s.ended(r, message.OutcomeDatabaseError{SQLState: end.problem.state})
-		return true, s.endLost(r, b, end.problem)
-	case resultUnread:
-		s.dropConn(r)
-		s.ended(r, message.OutcomeConnectionLost{MayHaveCommitted: mayCommit(r, b), PartlySent: true})
+	case resultAborted:
+		s.discardConn(r)
+		s.reportOutcome(r, message.OutcomeDatabaseError{SQLState: end.problem.sqlState})
+		return true, s.endLostTransaction(r, b, end.problem)
+	case resultSessionEnded:
+		s.discardConn(r)
+		s.reportOutcome(r, message.OutcomeConnectionLost{MayHaveCommitted: mayHaveCommitted(r, b), PartlySent: true})
 		s.endRequest(r)
 		return true, end.cause
-	case resultWhole:
-		return s.concludeWhole(ctx, r, b, end)
+	case resultComplete:
+		return s.finishCompleteAnswer(ctx, r, b, end)
 	}
 	return false, nil
 }
 
-// putBack gives up the connection of an attempt that is not passed on.
-func (s *session) putBack(r *request) {
-	if r.status != statusIdle {
-		s.dropConn(r)
+// returnConn gives up the connection of an attempt whose answer is not sent to
+// the caller. It is closed if a transaction is open on it.
+func (s *session) returnConn(r *request) {
+	if r.transactionStatus != statusIdle {
+		s.discardConn(r)
 		return
 	}
-	s.freeConn(r)
+	s.releaseConn(r)
 }
 
-// concludeWhole passes on what is left of a whole answer, once it may be.
-func (s *session) concludeWhole(ctx context.Context, r *request, b *batch, end resultWhole) (bool, error) {
-	if end.failure == nil {
-		s.keepSetting(r, b)
+// finishCompleteAnswer sends the rest of a complete answer, once its position
+// is durable.
+func (s *session) finishCompleteAnswer(ctx context.Context, r *request, b *batch, res resultComplete) (bool, error) {
+	if res.databaseError == nil {
+		s.rememberSetting(r, b)
 	}
-	if r.status == statusIdle {
-		s.freeConn(r)
+	if r.transactionStatus == statusIdle {
+		s.releaseConn(r)
 	}
 	switch {
-	case !end.commit.IsZero():
-		return s.concludeCommit(ctx, r, end.commit)
-	case end.unproven:
-		refused := s.awaitRelease(ctx, r)
-		if refused != nil {
-			return s.concludeHeld(r, b, refused)
+	case !res.commitPosition.IsZero():
+		return s.finishCommit(ctx, r, res.commitPosition)
+	case res.mustHold:
+		failure := s.awaitRelease(ctx, r)
+		if failure != nil {
+			return s.discardHeldAnswer(r, b, failure)
 		}
 	}
-	return true, s.passOn(r, end)
+	return true, s.sendRestOfAnswer(r, res)
 }
 
-// concludeHeld drops a whole answer that may not be passed on. Nothing was
-// committed by it.
-func (s *session) concludeHeld(r *request, b *batch, end result) (bool, error) {
-	s.dropConn(r)
-	switch end := end.(type) {
-	case resultLost:
-		s.ended(r, message.OutcomeConnectionLost{PartlySent: r.passed})
+// discardHeldAnswer ends a request whose complete answer was held and must not
+// be sent. The batch committed nothing.
+func (s *session) discardHeldAnswer(r *request, b *batch, res result) (bool, error) {
+	s.discardConn(r)
+	switch end := res.(type) {
+	case resultConnectionLost:
+		s.reportOutcome(r, message.OutcomeConnectionLost{PartlySent: r.partlySent})
 		return false, nil
-	case resultStopped:
-		s.ended(r, message.OutcomeDatabaseError{SQLState: end.problem.state})
-		return true, s.endLost(r, b, end.problem)
-	case resultUnread:
+	case resultAborted:
+		s.reportOutcome(r, message.OutcomeDatabaseError{SQLState: end.problem.sqlState})
+		return true, s.endLostTransaction(r, b, end.problem)
+	case resultSessionEnded:
 		s.endRequest(r)
 		return true, end.cause
 	}
 	return false, nil
 }
 
-// passOn sends the rest of an answer that nothing holds back any more.
-func (s *session) passOn(r *request, end resultWhole) error {
+// sendRestOfAnswer sends the rest of an answer that need not be held any
+// longer.
+func (s *session) sendRestOfAnswer(r *request, res resultComplete) error {
 	if !r.dispatch.Token.Position.IsZero() {
-		s.giveToken(r.dispatch.Token)
+		s.appendToken(r.dispatch.Token)
 		r.dispatch.Token = model.Token{}
 	}
-	s.ready(r.status)
+	s.appendReady(r.transactionStatus)
 	err := s.flush()
-	r.passed = true
-	if r.status != statusIdle {
-		r.failed = r.status == statusFailed
+	r.partlySent = true
+	if r.transactionStatus != statusIdle {
+		r.alreadyFailed = r.transactionStatus == statusFailed
 		s.request = r
-		s.current.Store(0)
+		s.currentRequest.Store(0)
 		return err
 	}
-	if end.failure != nil || r.failed {
-		s.ended(r, message.OutcomeDatabaseError{SQLState: r.state})
+	if res.databaseError != nil || r.alreadyFailed {
+		s.reportOutcome(r, message.OutcomeDatabaseError{SQLState: r.sqlState})
 	} else {
-		s.ended(r, message.OutcomeRead{Position: r.position})
+		s.reportOutcome(r, message.OutcomeRead{Position: r.position})
 	}
 	s.endRequest(r)
 	return err
 }
 
-// awaitRelease waits until the core has proven the position of an answer. It
-// returns nil then, or how the answer ends instead.
+// awaitRelease waits until the core reports that the position of an answer is
+// durable. It then returns nil; otherwise it returns how the exchange ends.
 func (s *session) awaitRelease(ctx context.Context, r *request) result {
-	s.hold(r)
+	s.reportHeld(r)
 	for {
-		item, err := s.await(ctx, r)
+		item, err := s.awaitAction(ctx, r)
 		if err != nil {
-			return resultUnread{cause: err}
+			return resultSessionEnded{cause: err}
 		}
 		switch item := item.(type) {
 		case message.ReleaseResult:
-			r.released = r.position
+			r.releasedPosition = r.position
 			return nil
 		case message.CloseConnection:
-			return resultLost{}
+			return resultConnectionLost{}
 		case message.AbortRequest:
-			return resultStopped{problem: abandonProblem(item)}
+			return resultAborted{problem: abortProblem(item)}
 		case message.RefuseRequest:
-			return resultStopped{problem: refusalProblem(item)}
+			return resultAborted{problem: refusalProblem(item)}
 		}
 	}
 }
 
-// hold tells the core that an answer waits for the proof of its position.
-func (s *session) hold(r *request) {
+// reportHeld reports to the core that an answer is held until its position is
+// durable.
+func (s *session) reportHeld(r *request) {
 	heldAnswers.Add(1)
-	s.edge.sink.Post(message.ResultHeld{Request: r.id, Attempt: r.attempt, Position: r.position})
+	s.server.sink.Post(message.ResultHeld{Request: r.id, Attempt: r.attempt, Position: r.position})
 }
 
-// concludeCommit holds the answer of a commit until the core acknowledges it, or
-// has it run again after proof that it never will be committed.
-func (s *session) concludeCommit(ctx context.Context, r *request, position model.Position) (bool, error) {
-	chained := r.status != statusIdle
-	s.dropConn(r)
-	s.ended(r, message.OutcomeCommitted{Position: position})
+// finishCommit holds the answer of a commit until the core acknowledges it, or
+// dispatches the request again because the commit is confirmed not to have
+// survived.
+func (s *session) finishCommit(ctx context.Context, r *request, position model.Position) (bool, error) {
+	chained := r.transactionStatus != statusIdle
+	s.discardConn(r)
+	s.reportOutcome(r, message.OutcomeCommitted{Position: position})
 	for {
-		item, err := s.await(ctx, r)
+		item, err := s.awaitAction(ctx, r)
 		if err != nil {
 			s.endRequest(r)
 			return true, err
 		}
 		switch item := item.(type) {
 		case message.AcknowledgeCommit:
-			s.giveToken(item.Token)
-			return true, s.concludeAcknowledged(r, chained)
+			s.appendToken(item.Token)
+			return true, s.finishAcknowledgedCommit(r, chained)
 		case message.Dispatch:
 			s.mailbox.putBack(item)
 			return false, nil
 		case message.AbortRequest:
-			return true, s.endWith(r, abandonProblem(item), statusIdle)
+			return true, s.endWithProblem(r, abortProblem(item), statusIdle)
 		case message.RefuseRequest:
-			return true, s.endWith(r, refusalProblem(item), statusIdle)
+			return true, s.endWithProblem(r, refusalProblem(item), statusIdle)
 		}
 	}
 }
 
-// concludeAcknowledged passes on the answer of a commit. A transaction that the
-// same batch opened after its commit has no request of its own and was rolled
-// back with its connection.
-func (s *session) concludeAcknowledged(r *request, chained bool) error {
+// finishAcknowledgedCommit sends the answer of a commit. If the same batch
+// opened a transaction after its commit, that transaction has no request and
+// was rolled back when the connection was closed.
+func (s *session) finishAcknowledgedCommit(r *request, chained bool) error {
 	s.endRequest(r)
 	if chained {
-		s.failed = true
-		s.say(problemChained)
+		s.inFailedTransaction = true
+		s.appendProblem(problemChained)
 	}
-	s.ready(s.status())
+	s.appendReady(s.status())
 	return s.flush()
 }
--- a/internal/edge/caller/counters.go
+++ b/internal/edge/caller/counters.go
@@ -2,7 +2,7 @@
 
 import "expvar"
 
-// The counters of the edge.
+// Metrics of callers' connections and requests.
 var (
 	sessionsOpen    = expvar.NewInt("caller_sessions")
 	requests        = expvar.NewInt("caller_requests")
--- a/internal/edge/caller/driver_test.go
+++ b/internal/edge/caller/driver_test.go
@@ -8,10 +8,10 @@
 	"github.com/jackc/pgx/v5"
 )
 
-// connect opens a caller's connection by pgx.
-func connect(t *testing.T, b *bench, parameters string) *pgx.Conn {
+// connect opens a caller's connection with pgx.
+func connect(t *testing.T, setup *testSetup, parameters string) *pgx.Conn {
 	t.Helper()
-	conn, err := pgx.Connect(context.Background(), b.url(parameters))
+	conn, err := pgx.Connect(context.Background(), setup.url(parameters))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,8 +22,8 @@
 func TestDriverModes(t *testing.T) {
 	for _, mode := range []string{"cache_statement", "cache_describe", "describe_exec", "exec", "simple_protocol"} {
 		t.Run(mode, func(t *testing.T) {
-			b := newBench(t)
-			conn := connect(t, b, "&default_query_exec_mode="+mode)
+			setup := newTestSetup(t)
+			conn := connect(t, setup, "&default_query_exec_mode="+mode)
 			for range 3 {
 				for _, want := range []string{"select a", "select b"} {
 					var got string
@@ -45,9 +45,9 @@
 }
 
 func TestDriverTransaction(t *testing.T) {
-	b := newBench(t)
+	setup := newTestSetup(t)
 	ctx := context.Background()
-	tx, err := connect(t, b, "").Begin(ctx)
+	tx, err := connect(t, setup, "").Begin(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 		t.Fatal(err)
 	}
 	want := []string{"begin", "INSERT a", "select b", "commit"}
-	if diff := cmp.Diff(want, b.db.statements()); diff != "" {
+	if diff := cmp.Diff(want, setup.db.statements()); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/edge/caller/edge.go
+++ b/internal/edge/caller/edge.go
@@ -1,34 +1,37 @@
-// Package caller is the edge towards callers: it speaks the server's side of
+// Package caller is the edge towards callers. It implements the server's side of
 // the PostgreSQL wire protocol 3.
 //
 // # What flows in and out
 //
-// Callers' connections flow in. To the core go headers alone: SessionOpened,
-// RequestArrived, AttemptEnded and their like. The core's word on a request
-// (Dispatch, Refuse, Acknowledge, ...) flows in by HandleAction and wakes the session's
-// goroutine, which takes a backend connection from the pool, sends the caller's
-// messages and passes the answer on. Row bytes never leave that goroutine.
+// Callers' connections flow in. The core receives only events about them, without
+// statement texts or rows: SessionOpened, RequestArrived, AttemptEnded and similar
+// ones. Its actions on a request (Dispatch, RefuseRequest, AcknowledgeCommit, ...)
+// flow in through HandleAction and wake the session's goroutine. This goroutine
+// takes a backend connection from the pool, sends the caller's messages and
+// forwards the answer. Row bytes never leave it.
 //
-// A request is a statement outside of a transaction (one simple Query, or the
+// A request is a statement outside a transaction (one simple Query, or the
 // messages of the extended protocol up to Sync), or a whole transaction. Its
-// messages are kept until something of the answer has gone to the caller, so
-// that the core may have it run again on another database.
+// messages are kept until a part of the answer was sent to the caller, so that
+// the core can have the request run again on another database.
 //
-// An answer passes two checks on its way. First, the database's own position
-// must not be older than the core asked for. Second, what a primary has
-// answered must be proven to survive a promotion: a commit waits for
-// Acknowledge, any other answer until its position is proven. Until then it is
-// held here, up to a bound, and beyond that the database is not read further.
+// An answer must pass two checks before it is sent. First, the position of the
+// database must not be older than the minimum position of the dispatch. Second,
+// the answer of a primary must be durable, so that it survives any promotion: a
+// commit waits for AcknowledgeCommit, any other answer until its position is
+// durable. Until then the answer is held here, up to a limit; beyond that the
+// database is not read further.
 //
-// A cancel request goes to the database for the statement that runs for that
-// very session, and the backend connection is closed after it, because a late
-// cancel request would hit whoever used the connection next.
+// A cancel request of a session is sent to the database that runs its statement.
+// The backend connection is closed afterwards, because a late cancel request
+// would cancel a statement of whichever session used the connection next.
 //
 // # Usage
 //
-//	edge := caller.NewEdge(caller.Options{Listen: address, Key: "i7-x3", Users: users}, pool, sink, log)
-//	ended, err := edge.Start(ctx)
-//	if !edge.HandleAction(action) { ... }
+//	options := caller.Options{ListenAddress: address, IdempotencyKeyPrefix: "i7-x3", Users: users}
+//	server := caller.NewServer(options, pool, sink, log)
+//	stopped, err := server.Start(ctx)
+//	if !server.HandleAction(action) { ... }
 package caller
 
 import (
@@ -48,48 +51,50 @@
 )
 
 const (
-	// messageLimit is the default of Options.Message, in bytes.
-	messageLimit = 16 << 20
-	// sessionLimit is the default of Options.Sessions.
-	sessionLimit = 10_000
-	// writeTimeout is the default of Options.Write.
-	writeTimeout = 30 * time.Second
-	// startTimeout bounds a caller's way from connect to its first statement.
-	startTimeout = 10 * time.Second
-	// serverVersion is the default of Options.Version.
-	serverVersion = "16.0"
+	// defaultMaxMessageSize is the default of Options.MaxMessageSize, in bytes.
+	defaultMaxMessageSize = 16 << 20
+	// defaultMaxSessions is the default of Options.MaxSessions.
+	defaultMaxSessions = 10_000
+	// defaultWriteTimeout is the default of Options.WriteTimeout.
+	defaultWriteTimeout = 30 * time.Second
+	// startupTimeout is the maximum time from a caller's connect to the end of
+	// its startup.
+	startupTimeout = 10 * time.Second
+	// defaultServerVersion is the default of Options.ServerVersion.
+	defaultServerVersion = "16.0"
 )
 
-// Options are the settings of the edge.
+// Options configures a Server.
 type Options struct {
-	// ListenAddress is where callers connect.
+	// ListenAddress is the address that callers connect to.
 	ListenAddress netip.AddrPort
-	// IdempotencyKeyPrefix begins the idempotency keys that the edge makes: it is unique over
-	// all instances and their restarts.
+	// IdempotencyKeyPrefix is the prefix of the idempotency keys that the
+	// server generates. It must be unique over all instances and their
+	// restarts.
 	IdempotencyKeyPrefix string
-	// TLS holds the certificate and key; nil for no TLS.
+	// TLS holds the certificate and key; nil disables TLS.
 	TLS *tls.Config
-	// RequireTLS refuses callers that do not ask for TLS.
+	// RequireTLS rejects callers that do not request TLS.
 	RequireTLS bool
-	// Users are those who may connect, with their passwords hashed. Without
-	// any, nobody may, unless Trust is set.
+	// Users are the users who may connect, with their password hashes. If it is
+	// empty, nobody may connect unless Trust is set.
 	Users Users
 	// Trust lets anybody connect without a password.
 	Trust bool
-	// MaxSessions is the greatest number of callers' connections; zero for
+	// MaxSessions is the maximum number of callers' connections; zero means
 	// 10,000.
 	MaxSessions int
-	// MaxMessageSize is the greatest message or batch that is taken from a caller,
-	// in bytes; zero for 16 MiB.
+	// MaxMessageSize is the maximum size of a message or batch from a caller,
+	// in bytes; zero means 16 MiB.
 	MaxMessageSize int
-	// WriteTimeout is the time that a caller has to take what is sent to it, and at
-	// most twice as much; zero for 30 s.
+	// WriteTimeout is how long a caller may take to read what is sent to it;
+	// zero means 30 s. The connection is closed after once to twice this time.
 	WriteTimeout time.Duration
-	// ServerVersion is told to callers as server_version; empty for "16.0".
+	// ServerVersion is sent to callers as server_version; empty means "16.0".
 	ServerVersion string
 }
 
-// Server accepts callers and serves them.
+// Server accepts callers' connections and serves them.
 type Server struct {
 	options Options
 	pool    *database.Pool
@@ -98,32 +103,34 @@
 
 	listener net.Listener
 	draining atomic.Bool
-	// lastSession and lastRequest number what is new.
+	// lastSession and lastRequest are the latest IDs given to sessions and
+	// requests.
 	lastSession atomic.Uint64
 	lastRequest atomic.Uint64
-	// running counts goroutines that Start waits for.
-	running sync.WaitGroup
+	// goroutines counts the goroutines that must end before the server has
+	// stopped.
+	goroutines sync.WaitGroup
 
 	requests requestTable
 
 	mu       sync.RWMutex
 	sessions map[model.SessionID]*session
-	proven   map[model.GroupID]*provenCell
+	durable  map[model.GroupID]*durablePosition
 }
 
-// NewServer returns an edge that takes backend connections from pool.
+// NewServer returns a server that takes backend connections from pool.
 func NewServer(options Options, pool *database.Pool, sink message.Sink, log logr.Logger) *Server {
 	if options.MaxSessions == 0 {
-		options.MaxSessions = sessionLimit
+		options.MaxSessions = defaultMaxSessions
 	}
 	if options.MaxMessageSize == 0 {
-		options.MaxMessageSize = messageLimit
+		options.MaxMessageSize = defaultMaxMessageSize
 	}
 	if options.WriteTimeout == 0 {
-		options.WriteTimeout = writeTimeout
+		options.WriteTimeout = defaultWriteTimeout
 	}
 	if options.ServerVersion == "" {
-		options.ServerVersion = serverVersion
+		options.ServerVersion = defaultServerVersion
 	}
 	return &Server{
 		options:  options,
@@ -131,129 +138,131 @@
 		sink:     sink,
 		log:      log,
 		sessions: map[model.SessionID]*session{},
-		proven:   map[model.GroupID]*provenCell{},
+		durable:  map[model.GroupID]*durablePosition{},
 	}
 }
 
-// HandleAction takes the actions that concern callers, and reports whether action was
-// one of them. It never blocks.
-func (e *Server) HandleAction(action message.Action) bool {
+// HandleAction handles the actions that concern callers, and reports whether
+// action was one of them. It never blocks.
+func (srv *Server) HandleAction(action message.Action) bool {
 	switch typed := action.(type) {
 	case message.Dispatch:
-		e.tell(typed.Request, action)
+		srv.deliver(typed.Request, action)
 	case message.ReleaseResult:
-		e.tell(typed.Request, action)
+		srv.deliver(typed.Request, action)
 	case message.AcknowledgeCommit:
-		e.tell(typed.Request, action)
+		srv.deliver(typed.Request, action)
 	case message.RefuseRequest:
-		e.tell(typed.Request, action)
+		srv.deliver(typed.Request, action)
 	case message.AbortRequest:
-		e.tell(typed.Request, action)
+		srv.deliver(typed.Request, action)
 	case message.CancelStatement:
-		e.tell(typed.Request, action)
+		srv.deliver(typed.Request, action)
 	case message.CloseConnection:
-		e.tell(typed.Request, action)
+		srv.deliver(typed.Request, action)
 	case message.SetDurablePosition:
-		e.provenOf(typed.Group).set(typed.Position)
+		srv.durablePositionOf(typed.Group).set(typed.Position)
 	case message.Drain:
-		e.drain()
+		srv.drain()
 	default:
 		return false
 	}
 	return true
 }
 
-// Address returns where callers connect, once Start has returned.
-func (e *Server) Address() netip.AddrPort {
-	return e.listener.Addr().(*net.TCPAddr).AddrPort()
+// Address returns the address that callers connect to. Start must have
+// returned.
+func (srv *Server) Address() netip.AddrPort {
+	return srv.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
 // SessionCount returns the number of callers' connections.
-func (e *Server) SessionCount() int {
-	e.mu.RLock()
-	defer e.mu.RUnlock()
-	return len(e.sessions)
+func (srv *Server) SessionCount() int {
+	srv.mu.RLock()
+	defer srv.mu.RUnlock()
+	return len(srv.sessions)
 }
 
 // -----------------------------------------------------------------------------
 // Sessions and requests.
 
-// register numbers a new request of a session.
-func (e *Server) register(s *session) model.RequestID {
-	id := model.RequestID(e.lastRequest.Add(1))
-	e.requests.put(id, s)
+// register assigns an ID to a new request of a session.
+func (srv *Server) register(s *session) model.RequestID {
+	id := model.RequestID(srv.lastRequest.Add(1))
+	srv.requests.put(id, s)
 	return id
 }
 
-// tell passes an action to the session of a request. One that has ended is
-// passed over.
-func (e *Server) tell(id model.RequestID, action message.Action) {
-	s := e.requests.get(id)
+// deliver posts an action to the session of a request. It drops the action if
+// the request has ended.
+func (srv *Server) deliver(id model.RequestID, action message.Action) {
+	s := srv.requests.get(id)
 	if s != nil {
 		s.mailbox.post(action)
 	}
 }
 
-func (e *Server) provenOf(group model.GroupID) *provenCell {
-	e.mu.RLock()
-	cell := e.proven[group]
-	e.mu.RUnlock()
-	if cell != nil {
-		return cell
+func (srv *Server) durablePositionOf(group model.GroupID) *durablePosition {
+	srv.mu.RLock()
+	durable := srv.durable[group]
+	srv.mu.RUnlock()
+	if durable != nil {
+		return durable
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.proven[group] == nil {
-		e.proven[group] = &provenCell{}
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.durable[group] == nil {
+		srv.durable[group] = &durablePosition{}
 	}
-	return e.proven[group]
+	return srv.durable[group]
 }
 
-// background counts a goroutine until the function that it returns is called.
-func (e *Server) background() func() {
-	e.running.Add(1)
-	return e.running.Done
+// trackGoroutine counts a goroutine as running until the returned function is
+// called.
+func (srv *Server) trackGoroutine() func() {
+	srv.goroutines.Add(1)
+	return srv.goroutines.Done
 }
 
-// note writes a numbered event to the log.
-func (e *Server) note(what event.Event, values ...any) {
-	if what.Level == event.LevelDebug && !e.log.V(1).Enabled() {
+// logEvent writes an event of the catalogue to the log.
+func (srv *Server) logEvent(logged event.Event, values ...any) {
+	if logged.Level == event.LevelDebug && !srv.log.V(1).Enabled() {
 		return
 	}
-	values = append([]any{"event", what.Number, "name", what.Name}, values...)
-	switch what.Level {
+	values = append([]any{"event", logged.Number, "name", logged.Name}, values...)
+	switch logged.Level {
 	case event.LevelDebug:
-		e.log.V(1).Info(what.Text, values...)
+		srv.log.V(1).Info(logged.Text, values...)
 	case event.LevelError:
-		e.log.Error(nil, what.Text, values...)
+		srv.log.Error(nil, logged.Text, values...)
 	default:
-		e.log.Info(what.Text, values...)
+		srv.log.Info(logged.Text, values...)
 	}
 }
 
 // -----------------------------------------------------------------------------
 // Draining.
 
-// drainWanted wakes a session to look whether it is idle.
-type drainWanted struct{}
+// drainRequested wakes a session so that it ends if it is idle.
+type drainRequested struct{}
 
-// drain accepts no further connection and closes each one when it is idle.
-func (e *Server) drain() {
-	if e.draining.Swap(true) {
+// drain stops accepting connections and closes each connection when it is idle.
+func (srv *Server) drain() {
+	if srv.draining.Swap(true) {
 		return
 	}
-	e.note(event.CallersDraining, "sessions", e.SessionCount())
-	e.wakeAll()
+	srv.logEvent(event.CallersDraining, "sessions", srv.SessionCount())
+	srv.wakeAll()
 }
 
-// wakeAll stops the listening and wakes every session.
-func (e *Server) wakeAll() {
-	if e.listener != nil {
-		_ = e.listener.Close()
+// wakeAll closes the listener and wakes every session.
+func (srv *Server) wakeAll() {
+	if srv.listener != nil {
+		_ = srv.listener.Close()
 	}
-	e.mu.RLock()
-	defer e.mu.RUnlock()
-	for _, s := range e.sessions {
-		s.mailbox.post(drainWanted{})
+	srv.mu.RLock()
+	defer srv.mu.RUnlock()
+	for _, s := range srv.sessions {
+		s.mailbox.post(drainRequested{})
 	}
 }
--- a/internal/edge/caller/fake_core_test.go
+++ b/internal/edge/caller/fake_core_test.go
@@ -19,18 +19,19 @@
 	testDatabase model.DatabaseID = "ratings-a"
 )
 
-// fakeCore decides like a core with one database: it dispatches every request
-// there, acknowledges every commit and releases every held answer. A test
-// changes single decisions by its hook.
+// fakeCore behaves like a core with one database: it dispatches every request
+// there, acknowledges every commit and releases every held answer. Tests
+// override single decisions with the hook.
 type fakeCore struct {
-	edge *Server
-	// hook sees each event first; what it returns true for is done with.
+	server *Server
+	// hook is called first with each event. If it returns true, the default is
+	// skipped.
 	hook func(event message.Event) bool
-	// dispatch is the pattern of every Dispatch.
+	// dispatch is the template of every Dispatch.
 	dispatch message.Dispatch
 
-	// quiet keeps no record of the events.
-	quiet bool
+	// discardEvents turns the recording of events off.
+	discardEvents bool
 
 	mu     sync.Mutex
 	events []message.Event
@@ -41,7 +42,7 @@
 
 func (f *fakeCore) Post(event message.Event) {
 	f.mu.Lock()
-	if !f.quiet {
+	if !f.discardEvents {
 		f.events = append(f.events, event)
 	}
 	if arrived, ok := event.(message.RequestArrived); ok {
@@ -57,120 +58,120 @@
 	if f.hook != nil && f.hook(event) {
 		return
 	}
-	f.decide(event)
+	f.applyDefault(event)
 }
 
-func (f *fakeCore) decide(event message.Event) {
+func (f *fakeCore) applyDefault(event message.Event) {
 	switch event := event.(type) {
 	case message.RequestArrived:
-		f.send(event.Request, 1)
+		f.sendDispatch(event.Request, 1)
 	case message.ResultHeld:
-		f.edge.HandleAction(message.ReleaseResult{Request: event.Request, Attempt: event.Attempt})
+		f.server.HandleAction(message.ReleaseResult{Request: event.Request, Attempt: event.Attempt})
 	case message.AttemptEnded:
-		f.decideEnded(event)
+		f.applyDefaultOutcome(event)
 	case message.RequestCanceled:
-		f.edge.HandleAction(message.CancelStatement{Request: event.Request, Attempt: 1})
+		f.server.HandleAction(message.CancelStatement{Request: event.Request, Attempt: 1})
 	}
 }
 
-func (f *fakeCore) decideEnded(event message.AttemptEnded) {
-	switch answer := event.Outcome.(type) {
+func (f *fakeCore) applyDefaultOutcome(event message.AttemptEnded) {
+	switch outcome := event.Outcome.(type) {
 	case message.OutcomeCommitted:
-		f.edge.HandleAction(message.AcknowledgeCommit{
+		f.server.HandleAction(message.AcknowledgeCommit{
 			Request: event.Request,
 			Attempt: event.Attempt,
-			Token:   model.Token{Group: testGroup, Position: answer.Position},
+			Token:   model.Token{Group: testGroup, Position: outcome.Position},
 		})
 	case message.OutcomeNotStarted, message.OutcomeBehind:
-		f.edge.HandleAction(message.RefuseRequest{Request: event.Request, Reason: message.RefuseNoPrimary})
+		f.server.HandleAction(message.RefuseRequest{Request: event.Request, Reason: message.RefuseNoPrimary})
 	case message.OutcomeConnectionLost:
-		f.edge.HandleAction(message.AbortRequest{Request: event.Request, Attempt: event.Attempt, OutcomeUnknown: answer.MayHaveCommitted})
+		f.server.HandleAction(message.AbortRequest{Request: event.Request, Attempt: event.Attempt, OutcomeUnknown: outcome.MayHaveCommitted})
 	}
 }
 
-// send dispatches a request for an attempt.
-func (f *fakeCore) send(request model.RequestID, attempt model.Attempt) {
-	d := f.dispatch
-	d.Request = request
-	d.Attempt = attempt
+// sendDispatch dispatches an attempt of a request.
+func (f *fakeCore) sendDispatch(request model.RequestID, attempt model.Attempt) {
+	dispatch := f.dispatch
+	dispatch.Request = request
+	dispatch.Attempt = attempt
 	f.mu.Lock()
-	d.IdempotencyKey = f.keys[request]
-	if f.quiet {
+	dispatch.IdempotencyKey = f.keys[request]
+	if f.discardEvents {
 		delete(f.keys, request)
 	}
 	f.mu.Unlock()
-	if d.Deadline.IsZero() {
-		d.Deadline = time.Now().Add(time.Minute)
+	if dispatch.Deadline.IsZero() {
+		dispatch.Deadline = time.Now().Add(time.Minute)
 	}
-	f.edge.HandleAction(d)
+	f.server.HandleAction(dispatch)
 }
 
-// bench is an edge between a fake core and a fake database.
-type bench struct {
-	t    *testing.T
-	core *fakeCore
-	edge *Server
-	pool *database.Pool
-	db   *fakeDatabase
-	stop context.CancelFunc
-	// gone is closed when the edge has ended.
-	gone <-chan error
+// testSetup is a server between a fake core and a fake database.
+type testSetup struct {
+	t      *testing.T
+	core   *fakeCore
+	server *Server
+	pool   *database.Pool
+	db     *fakeDatabase
+	stop   context.CancelFunc
+	// stopped is closed when the server has stopped.
+	stopped <-chan error
 }
 
-// newBench starts an edge with a pool of two connections. The hooks change the
-// core and the options before the start.
-func newBench(t *testing.T, change ...func(*bench, *Options)) *bench {
+// newTestSetup starts a server with a pool of two connections. The changes are
+// applied to the core and the options before the start.
+func newTestSetup(t *testing.T, changes ...func(*testSetup, *Options)) *testSetup {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	b := &bench{t: t, db: newFakeDatabase(t), stop: stop}
-	b.core = &fakeCore{
+	setup := &testSetup{t: t, db: newFakeDatabase(t), stop: stop}
+	setup.core = &fakeCore{
 		keys:     map[model.RequestID]string{},
 		ended:    make(chan message.AttemptEnded, 1000),
 		dispatch: message.Dispatch{Database: testDatabase, Term: 7, HoldUntilDurable: true, Access: model.AccessWrite},
 	}
 	options := Options{ListenAddress: netip.MustParseAddrPort("127.0.0.1:0"), IdempotencyKeyPrefix: "i1", Trust: true}
-	for _, one := range change {
-		one(b, &options)
+	for _, change := range changes {
+		change(setup, &options)
 	}
-	b.pool = database.NewPool(database.PoolOptions{User: "eelgrassfold"}, logr.Discard())
-	poolGone, err := b.pool.Start(ctx)
+	setup.pool = database.NewPool(database.PoolOptions{User: "eelgrassfold"}, logr.Discard())
+	poolStopped, err := setup.pool.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.setDatabases(2)
-	b.edge = NewServer(options, b.pool, b.core, logr.Discard())
-	b.core.edge = b.edge
-	b.gone, err = b.edge.Start(ctx)
+	setup.setDatabases(2)
+	setup.server = NewServer(options, setup.pool, setup.core, logr.Discard())
+	setup.core.server = setup.server
+	setup.stopped, err = setup.server.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		stop()
-		<-b.gone
-		<-poolGone
+		<-setup.stopped
+		<-poolStopped
 	})
-	return b
+	return setup
 }
 
-func (b *bench) setDatabases(connections int) {
-	b.pool.HandleAction(message.SetDatabases{Databases: []message.DatabaseTarget{{
+func (setup *testSetup) setDatabases(connections int) {
+	setup.pool.HandleAction(message.SetDatabases{Databases: []message.DatabaseTarget{{
 		Database:    testDatabase,
 		Group:       testGroup,
-		Address:     b.db.address(),
+		Address:     setup.db.address(),
 		Connections: connections,
 	}}})
 }
 
-// url returns the address for pgx, with further parameters.
-func (b *bench) url(parameters string) string {
-	return "postgres://officer@" + b.edge.Address().String() + "/" + string(testGroup) + "?sslmode=disable" + parameters
+// url returns the connection URL for pgx, with additional parameters.
+func (setup *testSetup) url(parameters string) string {
+	return "postgres://officer@" + setup.server.Address().String() + "/" + string(testGroup) + "?sslmode=disable" + parameters
 }
 
-// refusingCore refuses every request.
-type refusingCore struct{ *fakeCore }
+// rejectingCore rejects every request.
+type rejectingCore struct{ *fakeCore }
 
-func (f refusingCore) Post(event message.Event) {
+func (f rejectingCore) Post(event message.Event) {
 	if arrived, ok := event.(message.RequestArrived); ok {
-		f.edge.HandleAction(message.RefuseRequest{Request: arrived.Request, Reason: message.RefuseOverload})
+		f.server.HandleAction(message.RefuseRequest{Request: arrived.Request, Reason: message.RefuseOverload})
 	}
 }
--- a/internal/edge/caller/fake_database_test.go
+++ b/internal/edge/caller/fake_database_test.go
@@ -13,45 +13,49 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// fakeDatabase speaks the database's side of the protocol. What it answers is
-// in its table of statements; any other text is echoed in one row.
+// fakeDatabase implements the database's side of the protocol. It answers a
+// statement as answers defines; by default it recognizes a few statements and
+// returns any other text in one row.
 type fakeDatabase struct {
 	listener net.Listener
 
 	mu sync.Mutex
-	// answers maps a statement to what is sent for it.
+	// answers maps a statement to the function that answers it.
 	answers map[string]func(c *fakeConn)
-	// refuse is sent instead of a welcome, where it is set.
-	refuse string
-	// position is the applied position, and term what group_work must name.
+	// startupErrorState is the SQLSTATE with which connections are rejected;
+	// empty to accept them.
+	startupErrorState string
+	// position is the applied position; its term is the one that group_work
+	// must name.
 	position model.Position
-	// seen lists the statements that were run, canceled counts the cancel
-	// requests by process.
-	seen     []string
+	// executed lists the statements that were run; canceled receives the
+	// process ID of each cancel request.
+	executed []string
 	canceled chan uint32
-	// asked receives a value for each question for the status.
-	asked    chan struct{}
-	opened   int
-	discards int
-	conns    map[*fakeConn]bool
-	busy     string
+	// statusQueries receives a value for each status query.
+	statusQueries     chan struct{}
+	connectionCount   int
+	discardCount      int
+	conns             map[*fakeConn]bool
+	runningStatements string
 }
 
 // fakeConn is one connection of a fakeDatabase.
 type fakeConn struct {
-	db      *fakeDatabase
-	conn    net.Conn
-	backend *pgproto3.Backend
-	process uint32
-	work    string
-	reads   bool
-	status  byte
-	named   map[string]string
-	portal  string
-	// gone says that the answer has closed or muted the connection.
-	gone bool
-	// skip says that an error has to be followed by a Sync.
-	skip bool
+	db                *fakeDatabase
+	conn              net.Conn
+	backend           *pgproto3.Backend
+	processID         uint32
+	groupWork         string
+	groupRead         bool
+	transactionStatus byte
+	prepared          map[string]string
+	portal            string
+	// ended is true if the answer closed the connection or stopped answering.
+	ended bool
+	// skipToSync is true if an error was sent and messages are skipped up to
+	// Sync.
+	skipToSync bool
 }
 
 func newFakeDatabase(t *testing.T) *fakeDatabase {
@@ -61,13 +65,13 @@
 		t.Fatal(err)
 	}
 	db := &fakeDatabase{
-		listener: listener,
-		answers:  map[string]func(*fakeConn){},
-		position: model.Position{Term: 7, Offset: 100},
-		canceled: make(chan uint32, 100),
-		asked:    make(chan struct{}, 100),
-		conns:    map[*fakeConn]bool{},
-		busy:     "0",
+		listener:          listener,
+		answers:           map[string]func(*fakeConn){},
+		position:          model.Position{Term: 7, Offset: 100},
+		canceled:          make(chan uint32, 100),
+		statusQueries:     make(chan struct{}, 100),
+		conns:             map[*fakeConn]bool{},
+		runningStatements: "0",
 	}
 	var running sync.WaitGroup
 	running.Add(1)
@@ -105,8 +109,8 @@
 	}
 }
 
-// on sets the answer to a statement.
-func (db *fakeDatabase) on(sql string, answer func(c *fakeConn)) {
+// answerWith sets the function that answers a statement.
+func (db *fakeDatabase) answerWith(sql string, answer func(c *fakeConn)) {
 	db.mu.Lock()
 	defer db.mu.Unlock()
 	db.answers[sql] = answer
@@ -115,31 +119,31 @@
 func (db *fakeDatabase) statements() []string {
 	db.mu.Lock()
 	defer db.mu.Unlock()
-	return append([]string(nil), db.seen...)
+	return append([]string(nil), db.executed...)
 }
 
-// connections returns how many connections were opened.
+// connections returns the number of connections that were opened.
 func (db *fakeDatabase) connections() int {
 	db.mu.Lock()
 	defer db.mu.Unlock()
-	return db.opened
+	return db.connectionCount
 }
 
-// resets returns how often a connection was reset.
+// resets returns the number of times that a connection was reset.
 func (db *fakeDatabase) resets() int {
 	db.mu.Lock()
 	defer db.mu.Unlock()
-	return db.discards
+	return db.discardCount
 }
 
 func (db *fakeDatabase) serve(conn net.Conn) {
 	defer conn.Close()
 	backend := pgproto3.NewBackend(conn, conn)
-	first, err := backend.ReceiveStartupMessage()
+	startup, err := backend.ReceiveStartupMessage()
 	if err != nil {
 		return
 	}
-	switch first := first.(type) {
+	switch first := startup.(type) {
 	case *pgproto3.CancelRequest:
 		db.canceled <- first.ProcessID
 		return
@@ -147,45 +151,46 @@
 	default:
 		return
 	}
-	c := &fakeConn{db: db, conn: conn, backend: backend, status: 'I', named: map[string]string{}}
+	c := &fakeConn{db: db, conn: conn, backend: backend, transactionStatus: 'I', prepared: map[string]string{}}
 	db.mu.Lock()
-	db.opened++
-	c.process = uint32(db.opened)
+	db.connectionCount++
+	c.processID = uint32(db.connectionCount)
 	db.conns[c] = true
-	refuse := db.refuse
+	errorState := db.startupErrorState
 	db.mu.Unlock()
 	defer func() {
 		db.mu.Lock()
 		delete(db.conns, c)
 		db.mu.Unlock()
 	}()
-	if refuse != "" {
-		c.fail(refuse, "refused")
+	if errorState != "" {
+		c.sendError(errorState, "refused")
 		backend.Flush()
 		return
 	}
 	backend.Send(&pgproto3.AuthenticationOk{})
 	backend.Send(&pgproto3.ParameterStatus{Name: "client_encoding", Value: "UTF8"})
 	backend.Send(&pgproto3.ParameterStatus{Name: "standard_conforming_strings", Value: "on"})
-	backend.Send(&pgproto3.BackendKeyData{ProcessID: c.process, SecretKey: []byte{1, 2, 3, 4}})
-	c.ready()
+	backend.Send(&pgproto3.BackendKeyData{ProcessID: c.processID, SecretKey: []byte{1, 2, 3, 4}})
+	c.sendReady()
 	c.loop()
 }
 
 func (c *fakeConn) loop() {
-	for !c.gone {
+	for !c.ended {
 		message, err := c.backend.Receive()
 		if err != nil {
 			return
 		}
-		if c.skip {
+		if c.skipToSync {
 			if _, sync := message.(*pgproto3.Sync); !sync {
 				continue
 			}
 		}
-		c.take(message)
+		c.handleMessage(message)
 	}
-	// A muted connection stays open until the other side closes it.
+	// A connection that stopped answering stays open until the other side
+	// closes it.
 	for {
 		_, err := c.backend.Receive()
 		if err != nil {
@@ -194,24 +199,24 @@
 	}
 }
 
-func (c *fakeConn) take(message pgproto3.FrontendMessage) {
+func (c *fakeConn) handleMessage(message pgproto3.FrontendMessage) {
 	switch message := message.(type) {
 	case *pgproto3.Query:
-		c.run(message.String)
-		if !c.gone {
-			c.ready()
+		c.answerQuery(message.String)
+		if !c.ended {
+			c.sendReady()
 		}
 	case *pgproto3.Parse:
-		if _, found := c.named[message.Name]; found && message.Name != "" {
-			c.fail("42P05", "prepared statement exists: "+message.Name)
+		if _, found := c.prepared[message.Name]; found && message.Name != "" {
+			c.sendError("42P05", "prepared statement exists: "+message.Name)
 			return
 		}
-		c.named[message.Name] = message.Query
+		c.prepared[message.Name] = message.Query
 		c.backend.Send(&pgproto3.ParseComplete{})
 	case *pgproto3.Bind:
-		sql, found := c.named[message.PreparedStatement]
+		sql, found := c.prepared[message.PreparedStatement]
 		if !found {
-			c.fail("26000", "no prepared statement "+message.PreparedStatement)
+			c.sendError("26000", "no prepared statement "+message.PreparedStatement)
 			return
 		}
 		c.portal = sql
@@ -220,92 +225,92 @@
 		if message.ObjectType == 'S' {
 			c.backend.Send(&pgproto3.ParameterDescription{})
 		}
-		c.describe()
+		c.sendDescription()
 	case *pgproto3.Execute:
-		c.execute(c.portal)
+		c.answerExecute(c.portal)
 	case *pgproto3.Close:
-		delete(c.named, message.Name)
+		delete(c.prepared, message.Name)
 		c.backend.Send(&pgproto3.CloseComplete{})
 	case *pgproto3.Sync:
-		c.skip = false
-		c.ready()
+		c.skipToSync = false
+		c.sendReady()
 	case *pgproto3.Terminate:
-		c.gone = true
+		c.ended = true
 	}
 }
 
-func (c *fakeConn) describe() {
+func (c *fakeConn) sendDescription() {
 	c.backend.Send(&pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{
 		{Name: []byte("echo"), DataTypeOID: 25, DataTypeSize: -1, TypeModifier: -1},
 	}})
 }
 
-func (c *fakeConn) ready() {
-	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: c.status})
+func (c *fakeConn) sendReady() {
+	c.backend.Send(&pgproto3.ReadyForQuery{TxStatus: c.transactionStatus})
 	c.backend.Flush()
 }
 
-func (c *fakeConn) fail(state, text string) {
-	c.backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: state, Message: text})
-	c.skip = true
-	if c.status == 'T' {
-		c.status = 'E'
+func (c *fakeConn) sendError(sqlState, text string) {
+	c.backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: sqlState, Message: text})
+	c.skipToSync = true
+	if c.transactionStatus == 'T' {
+		c.transactionStatus = 'E'
 	}
 }
 
-// run answers a simple query.
-func (c *fakeConn) run(sql string) {
-	defer func() { c.skip = false }()
+// answerQuery answers a simple query.
+func (c *fakeConn) answerQuery(sql string) {
+	defer func() { c.skipToSync = false }()
 	if sql == "" {
 		c.backend.Send(&pgproto3.EmptyQueryResponse{})
 		return
 	}
-	c.runWith(sql, true)
+	c.answerStatement(sql, true)
 }
 
-// execute answers an Execute, which sends no description.
-func (c *fakeConn) execute(sql string) { c.runWith(sql, false) }
+// answerExecute answers an Execute, which sends no description.
+func (c *fakeConn) answerExecute(sql string) { c.answerStatement(sql, false) }
 
-func (c *fakeConn) runWith(sql string, describe bool) {
-	bare := strings.TrimSpace(sql)
-	if at := strings.Index(bare, "/*"); at >= 0 {
-		bare = strings.TrimSpace(bare[:at])
+func (c *fakeConn) answerStatement(sql string, describe bool) {
+	trimmed := strings.TrimSpace(sql)
+	if commentStart := strings.Index(trimmed, "/*"); commentStart >= 0 {
+		trimmed = strings.TrimSpace(trimmed[:commentStart])
 	}
-	if c.setUp(bare) {
+	if c.answerSetup(trimmed) {
 		return
 	}
 	c.db.mu.Lock()
-	c.db.seen = append(c.db.seen, bare)
-	answer := c.db.answers[bare]
+	c.db.executed = append(c.db.executed, trimmed)
+	answer := c.db.answers[trimmed]
 	position := c.db.position
 	c.db.mu.Unlock()
-	if term, _, _ := strings.Cut(c.work, "/"); c.work != "" && term != fmt.Sprint(uint64(position.Term)) {
-		c.fail("EG002", "term is "+fmt.Sprint(uint64(position.Term)))
+	if term, _, _ := strings.Cut(c.groupWork, "/"); c.groupWork != "" && term != fmt.Sprint(uint64(position.Term)) {
+		c.sendError("EG002", "term is "+fmt.Sprint(uint64(position.Term)))
 		return
 	}
 	if answer != nil {
 		answer(c)
 		return
 	}
-	c.standard(bare, describe)
+	c.answerDefault(trimmed, describe)
 }
 
-// setUp answers the statements that set the connection up.
-func (c *fakeConn) setUp(sql string) bool {
+// answerSetup answers the statements that set the connection up.
+func (c *fakeConn) answerSetup(sql string) bool {
 	switch {
 	case strings.HasPrefix(sql, "SET group_work = "):
-		c.work = strings.Trim(strings.TrimPrefix(sql, "SET group_work = "), "'")
-		c.complete("SET")
+		c.groupWork = strings.Trim(strings.TrimPrefix(sql, "SET group_work = "), "'")
+		c.sendComplete("SET")
 	case strings.HasPrefix(sql, "SET group_read = "):
-		c.reads = strings.Contains(sql, "on")
-		c.complete("SET")
+		c.groupRead = strings.Contains(sql, "on")
+		c.sendComplete("SET")
 	case sql == "DISCARD ALL":
-		c.work, c.reads = "", false
-		c.named = map[string]string{}
+		c.groupWork, c.groupRead = "", false
+		c.prepared = map[string]string{}
 		c.db.mu.Lock()
-		c.db.discards++
+		c.db.discardCount++
 		c.db.mu.Unlock()
-		c.complete("DISCARD ALL")
+		c.sendComplete("DISCARD ALL")
 	case sql == "CALL group_status()":
 		c.sendStatus()
 	default:
@@ -316,10 +321,10 @@
 
 func (c *fakeConn) sendStatus() {
 	c.db.mu.Lock()
-	busy := c.db.busy
+	running := c.db.runningStatements
 	c.db.mu.Unlock()
 	select {
-	case c.db.asked <- struct{}{}:
+	case c.db.statusQueries <- struct{}{}:
 	default:
 	}
 	var fields []pgproto3.FieldDescription
@@ -327,102 +332,102 @@
 		fields = append(fields, pgproto3.FieldDescription{Name: []byte("c"), DataTypeOID: 25})
 	}
 	c.backend.Send(&pgproto3.RowDescription{Fields: fields})
-	row := strings.Split("a,primary,7,,7:100,7:100,,t,f,3,"+busy, ",")
+	row := strings.Split("a,primary,7,,7:100,7:100,,t,f,3,"+running, ",")
 	values := make([][]byte, len(row))
 	for i := range row {
 		values[i] = []byte(row[i])
 	}
 	c.backend.Send(&pgproto3.DataRow{Values: values})
-	c.complete("CALL")
+	c.sendComplete("CALL")
 }
 
-// standard answers as a database would that echoes what it is asked.
-func (c *fakeConn) standard(sql string, describe bool) {
+// answerDefault answers a statement for which a test has set no answer.
+func (c *fakeConn) answerDefault(sql string, describe bool) {
 	word, _, _ := strings.Cut(sql, " ")
-	if c.status == 'E' && word == "COMMIT" {
+	if c.transactionStatus == 'E' && word == "COMMIT" {
 		word = "ROLLBACK"
 	}
-	if c.status == 'E' && word != "ROLLBACK" {
-		c.fail("25P02", "aborted")
+	if c.transactionStatus == 'E' && word != "ROLLBACK" {
+		c.sendError("25P02", "aborted")
 		return
 	}
 	switch word {
 	case "BEGIN", "begin":
-		c.status = 'T'
-		c.shown()
-		c.complete("BEGIN")
+		c.transactionStatus = 'T'
+		c.sendPosition()
+		c.sendComplete("BEGIN")
 	case "COMMIT", "commit":
-		if c.status == 'T' {
-			c.committed()
+		if c.transactionStatus == 'T' {
+			c.sendCommitPosition()
 		}
-		c.status = 'I'
-		c.complete("COMMIT")
+		c.transactionStatus = 'I'
+		c.sendComplete("COMMIT")
 	case "ROLLBACK", "rollback":
-		c.status = 'I'
-		c.shown()
-		c.complete("ROLLBACK")
+		c.transactionStatus = 'I'
+		c.sendPosition()
+		c.sendComplete("ROLLBACK")
 	case "INSERT":
-		if c.reads {
-			c.fail("25006", "read only")
+		if c.groupRead {
+			c.sendError("25006", "read only")
 			return
 		}
-		c.shown()
-		if c.status == 'I' {
-			c.committed()
+		c.sendPosition()
+		if c.transactionStatus == 'I' {
+			c.sendCommitPosition()
 		}
-		c.complete("INSERT 0 1")
+		c.sendComplete("INSERT 0 1")
 	case "SET":
-		c.shown()
-		c.complete("SET")
+		c.sendPosition()
+		c.sendComplete("SET")
 	default:
 		if describe {
-			c.describe()
+			c.sendDescription()
 		}
-		c.shown()
-		c.row(sql)
-		c.complete("SELECT 1")
+		c.sendPosition()
+		c.sendRow(sql)
+		c.sendComplete("SELECT 1")
 	}
 }
 
-func (c *fakeConn) row(value string) {
+func (c *fakeConn) sendRow(value string) {
 	c.backend.Send(&pgproto3.DataRow{Values: [][]byte{[]byte(value)}})
 }
 
-func (c *fakeConn) complete(tag string) {
+func (c *fakeConn) sendComplete(tag string) {
 	c.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 }
 
-// shown sends the position of the state that an answer is read from.
-func (c *fakeConn) shown() {
+// sendPosition sends the position at which an answer was read.
+func (c *fakeConn) sendPosition() {
 	c.db.mu.Lock()
 	position := c.db.position
 	c.db.mu.Unlock()
-	c.parameter("group_position", position.String())
+	c.sendParameter("group_position", position.String())
 }
 
-// committed appends to the log and tells the commit's position.
-func (c *fakeConn) committed() {
+// sendCommitPosition appends to the log and sends the position of the commit.
+func (c *fakeConn) sendCommitPosition() {
 	c.db.mu.Lock()
 	c.db.position.Offset++
 	position := c.db.position
 	c.db.mu.Unlock()
-	c.parameter("group_position", position.String())
-	c.parameter("group_commit", position.String())
+	c.sendParameter("group_position", position.String())
+	c.sendParameter("group_commit", position.String())
 }
 
-func (c *fakeConn) parameter(name, value string) {
+func (c *fakeConn) sendParameter(name, value string) {
 	c.backend.Send(&pgproto3.ParameterStatus{Name: name, Value: value})
 }
 
-// cut flushes what was sent and closes the connection.
-func (c *fakeConn) cut() {
+// disconnect flushes the output and closes the connection.
+func (c *fakeConn) disconnect() {
 	c.backend.Flush()
 	c.conn.Close()
-	c.gone = true
+	c.ended = true
 }
 
-// mute flushes what was sent and says no more.
-func (c *fakeConn) mute() {
+// stopAnswering flushes the output and sends nothing more.
+func (c *fakeConn) stopAnswering() {
 	c.backend.Flush()
-	c.gone = true
+	c.ended = true
 }
--- a/internal/edge/caller/fault_test.go
+++ b/internal/edge/caller/fault_test.go
@@ -14,39 +14,41 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// outcome is what a caller got, and what the core was told.
-type outcome struct {
-	Value  string
-	State  string
-	Answer message.Outcome
+// statementOutcome is what a caller received, and the outcome reported to the
+// core.
+type statementOutcome struct {
+	Value    string
+	SQLState string
+	Reported message.Outcome
 }
 
-// outcomeOf runs one statement and returns what came of it.
-func outcomeOf(t *testing.T, b *bench, conn *pgx.Conn, statement string) outcome {
+// runStatement runs one statement and returns its outcome.
+func runStatement(t *testing.T, setup *testSetup, conn *pgx.Conn, statement string) statementOutcome {
 	t.Helper()
-	var got outcome
+	var got statementOutcome
 	err := conn.QueryRow(context.Background(), statement, pgx.QueryExecModeSimpleProtocol).Scan(&got.Value)
-	got.State = stateOf(err)
-	got.Answer = (<-b.core.ended).Outcome
+	got.SQLState = sqlStateOf(err)
+	got.Reported = (<-setup.core.ended).Outcome
 	return got
 }
 
-// stateOf returns the SQLSTATE of an error, or a word for other errors.
-func stateOf(err error) string {
-	var answer *pgconn.PgError
+// sqlStateOf returns the SQLSTATE of an error, or a description of other
+// errors.
+func sqlStateOf(err error) string {
+	var pgErr *pgconn.PgError
 	switch {
 	case err == nil:
 		return ""
-	case errors.As(err, &answer):
-		return answer.Code
+	case errors.As(err, &pgErr):
+		return pgErr.Code
 	case errors.Is(err, pgx.ErrNoRows):
 		return "no rows"
 	}
 	return "broken"
 }
 
-// TestStatementFaults runs one write outside of a transaction against each
-// fault of a database's answer.
+// TestStatementFaults runs one write outside a transaction against each fault
+// in the answer of a database.
 func TestStatementFaults(t *testing.T) {
 	position := model.Position{Term: 7, Offset: 100}
 	commit := model.Position{Term: 7, Offset: 101}
@@ -54,139 +56,158 @@
 	cases := []struct {
 		name   string
 		answer func(c *fakeConn)
-		want   outcome
+		want   statementOutcome
 	}{
 		{
-			"whole", func(c *fakeConn) { c.describe(); c.shown(); c.row("a"); c.committed(); c.complete("INSERT 0 1") },
-			outcome{"a", "", message.OutcomeCommitted{Position: commit}},
+			"complete", func(c *fakeConn) {
+				c.sendDescription()
+				c.sendPosition()
+				c.sendRow("a")
+				c.sendCommitPosition()
+				c.sendComplete("INSERT 0 1")
+			},
+			statementOutcome{"a", "", message.OutcomeCommitted{Position: commit}},
 		},
 		{
-			"nothing written", func(c *fakeConn) { c.describe(); c.shown(); c.row("a"); c.complete("SELECT 1") },
-			outcome{"a", "", message.OutcomeRead{Position: position}},
+			"nothing written", func(c *fakeConn) { c.sendDescription(); c.sendPosition(); c.sendRow("a"); c.sendComplete("SELECT 1") },
+			statementOutcome{"a", "", message.OutcomeRead{Position: position}},
 		},
-		{"cut at once", (*fakeConn).cut, outcome{"", "08007", lost}},
-		{"cut after the description", func(c *fakeConn) { c.describe(); c.cut() }, outcome{"", "08007", lost}},
-		{"cut after the position", func(c *fakeConn) { c.describe(); c.shown(); c.cut() }, outcome{"", "08007", lost}},
-		{"cut after a row", func(c *fakeConn) { c.describe(); c.shown(); c.row("a"); c.cut() }, outcome{"", "08007", lost}},
-		{"cut after the commit", func(c *fakeConn) { c.describe(); c.shown(); c.row("a"); c.committed(); c.cut() }, outcome{"", "08007", lost}},
-		{"cut before ready", func(c *fakeConn) {
-			c.describe()
-			c.shown()
-			c.row("a")
-			c.committed()
-			c.complete("INSERT 0 1")
-			c.cut()
-		}, outcome{"", "08007", lost}},
+		{"disconnect at once", (*fakeConn).disconnect, statementOutcome{"", "08007", lost}},
+		{"disconnect after the description", func(c *fakeConn) { c.sendDescription(); c.disconnect() }, statementOutcome{"", "08007", lost}},
+		{"disconnect after the position", func(c *fakeConn) { c.sendDescription(); c.sendPosition(); c.disconnect() }, statementOutcome{"", "08007", lost}},
+		{"disconnect after a row", func(c *fakeConn) { c.sendDescription(); c.sendPosition(); c.sendRow("a"); c.disconnect() }, statementOutcome{"", "08007", lost}},
+		{"disconnect after the commit", func(c *fakeConn) {
+			c.sendDescription()
+			c.sendPosition()
+			c.sendRow("a")
+			c.sendCommitPosition()
+			c.disconnect()
+		}, statementOutcome{"", "08007", lost}},
+		{"disconnect before ready", func(c *fakeConn) {
+			c.sendDescription()
+			c.sendPosition()
+			c.sendRow("a")
+			c.sendCommitPosition()
+			c.sendComplete("INSERT 0 1")
+			c.disconnect()
+		}, statementOutcome{"", "08007", lost}},
 		{
-			"another term", func(c *fakeConn) { c.fail("EG002", "term is 8") },
-			outcome{"", "57P03", message.OutcomeNotStarted{Reason: message.NotStartedWrongTerm}},
+			"wrong term", func(c *fakeConn) { c.sendError("EG002", "term is 8") },
+			statementOutcome{"", "57P03", message.OutcomeNotStarted{Reason: message.NotStartedWrongTerm}},
 		},
 		{
-			"key used", func(c *fakeConn) { c.shown(); c.fail("EG003", "key is used") },
-			outcome{"", "57P03", message.OutcomeNotStarted{Reason: message.NotStartedDuplicateKey}},
+			"duplicate key", func(c *fakeConn) { c.sendPosition(); c.sendError("EG003", "key is used") },
+			statementOutcome{"", "57P03", message.OutcomeNotStarted{Reason: message.NotStartedDuplicateKey}},
 		},
 		{
-			"no primary", func(c *fakeConn) { c.fail("25006", "read only") },
-			outcome{"", "57P03", message.OutcomeNotStarted{Reason: message.NotStartedReadOnly}},
+			"read only", func(c *fakeConn) { c.sendError("25006", "read only") },
+			statementOutcome{"", "57P03", message.OutcomeNotStarted{Reason: message.NotStartedReadOnly}},
 		},
 		{
-			"error", func(c *fakeConn) { c.shown(); c.fail("23505", "exists") },
-			outcome{"", "23505", message.OutcomeDatabaseError{SQLState: "23505"}},
+			"error", func(c *fakeConn) { c.sendPosition(); c.sendError("23505", "exists") },
+			statementOutcome{"", "23505", message.OutcomeDatabaseError{SQLState: "23505"}},
 		},
 		{
-			"error after a row", func(c *fakeConn) { c.describe(); c.shown(); c.row("a"); c.fail("22012", "division by zero") },
-			outcome{"a", "22012", message.OutcomeDatabaseError{SQLState: "22012"}},
+			"error after a row", func(c *fakeConn) {
+				c.sendDescription()
+				c.sendPosition()
+				c.sendRow("a")
+				c.sendError("22012", "division by zero")
+			},
+			statementOutcome{"a", "22012", message.OutcomeDatabaseError{SQLState: "22012"}},
 		},
 		{
-			"shutdown while running", func(c *fakeConn) { c.fail("57P01", "terminating"); c.cut() },
-			outcome{"", "08007", lost},
+			"shutdown while running", func(c *fakeConn) { c.sendError("57P01", "terminating"); c.disconnect() },
+			statementOutcome{"", "08007", lost},
 		},
 		{
-			"row without position", func(c *fakeConn) { c.describe(); c.row("a"); c.complete("SELECT 1") },
-			outcome{"", "08007", lost},
+			"row without position", func(c *fakeConn) { c.sendDescription(); c.sendRow("a"); c.sendComplete("SELECT 1") },
+			statementOutcome{"", "08007", lost},
 		},
 		{
-			"malformed position", func(c *fakeConn) { c.parameter("group_position", "x"); c.complete("SELECT 1") },
-			outcome{"", "08007", lost},
+			"malformed position", func(c *fakeConn) { c.sendParameter("group_position", "x"); c.sendComplete("SELECT 1") },
+			statementOutcome{"", "08007", lost},
 		},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t)
-			b.db.on("INSERT x", test.answer)
-			conn := connect(t, b, "")
-			got := outcomeOf(t, b, conn, "INSERT x")
+			setup := newTestSetup(t)
+			setup.db.answerWith("INSERT x", test.answer)
+			conn := connect(t, setup, "")
+			got := runStatement(t, setup, conn, "INSERT x")
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Error(diff)
 			}
-			after := outcomeOf(t, b, conn, "select after")
-			if diff := cmp.Diff("select after", after.Value); diff != "" {
-				t.Error("the session does not go on: ", diff)
+			next := runStatement(t, setup, conn, "select after")
+			if diff := cmp.Diff("select after", next.Value); diff != "" {
+				t.Error("the session does not continue: ", diff)
 			}
 		})
 	}
 }
 
-// TestMuteStatement runs a write whose answer never comes.
+// TestMuteStatement runs a write whose answer never arrives.
 func TestMuteStatement(t *testing.T) {
-	b := newBench(t, func(b *bench, _ *Options) {
-		b.core.dispatch.SilenceTimeout = time.Millisecond
+	setup := newTestSetup(t, func(setup *testSetup, _ *Options) {
+		setup.core.dispatch.SilenceTimeout = time.Millisecond
 	})
-	b.db.on("INSERT x", (*fakeConn).mute)
-	conn := connect(t, b, "")
-	got := outcomeOf(t, b, conn, "INSERT x")
-	want := outcome{"", "08007", message.OutcomeConnectionLost{MayHaveCommitted: true, Unresponsive: true}}
+	setup.db.answerWith("INSERT x", (*fakeConn).stopAnswering)
+	conn := connect(t, setup, "")
+	got := runStatement(t, setup, conn, "INSERT x")
+	want := statementOutcome{"", "08007", message.OutcomeConnectionLost{MayHaveCommitted: true, Unresponsive: true}}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestSlowStatement runs a statement that is merely slow: the database says
-// that it is running something, so the connection is left alone.
+// TestSlowStatement runs a statement that is only slow. The database reports
+// that it is running a statement, so the connection must not be closed.
 func TestSlowStatement(t *testing.T) {
-	b := newBench(t, func(b *bench, _ *Options) {
-		b.core.dispatch.SilenceTimeout = time.Millisecond
+	setup := newTestSetup(t, func(setup *testSetup, _ *Options) {
+		setup.core.dispatch.SilenceTimeout = time.Millisecond
 	})
-	b.db.busy = "1"
-	b.db.on("INSERT slow", func(c *fakeConn) {
-		// More questions than one check asks.
+	setup.db.runningStatements = "1"
+	setup.db.answerWith("INSERT slow", func(c *fakeConn) {
+		// One check sends fewer than 15 status queries, so several checks must
+		// pass.
 		for range 15 {
-			<-c.db.asked
+			<-c.db.statusQueries
 		}
-		c.standard("INSERT slow", false)
+		c.answerDefault("INSERT slow", false)
 	})
-	conn := connect(t, b, "")
+	conn := connect(t, setup, "")
 	_, err := conn.Exec(context.Background(), "INSERT slow", pgx.QueryExecModeSimpleProtocol)
 	if err != nil {
 		t.Error(err)
 	}
 }
 
-// TestDeadline lets the deadline of a running statement pass: the database is
-// asked to cancel it, and where it does not answer, the connection is closed.
+// TestDeadline lets the deadline of a running statement pass. The statement
+// must be canceled at the database, and the connection closed if the database
+// does not answer.
 func TestDeadline(t *testing.T) {
 	cases := []struct {
 		name   string
 		answer func(c *fakeConn)
-		want   outcome
+		want   statementOutcome
 	}{
 		{
-			"canceled", func(c *fakeConn) { <-c.db.canceled; c.fail("57014", "canceled") },
-			outcome{"", "57014", message.OutcomeDatabaseError{SQLState: "57014"}},
+			"canceled", func(c *fakeConn) { <-c.db.canceled; c.sendError("57014", "canceled") },
+			statementOutcome{"", "57014", message.OutcomeDatabaseError{SQLState: "57014"}},
 		},
 		{
-			"mute", func(c *fakeConn) { <-c.db.canceled; c.mute() },
-			outcome{"", "08007", message.OutcomeConnectionLost{MayHaveCommitted: true}},
+			"unresponsive", func(c *fakeConn) { <-c.db.canceled; c.stopAnswering() },
+			statementOutcome{"", "08007", message.OutcomeConnectionLost{MayHaveCommitted: true}},
 		},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t)
-			b.db.on("INSERT x", test.answer)
-			conn := connect(t, b, "")
-			outcomeOf(t, b, conn, "select warm")
-			b.core.dispatch.Deadline = time.Now().Add(50 * time.Millisecond)
-			got := outcomeOf(t, b, conn, "INSERT x")
+			setup := newTestSetup(t)
+			setup.db.answerWith("INSERT x", test.answer)
+			conn := connect(t, setup, "")
+			runStatement(t, setup, conn, "select warm")
+			setup.core.dispatch.Deadline = time.Now().Add(50 * time.Millisecond)
+			got := runStatement(t, setup, conn, "INSERT x")
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Error(diff)
 			}
--- a/internal/edge/caller/gate.go
+++ b/internal/edge/caller/gate.go
@@ -7,87 +7,91 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// provenCell holds up to which position the log of one group is proven.
-type provenCell struct {
+// durablePosition holds the position up to which the log of a group is durable.
+type durablePosition struct {
 	position atomic.Pointer[model.Position]
 }
 
-func (c *provenCell) set(position model.Position) { c.position.Store(&position) }
+func (d *durablePosition) set(position model.Position) { d.position.Store(&position) }
 
-// covers reports whether a position is proven: it is at or below what was told
-// last, in the same term. Another term proves nothing.
-func (c *provenCell) covers(position model.Position) bool {
-	proven := c.position.Load()
-	return proven != nil && covers(*proven, position)
+// covers reports whether a position is durable: it is in the term of the last
+// reported durable position, and not beyond it. A durable position of another
+// term says nothing about it.
+func (d *durablePosition) covers(position model.Position) bool {
+	durable := d.position.Load()
+	return durable != nil && covers(*durable, position)
 }
 
-func covers(proven, position model.Position) bool {
-	return proven.Term == position.Term && position.Offset <= proven.Offset
+func covers(durable, position model.Position) bool {
+	return durable.Term == position.Term && position.Offset <= durable.Offset
 }
 
-// mayPass reports whether what has been read so far may go to the caller.
-func (y *relay) mayPass() bool {
-	if !y.commit.IsZero() || y.behind {
+// mayForward reports whether the part of the answer read so far may go to the
+// caller.
+func (rl *relay) mayForward() bool {
+	if !rl.commitPosition.IsZero() || rl.behind {
 		return false
 	}
-	if !y.r.dispatch.HoldUntilDurable || !y.known {
+	if !rl.request.dispatch.HoldUntilDurable || !rl.positionKnown {
 		return true
 	}
-	return covers(y.r.released, y.r.position) || y.s.proven.covers(y.r.position)
+	return covers(rl.request.releasedPosition, rl.request.position) || rl.session.durable.covers(rl.request.position)
 }
 
-// moveOn sends on what may be sent, at a good moment, and stops reading where
-// too much waits for a proof.
-func (y *relay) moveOn(ctx context.Context) result {
-	waiting := len(y.s.work.out)
-	if !y.streaming && waiting > 0 {
-		y.streaming = y.mayStream(waiting)
+// forwardBuffered sends the buffered part of an answer if it may go to the
+// caller and is large enough or the database has sent no more. If too much is
+// buffered, it waits until the position is durable before it reads on.
+func (rl *relay) forwardBuffered(ctx context.Context) result {
+	buffered := len(rl.session.workspace.output)
+	if !rl.streaming && buffered > 0 {
+		rl.streaming = rl.mayStream(buffered)
 	}
-	if !y.streaming && waiting > holdLimit {
-		end := y.holdHere(ctx)
-		if end != nil {
-			return end
+	if !rl.streaming && buffered > maxHeldAnswer {
+		res := rl.holdIncomplete(ctx)
+		if res != nil {
+			return res
 		}
 	}
-	if !y.streaming || waiting == 0 {
+	if !rl.streaming || buffered == 0 {
 		return nil
 	}
-	if waiting < flushSize && y.r.conn.Reader.Buffered() > 0 {
+	if buffered < flushSize && rl.request.conn.Reader.Buffered() > 0 {
 		return nil
 	}
-	err := y.s.flush()
+	err := rl.session.flush()
 	if err != nil {
-		return resultUnread{cause: err}
+		return resultSessionEnded{cause: err}
 	}
-	y.r.passed = true
+	rl.request.partlySent = true
 	return nil
 }
 
-// mayStream reports whether the answer's position allows to pass it on before
-// its end. Answers to writes are held back for a while even then: until a part
-// of them has passed, the write can be run again if the database refuses it.
-func (y *relay) mayStream(waiting int) bool {
-	if !y.known || y.refusal != nil || y.preludeFailed {
+// mayStream reports whether the position of the answer allows sending it before
+// it is complete. The first part of an answer to a write is held back even
+// then: until some of it was sent, the write can be run again if the database
+// refuses it.
+func (rl *relay) mayStream(buffered int) bool {
+	if !rl.positionKnown || rl.notStarted != nil || rl.setupQueryFailed {
 		return false
 	}
-	if y.r.first && y.r.dispatch.Access == model.AccessWrite && waiting < writeHold {
+	if rl.request.firstBatch && rl.request.dispatch.Access == model.AccessWrite && buffered < writeHoldSize {
 		return false
 	}
-	return y.mayPass()
+	return rl.mayForward()
 }
 
-// holdHere waits for the proof of a position while the answer is incomplete;
-// the database's connection is not read meanwhile.
-func (y *relay) holdHere(ctx context.Context) result {
-	if !y.commit.IsZero() || y.behind || y.refusal != nil || y.preludeFailed {
+// holdIncomplete waits until the position of an incomplete answer is durable.
+// The backend connection is not read meanwhile.
+func (rl *relay) holdIncomplete(ctx context.Context) result {
+	if !rl.commitPosition.IsZero() || rl.behind || rl.notStarted != nil || rl.setupQueryFailed {
 		return nil
 	}
-	y.s.mailbox.done()
-	end := y.s.awaitRelease(ctx, y.r)
-	if end != nil {
-		return end
+	rl.session.mailbox.endRead()
+	res := rl.session.awaitRelease(ctx, rl.request)
+	if res != nil {
+		return res
 	}
-	y.streaming = true
-	y.rearm()
+	rl.streaming = true
+	rl.rearm()
 	return nil
 }
--- a/internal/edge/caller/gate_test.go
+++ b/internal/edge/caller/gate_test.go
@@ -18,72 +18,73 @@
 	return model.Position{Term: term, Offset: offset}
 }
 
-// TestGate runs a read at position 7:100 under different words of the core.
-func TestGate(t *testing.T) {
+// TestHoldUntilDurable runs a read at position 7:100 with different dispatches,
+// durable positions and actions of the core.
+func TestHoldUntilDurable(t *testing.T) {
 	read := message.OutcomeRead{Position: position(7, 100)}
 	release := func(held message.ResultHeld) message.Action {
 		return message.ReleaseResult{Request: held.Request, Attempt: held.Attempt}
 	}
-	abandon := func(held message.ResultHeld) message.Action {
+	abort := func(held message.ResultHeld) message.Action {
 		return message.AbortRequest{Request: held.Request, Attempt: held.Attempt, Reason: "the primary is gone"}
 	}
-	none := func(message.ResultHeld) message.Action { return nil }
+	noAction := func(message.ResultHeld) message.Action { return nil }
 	cases := []struct {
 		name     string
 		dispatch message.Dispatch
-		proven   model.Position
-		word     func(message.ResultHeld) message.Action
-		want     outcome
+		durable  model.Position
+		action   func(message.ResultHeld) message.Action
+		want     statementOutcome
 		held     bool
 	}{
 		{
 			"fresh replica",
 			message.Dispatch{Access: model.AccessRead, MinPosition: position(7, 100)},
-			position(0, 0), none,
-			outcome{"select a", "", read},
+			position(0, 0), noAction,
+			statementOutcome{"select a", "", read},
 			false,
 		},
 		{
 			"replica behind",
 			message.Dispatch{Access: model.AccessRead, MinPosition: position(7, 101)},
-			position(0, 0), none,
-			outcome{"", "57P03", message.OutcomeBehind{Position: position(7, 100)}},
+			position(0, 0), noAction,
+			statementOutcome{"", "57P03", message.OutcomeBehind{Position: position(7, 100)}},
 			false,
 		},
 		{
 			"behind by term",
 			message.Dispatch{Access: model.AccessRead, MinPosition: position(8, 1)},
-			position(0, 0), none,
-			outcome{"", "57P03", message.OutcomeBehind{Position: position(7, 100)}},
+			position(0, 0), noAction,
+			statementOutcome{"", "57P03", message.OutcomeBehind{Position: position(7, 100)}},
 			false,
 		},
-		{"proven", message.Dispatch{HoldUntilDurable: true}, position(7, 100), none, outcome{"select a", "", read}, false},
-		{"proven beyond", message.Dispatch{HoldUntilDurable: true}, position(7, 200), none, outcome{"select a", "", read}, false},
-		{"proven in another term", message.Dispatch{HoldUntilDurable: true}, position(8, 200), release, outcome{"select a", "", read}, true},
-		{"released", message.Dispatch{HoldUntilDurable: true}, position(7, 99), release, outcome{"select a", "", read}, true},
+		{"durable", message.Dispatch{HoldUntilDurable: true}, position(7, 100), noAction, statementOutcome{"select a", "", read}, false},
+		{"durable beyond the position", message.Dispatch{HoldUntilDurable: true}, position(7, 200), noAction, statementOutcome{"select a", "", read}, false},
+		{"durable in another term", message.Dispatch{HoldUntilDurable: true}, position(8, 200), release, statementOutcome{"select a", "", read}, true},
+		{"released", message.Dispatch{HoldUntilDurable: true}, position(7, 99), release, statementOutcome{"select a", "", read}, true},
 		{
-			"abandoned",
+			"aborted",
 			message.Dispatch{HoldUntilDurable: true},
-			position(7, 99), abandon,
-			outcome{"", "40001", message.OutcomeDatabaseError{SQLState: "40001"}},
+			position(7, 99), abort,
+			statementOutcome{"", "40001", message.OutcomeDatabaseError{SQLState: "40001"}},
 			true,
 		},
 		{
 			"read of the primary released",
 			message.Dispatch{HoldUntilDurable: true, Access: model.AccessRead},
 			position(0, 0), release,
-			outcome{"select a", "", read},
+			statementOutcome{"select a", "", read},
 			true,
 		},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			held := false
-			b := newBench(t, func(b *bench, _ *Options) {
-				b.core.dispatch = test.dispatch
-				b.core.dispatch.Database = testDatabase
-				b.core.dispatch.Term = 7
-				b.core.hook = func(event message.Event) bool {
+			setup := newTestSetup(t, func(setup *testSetup, _ *Options) {
+				setup.core.dispatch = test.dispatch
+				setup.core.dispatch.Database = testDatabase
+				setup.core.dispatch.Term = 7
+				setup.core.hook = func(event message.Event) bool {
 					answer, ok := event.(message.ResultHeld)
 					if !ok {
 						return false
@@ -92,13 +93,13 @@
 					if diff := cmp.Diff(position(7, 100), answer.Position); diff != "" {
 						t.Error(diff)
 					}
-					b.core.edge.HandleAction(test.word(answer))
+					setup.core.server.HandleAction(test.action(answer))
 					return true
 				}
 			})
-			b.edge.HandleAction(message.SetDurablePosition{Group: testGroup, Position: test.proven})
-			conn := connect(t, b, "")
-			got := outcomeOf(t, b, conn, "select a")
+			setup.server.HandleAction(message.SetDurablePosition{Group: testGroup, Position: test.durable})
+			conn := connect(t, setup, "")
+			got := runStatement(t, setup, conn, "select a")
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Error(diff)
 			}
@@ -109,29 +110,29 @@
 	}
 }
 
-// TestCommitHeld checks that no part of a commit's answer is out before the
-// core has acknowledged it.
+// TestCommitHeld checks that no part of a commit's answer is sent before the
+// core has acknowledged the commit.
 func TestCommitHeld(t *testing.T) {
 	cases := []struct {
-		name string
-		word func(ended message.AttemptEnded) message.Action
-		want string
+		name   string
+		action func(ended message.AttemptEnded) message.Action
+		want   string
 	}{
 		{"acknowledged", func(e message.AttemptEnded) message.Action {
 			return message.AcknowledgeCommit{Request: e.Request, Attempt: e.Attempt, Token: model.Token{Group: testGroup, Position: position(7, 101)}}
 		}, ""},
-		{"unknown", func(e message.AttemptEnded) message.Action {
+		{"outcome unknown", func(e message.AttemptEnded) message.Action {
 			return message.AbortRequest{Request: e.Request, Attempt: e.Attempt, OutcomeUnknown: true}
 		}, "08007"},
-		{"proven not to have happened", func(e message.AttemptEnded) message.Action {
+		{"confirmed not committed", func(e message.AttemptEnded) message.Action {
 			return message.RefuseRequest{Request: e.Request, Reason: message.RefuseNotCommitted}
 		}, "40001"},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			committed := make(chan message.AttemptEnded, 1)
-			b := newBench(t)
-			b.core.hook = func(event message.Event) bool {
+			setup := newTestSetup(t)
+			setup.core.hook = func(event message.Event) bool {
 				ended, ok := event.(message.AttemptEnded)
 				if !ok {
 					return false
@@ -141,47 +142,49 @@
 				}
 				return ok
 			}
-			conn := connect(t, b, "")
-			answered := make(chan error, 1)
+			conn := connect(t, setup, "")
+			result := make(chan error, 1)
 			go func() {
 				_, err := conn.Exec(context.Background(), "INSERT x")
-				answered <- err
+				result <- err
 			}()
 			ended := <-committed
 			select {
-			case err := <-answered:
-				t.Fatal("answered before the word of the core: ", err)
+			case err := <-result:
+				t.Fatal("answered before the action of the core: ", err)
 			default:
 			}
-			b.edge.HandleAction(test.word(ended))
-			if diff := cmp.Diff(test.want, stateOf(<-answered)); diff != "" {
+			setup.server.HandleAction(test.action(ended))
+			if diff := cmp.Diff(test.want, sqlStateOf(<-result)); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// TestHeldOverLimit has an answer of more than may be held wait for its proof.
-func TestHeldOverLimit(t *testing.T) {
+// TestHeldAnswerOverLimit reads an answer that is larger than the limit for
+// held answers. The server must stop reading, wait once for the release and
+// then send every row.
+func TestHeldAnswerOverLimit(t *testing.T) {
 	const rows = 200
 	row := strings.Repeat("x", 64<<10)
-	b := newBench(t)
-	b.db.on("select all", func(c *fakeConn) {
-		c.describe()
-		c.shown()
+	setup := newTestSetup(t)
+	setup.db.answerWith("select all", func(c *fakeConn) {
+		c.sendDescription()
+		c.sendPosition()
 		for range rows {
-			c.row(row)
+			c.sendRow(row)
 		}
-		c.complete("SELECT 200")
+		c.sendComplete("SELECT 200")
 	})
 	held := 0
-	b.core.hook = func(event message.Event) bool {
+	setup.core.hook = func(event message.Event) bool {
 		if _, ok := event.(message.ResultHeld); ok {
 			held++
 		}
 		return false
 	}
-	conn := connect(t, b, "")
+	conn := connect(t, setup, "")
 	answer, err := conn.Query(context.Background(), "select all", pgx.QueryExecModeSimpleProtocol)
 	if err != nil {
 		t.Fatal(err)
@@ -201,33 +204,33 @@
 	}
 }
 
-// TestCommitProvenAfterLoss loses the connection at a commit that the core then
-// proves to have happened.
-func TestCommitProvenAfterLoss(t *testing.T) {
+// TestCommitAcknowledgedAfterLoss loses the connection at a commit that the
+// core acknowledges afterwards.
+func TestCommitAcknowledgedAfterLoss(t *testing.T) {
 	token := model.Token{Group: testGroup, Position: position(7, 101)}
 	cases := []struct {
-		name string
-		say  []string
-		want []string
+		name    string
+		queries []string
+		want    []string
 	}{
 		{"transaction", []string{"BEGIN", "INSERT x", "COMMIT"}, []string{"eelgrassfold.token ratings/7:101", "COMMIT", "ready I"}},
 		{"statement", []string{"INSERT lost"}, []string{"eelgrassfold.token ratings/7:101", "ERROR 08007", "ready I"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t)
-			b.db.on("COMMIT", func(c *fakeConn) { c.committed(); c.cut() })
-			b.db.on("INSERT lost", (*fakeConn).cut)
-			b.core.hook = func(event message.Event) bool {
+			setup := newTestSetup(t)
+			setup.db.answerWith("COMMIT", func(c *fakeConn) { c.sendCommitPosition(); c.disconnect() })
+			setup.db.answerWith("INSERT lost", (*fakeConn).disconnect)
+			setup.core.hook = func(event message.Event) bool {
 				ended, ok := event.(message.AttemptEnded)
 				if ok {
-					b.edge.HandleAction(message.AcknowledgeCommit{Request: ended.Request, Attempt: ended.Attempt, Token: token})
+					setup.server.HandleAction(message.AcknowledgeCommit{Request: ended.Request, Attempt: ended.Attempt, Token: token})
 				}
 				return ok
 			}
-			caller := startRaw(t, b)
+			caller := startRaw(t, setup)
 			var got []string
-			for _, text := range test.say {
+			for _, text := range test.queries {
 				got = caller.query(text)
 			}
 			if diff := cmp.Diff(test.want, got); diff != "" {
@@ -237,25 +240,25 @@
 	}
 }
 
-// TestSlowCaller has a caller not take its answer: it loses its connection, and
-// the database's connection is not used again.
+// TestSlowCaller has a caller that does not read its answer. It must lose its
+// connection, and the backend connection must be closed.
 func TestSlowCaller(t *testing.T) {
-	b := newBench(t, func(_ *bench, options *Options) { options.WriteTimeout = 50 * time.Millisecond })
-	b.edge.HandleAction(message.SetDurablePosition{Group: testGroup, Position: position(7, 100)})
+	setup := newTestSetup(t, func(_ *testSetup, options *Options) { options.WriteTimeout = 50 * time.Millisecond })
+	setup.server.HandleAction(message.SetDurablePosition{Group: testGroup, Position: position(7, 100)})
 	row := strings.Repeat("x", 1<<20)
-	b.db.on("select all", func(c *fakeConn) {
-		c.describe()
-		c.shown()
-		for !c.gone {
-			c.row(row)
+	setup.db.answerWith("select all", func(c *fakeConn) {
+		c.sendDescription()
+		c.sendPosition()
+		for !c.ended {
+			c.sendRow(row)
 			if c.backend.Flush() != nil {
-				c.gone = true
+				c.ended = true
 			}
 		}
 	})
-	caller := startRaw(t, b)
+	caller := startRaw(t, setup)
 	caller.send(&pgproto3.Query{String: "select all"})
-	ended := <-b.core.ended
+	ended := <-setup.core.ended
 	if diff := cmp.Diff(message.Outcome(message.OutcomeConnectionLost{MayHaveCommitted: true, PartlySent: true}), ended.Outcome); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/edge/caller/handle.go
+++ b/internal/edge/caller/handle.go
@@ -6,20 +6,20 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/message"
 )
 
-// handle answers one batch. Its error ends the session.
-func (s *session) handle(ctx context.Context, b *batch) error {
-	if b.early {
-		s.ready(s.status())
+// handleBatch answers one batch. An error ends the session.
+func (s *session) handleBatch(ctx context.Context, b *batch) error {
+	if b.flushRejected {
+		s.appendReady(s.status())
 		return s.flush()
 	}
-	// A word of the core that came too late for the last batch must not hit
-	// this one.
-	err := s.idleItems(ctx)
+	// An action that arrived too late for the last batch must not affect this
+	// one.
+	err := s.handleIdleItems(ctx)
 	if err != nil {
 		return err
 	}
-	if s.failed {
-		return s.handleFailed(b)
+	if s.inFailedTransaction {
+		return s.handleInFailedTransaction(b)
 	}
 	if b.problem != nil {
 		return s.handleProblem(b)
@@ -27,117 +27,119 @@
 	if b.isLocal(s.request != nil) {
 		return s.handleLocal(b)
 	}
-	if b.traits.first == "LISTEN" {
-		b.refuse(problemListen)
+	if b.traits.firstWord == "LISTEN" {
+		b.reject(problemListen)
 		return s.handleProblem(b)
 	}
 	if s.request != nil {
-		return s.goOn(ctx, b)
+		return s.continueTransaction(ctx, b)
 	}
-	if b.traits.first == "COPY" {
+	if b.traits.firstWord == "COPY" {
 		return s.answerProblem(problemCopy, statusIdle)
 	}
 	if c := b.command(); c != nil && !s.settings.hasRoom(setting{name: c.name, text: c.text}) {
-		return s.answerProblem(problemSettings, statusIdle)
+		return s.answerProblem(problemTooManySettings, statusIdle)
 	}
-	return s.serve(ctx, b)
+	return s.runRequest(ctx, b)
 }
 
-// status is the state of the transaction that the caller believes in.
+// status returns the transaction status that the caller was last sent.
 func (s *session) status() byte {
 	switch {
-	case s.failed:
+	case s.inFailedTransaction:
 		return statusFailed
 	case s.request != nil:
-		return s.request.status
+		return s.request.transactionStatus
 	}
 	return statusIdle
 }
 
-// handleFailed answers while a lost transaction waits for its end.
-func (s *session) handleFailed(b *batch) error {
+// handleInFailedTransaction answers a batch while the caller has not yet ended
+// a failed transaction.
+func (s *session) handleInFailedTransaction(b *batch) error {
 	if b.isEmpty() {
-		s.ready(statusFailed)
+		s.appendReady(statusFailed)
 		return s.flush()
 	}
-	if b.problem == nil && b.traits.endsTransaction() && !b.traits.several {
-		return s.endFailed(b)
+	if b.problem == nil && b.traits.endsTransaction() && !b.traits.multipleStatements {
+		return s.endFailedTransaction(b)
 	}
-	p := problemFailed
-	if s.why != nil {
-		p = s.why
-		s.why = nil
+	p := problemInFailedTransaction
+	if s.unreportedProblem != nil {
+		p = s.unreportedProblem
+		s.unreportedProblem = nil
 	}
 	return s.answerProblem(p, statusFailed)
 }
 
-// endFailed ends a lost transaction. A caller that wanted to commit and has not
-// been told of the loss is told now.
-func (s *session) endFailed(b *batch) error {
-	if !b.runs() {
+// endFailedTransaction ends a failed transaction. If the caller meant to commit
+// and the failure was not yet reported to it, it receives the error now.
+func (s *session) endFailedTransaction(b *batch) error {
+	if !b.executes() {
 		return s.answerLocally(b, "ROLLBACK", nil)
 	}
-	why := s.why
-	s.failed = false
-	s.why = nil
-	if why != nil && b.traits.commits {
-		return s.answerProblem(why, statusIdle)
+	unreported := s.unreportedProblem
+	s.inFailedTransaction = false
+	s.unreportedProblem = nil
+	if unreported != nil && b.traits.commits {
+		return s.answerProblem(unreported, statusIdle)
 	}
 	return s.answerLocally(b, "ROLLBACK", nil)
 }
 
-// handleProblem refuses a batch. An open transaction fails by it, as at the
-// database.
+// handleProblem rejects a batch. An open transaction fails with it, as it would
+// at the database.
 func (s *session) handleProblem(b *batch) error {
 	if s.request != nil {
-		s.breakTransaction(message.OutcomeDatabaseError{SQLState: b.problem.state})
+		s.abortTransaction(message.OutcomeDatabaseError{SQLState: b.problem.sqlState})
 	}
 	return s.answerProblem(b.problem, s.status())
 }
 
-// serve has one request of the caller done, from its arrival to its end or to
-// the first answer inside of a transaction.
-func (s *session) serve(ctx context.Context, b *batch) error {
-	r := s.arrive(b)
+// runRequest runs one request of the caller, until the request ends or its
+// first batch was answered inside a transaction.
+func (s *session) runRequest(ctx context.Context, b *batch) error {
+	r := s.startRequest(b)
 	for {
-		item, err := s.await(ctx, r)
+		item, err := s.awaitAction(ctx, r)
 		if err != nil {
 			s.endRequest(r)
 			return err
 		}
 		switch item := item.(type) {
 		case message.Dispatch:
-			done, err := s.attempt(ctx, r, b, item)
+			done, err := s.runAttempt(ctx, r, b, item)
 			if done || err != nil {
 				return err
 			}
 		case message.RefuseRequest:
-			return s.endWith(r, refusalProblem(item), statusIdle)
+			return s.endWithProblem(r, refusalProblem(item), statusIdle)
 		case message.AbortRequest:
-			return s.endWith(r, abandonProblem(item), statusIdle)
+			return s.endWithProblem(r, abortProblem(item), statusIdle)
 		case message.AcknowledgeCommit:
 			return s.endCommitted(r, b, item)
 		}
 	}
 }
 
-// goOn runs a further batch of an open transaction.
-func (s *session) goOn(ctx context.Context, b *batch) error {
+// continueTransaction runs a further batch of an open transaction.
+func (s *session) continueTransaction(ctx context.Context, b *batch) error {
 	r := s.request
-	r.first = false
-	s.current.Store(uint64(r.id))
+	r.firstBatch = false
+	s.currentRequest.Store(uint64(r.id))
 	done, err := s.exchange(ctx, r, b)
 	if done || err != nil {
 		return err
 	}
-	return s.settleLost(ctx, r, b)
+	return s.awaitLostTransaction(ctx, r, b)
 }
 
-// settleLost waits for the word of the core on a transaction whose connection
-// was lost. Parts of it have gone to the caller, so it can't be run again here.
-func (s *session) settleLost(ctx context.Context, r *request, b *batch) error {
+// awaitLostTransaction waits until the core decides about a transaction whose
+// connection was lost. Parts of it were sent to the caller, so it cannot be run
+// again here.
+func (s *session) awaitLostTransaction(ctx context.Context, r *request, b *batch) error {
 	for {
-		item, err := s.await(ctx, r)
+		item, err := s.awaitAction(ctx, r)
 		if err != nil {
 			s.endRequest(r)
 			return err
@@ -145,25 +147,26 @@
 		switch item := item.(type) {
 		case message.Dispatch:
 			r.attempt = item.Attempt
-			s.ended(r, message.OutcomeDatabaseError{SQLState: stateSerialization})
-			return s.endLost(r, b, problemBroken)
+			s.reportOutcome(r, message.OutcomeDatabaseError{SQLState: stateSerialization})
+			return s.endLostTransaction(r, b, problemConnectionLost)
 		case message.RefuseRequest:
-			return s.endLost(r, b, refusalProblem(item))
+			return s.endLostTransaction(r, b, refusalProblem(item))
 		case message.AbortRequest:
-			return s.endLost(r, b, abandonProblem(item))
+			return s.endLostTransaction(r, b, abortProblem(item))
 		case message.AcknowledgeCommit:
 			return s.endCommitted(r, b, item)
 		}
 	}
 }
 
-// endLost tells the caller of a lost transaction. Unless the batch would have
-// ended it, the caller still has to: until then nothing is run for it.
-func (s *session) endLost(r *request, b *batch, p *problem) error {
-	s.failed = !r.first && !b.traits.endsTransaction()
+// endLostTransaction reports to the caller that its transaction was lost.
+// Unless the batch ends the transaction, the caller still has to end it, and
+// until then no statement is run for it.
+func (s *session) endLostTransaction(r *request, b *batch, p *problem) error {
+	s.inFailedTransaction = !r.firstBatch && !b.traits.endsTransaction()
 	status := statusIdle
-	if s.failed {
+	if s.inFailedTransaction {
 		status = statusFailed
 	}
-	return s.endWith(r, p, status)
+	return s.endWithProblem(r, p, status)
 }
--- a/internal/edge/caller/hint.go
+++ b/internal/edge/caller/hint.go
@@ -8,7 +8,7 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// hint is what a caller says of its work, by settings or by a comment.
+// hint describes a request, as given by the caller in settings or in a comment.
 type hint struct {
 	kind     string
 	key      string
@@ -17,14 +17,14 @@
 	roaming  bool
 }
 
-// keyLimit is the greatest length of a caller's own idempotency key, and
-// kindLimit that of the name of a kind, in bytes.
+// maxKeyLength is the maximum length of a caller-supplied idempotency key, and
+// maxKindLength that of the name of a request kind, in bytes.
 const (
-	keyLimit  = 200
-	kindLimit = 100
+	maxKeyLength  = 200
+	maxKindLength = 100
 )
 
-// HintError reports a setting or comment key of the proxy that can't be read.
+// HintError reports an invalid proxy setting or comment key.
 type HintError struct {
 	Name   string
 	Value  string
@@ -38,9 +38,9 @@
 
 func quoted(text string) string { return "\"" + text + "\"" }
 
-// hintSetters is the table of what may be said, by a comment
-// /*kind='post'*/, by SET eelgrassfold.kind = 'post', or by a startup parameter
-// of that name.
+// hintSetters maps the names of the hints to their parsers. A hint is given by
+// a comment /*kind='post'*/, by SET eelgrassfold.kind = 'post', or by the
+// startup parameter eelgrassfold.kind.
 var hintSetters = map[string]func(*hint, string) error{
 	"kind":     setKind,
 	"key":      setKey,
@@ -49,14 +49,15 @@
 	"roaming":  setRoaming,
 }
 
-// statementOnly and sessionOnly list the names that don't go everywhere.
+// statementOnly is the hint that only a comment may give; sessionOnly is the
+// one that only a startup parameter may give.
 const (
 	statementOnly = "key"
 	sessionOnly   = "roaming"
 )
 
 func setKind(h *hint, value string) error {
-	if value == "" || len(value) > kindLimit {
+	if value == "" || len(value) > maxKindLength {
 		return &HintError{Name: "kind", Value: value, Detail: "expected the name of a kind of work"}
 	}
 	h.kind = value
@@ -64,7 +65,7 @@
 }
 
 func setKey(h *hint, value string) error {
-	if value == "" || len(value) > keyLimit {
+	if value == "" || len(value) > maxKeyLength {
 		return &HintError{Name: "key", Value: value, Detail: "expected 1 to 200 characters"}
 	}
 	for i := 0; i < len(value); i++ {
@@ -106,8 +107,9 @@
 	return nil
 }
 
-// over returns h with what is missing taken from the session's hint.
-func (h hint) over(session hint) hint {
+// withDefaults returns h with missing values taken from the hint of the
+// session.
+func (h hint) withDefaults(session hint) hint {
 	if h.kind == "" {
 		h.kind = session.kind
 	}
@@ -121,20 +123,20 @@
 }
 
 // -----------------------------------------------------------------------------
-// Comments.
+// Hints in comments.
 
-// parseHint reads the comments at the start and at the end of a statement. Keys
-// that are not the proxy's are passed over. Its error is a *HintError.
+// parseHint parses the comments at the start and at the end of a statement.
+// Keys that do not belong to the proxy are ignored. Its error is a *HintError.
 func parseHint(text string) (hint, error) {
 	var h hint
 	if !strings.Contains(text, "/*") {
 		return h, nil
 	}
-	seen := map[string]bool{}
+	given := map[string]bool{}
 	rest := strings.TrimSpace(text)
 	for strings.HasPrefix(rest, "/*") {
 		n := commentLength(rest)
-		err := h.readComment(rest[:n], seen)
+		err := h.readComment(rest[:n], given)
 		if err != nil {
 			return hint{}, err
 		}
@@ -146,7 +148,7 @@
 		if start < 0 {
 			break
 		}
-		err := h.readComment(rest[start:], seen)
+		err := h.readComment(rest[start:], given)
 		if err != nil {
 			return hint{}, err
 		}
@@ -155,8 +157,8 @@
 	return h, nil
 }
 
-// readComment reads key='value' pairs, parted by commas.
-func (h *hint) readComment(comment string, seen map[string]bool) error {
+// readComment parses the key='value' pairs of a comment, separated by commas.
+func (h *hint) readComment(comment string, given map[string]bool) error {
 	body := strings.TrimSuffix(strings.TrimPrefix(comment, "/*"), "*/")
 	for body != "" {
 		var pair string
@@ -166,14 +168,14 @@
 			continue
 		}
 		name = decodeKey(name)
-		set, ours := hintSetters[name]
-		if !ours || name == sessionOnly {
+		set, known := hintSetters[name]
+		if !known || name == sessionOnly {
 			continue
 		}
-		if seen[name] {
+		if given[name] {
 			return &HintError{Name: name, Value: value, Detail: "given twice"}
 		}
-		seen[name] = true
+		given[name] = true
 		decoded, err := decodeValue(name, value)
 		if err != nil {
 			return err
@@ -186,17 +188,17 @@
 	return nil
 }
 
-// cutPair cuts at the first comma outside of quotes.
+// cutPair splits body at the first comma outside quotes.
 func cutPair(body string) (string, string) {
-	inside := false
+	inQuotes := false
 	for i := 0; i < len(body); i++ {
 		switch body[i] {
 		case '\\':
 			i++
 		case '\'':
-			inside = !inside
+			inQuotes = !inQuotes
 		case ',':
-			if !inside {
+			if !inQuotes {
 				return body[:i], body[i+1:]
 			}
 		}
--- a/internal/edge/caller/hint_test.go
+++ b/internal/edge/caller/hint_test.go
@@ -10,12 +10,13 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// TestParseHint reads comments. An empty fault says that the text is taken.
+// TestParseHint parses comments. If hintName is empty, the text must be
+// accepted.
 func TestParseHint(t *testing.T) {
 	cases := []struct {
-		text  string
-		want  hint
-		fault string
+		text     string
+		want     hint
+		hintName string
 	}{
 		{"select 1", hint{}, ""},
 		{"select 1 /*kind='post'*/", hint{kind: "post"}, ""},
@@ -45,66 +46,66 @@
 	for _, test := range cases {
 		got, err := parseHint(test.text)
 		fault := ""
-		var known *HintError
-		if errors.As(err, &known) {
-			fault = known.Name
+		var hintErr *HintError
+		if errors.As(err, &hintErr) {
+			fault = hintErr.Name
 		}
 		if diff := cmp.Diff(test.want, got, cmp.AllowUnexported(hint{})); diff != "" {
 			t.Errorf("%s: %s", test.text, diff)
 		}
-		if diff := cmp.Diff(test.fault, fault); diff != "" {
+		if diff := cmp.Diff(test.hintName, fault); diff != "" {
 			t.Errorf("%s: %s", test.text, diff)
 		}
 	}
 }
 
-// FuzzHint reads any text: no key may hold what would end the literal that it
-// is sent in, and reading is the same the second time.
+// FuzzHint parses arbitrary text. A key must not contain characters that end
+// the literal in which it is sent, and parsing must be deterministic.
 func FuzzHint(f *testing.F) {
 	for _, text := range []string{"select 1 /*kind='a',key='b'*/", "/*/**/*/", "/*", "*/", "/*key='\\'*/", "/*key='%27'*/ x", "--\n/*kind='a'*/;;"} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		h, err := parseHint(text)
-		again, _ := parseHint(text)
-		if h != again {
-			t.Error("read differently a second time")
+		second, _ := parseHint(text)
+		if h != second {
+			t.Error("a second parse gives another result")
 		}
 		for i := range len(h.key) {
 			if h.key[i] == '\'' || h.key[i] == '\\' || h.key[i] < ' ' {
-				t.Errorf("key %q", h.key)
+				t.Errorf("key %q contains a character that is not allowed", h.key)
 			}
 		}
 		if err != nil && h != (hint{}) {
-			t.Error("a hint beside an error")
+			t.Error("a hint is returned with an error")
 		}
-		parseCommand(text, scan(text))
+		parseCommand(text, scanTraits(text))
 	})
 }
 
-// TestScan reads what matters of a statement's text.
+// TestScan determines the traits of statement texts.
 func TestScan(t *testing.T) {
 	cases := []struct {
 		text string
 		want traits
 	}{
 		{"", traits{}},
-		{"select 1", traits{first: "SELECT", second: "1"}},
-		{" /* a /* b */ */ -- c\n (SELECT 1)", traits{first: "SELECT", second: "1"}},
-		{"begin", traits{first: "BEGIN"}},
-		{"START TRANSACTION READ ONLY", traits{first: "START", second: "TRANSACTION"}},
-		{"COMMIT", traits{first: "COMMIT", commits: true}},
-		{"begin; insert into a values (1); end", traits{first: "BEGIN", commits: true, several: true}},
-		{"update a set b = 1", traits{first: "UPDATE", second: "A"}},
-		{"set a = 1", traits{first: "SET", second: "A", leavesState: true}},
-		{"select 1; set a = 1", traits{first: "SELECT", second: "1", leavesState: true, several: true}},
-		{"select set_config('a', 'b', false)", traits{first: "SELECT", second: "SET_CONFIG", leavesState: true}},
-		{"select pg_advisory_lock(1)", traits{first: "SELECT", second: "PG_ADVISORY_LOCK", leavesState: true}},
-		{"create temp table a ()", traits{first: "CREATE", second: "TEMP", leavesState: true}},
-		{"select 'x; set'", traits{first: "SELECT", second: "X", leavesState: true, several: true}},
+		{"select 1", traits{firstWord: "SELECT", secondWord: "1"}},
+		{" /* a /* b */ */ -- c\n (SELECT 1)", traits{firstWord: "SELECT", secondWord: "1"}},
+		{"begin", traits{firstWord: "BEGIN"}},
+		{"START TRANSACTION READ ONLY", traits{firstWord: "START", secondWord: "TRANSACTION"}},
+		{"COMMIT", traits{firstWord: "COMMIT", commits: true}},
+		{"begin; insert into a values (1); end", traits{firstWord: "BEGIN", commits: true, multipleStatements: true}},
+		{"update a set b = 1", traits{firstWord: "UPDATE", secondWord: "A"}},
+		{"set a = 1", traits{firstWord: "SET", secondWord: "A", leavesState: true}},
+		{"select 1; set a = 1", traits{firstWord: "SELECT", secondWord: "1", leavesState: true, multipleStatements: true}},
+		{"select set_config('a', 'b', false)", traits{firstWord: "SELECT", secondWord: "SET_CONFIG", leavesState: true}},
+		{"select pg_advisory_lock(1)", traits{firstWord: "SELECT", secondWord: "PG_ADVISORY_LOCK", leavesState: true}},
+		{"create temp table a ()", traits{firstWord: "CREATE", secondWord: "TEMP", leavesState: true}},
+		{"select 'x; set'", traits{firstWord: "SELECT", secondWord: "X", leavesState: true, multipleStatements: true}},
 	}
 	for _, test := range cases {
-		if diff := cmp.Diff(test.want, scan(test.text), cmp.AllowUnexported(traits{})); diff != "" {
+		if diff := cmp.Diff(test.want, scanTraits(test.text), cmp.AllowUnexported(traits{})); diff != "" {
 			t.Errorf("%s: %s", test.text, diff)
 		}
 	}
--- a/internal/edge/caller/listen.go
+++ b/internal/edge/caller/listen.go
@@ -8,22 +8,22 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// acceptPause is the pause after a failed accept, such as for want of file
-// descriptors.
+// acceptPause is the pause after a failed accept, which may be due to a lack of
+// file descriptors.
 const acceptPause = 50 * time.Millisecond
 
 const (
-	// keepaliveIdle, keepaliveInterval and keepaliveCount set the TCP
-	// keepalive towards callers.
+	// keepaliveIdle, keepaliveInterval and keepaliveCount configure the TCP
+	// keepalive of callers' connections.
 	keepaliveIdle     = 30 * time.Second
 	keepaliveInterval = 5 * time.Second
 	keepaliveCount    = 3
 )
 
-// Start listens and serves until ctx ends, or until it is drained and the last
-// session has ended. It closes the channel then.
-func (e *Server) Start(ctx context.Context) (<-chan error, error) {
-	err := e.options.check()
+// Start listens and serves until ctx ends, or until the server is drained and
+// the last session has ended. The returned channel is closed then.
+func (srv *Server) Start(ctx context.Context) (<-chan error, error) {
+	err := srv.options.validate()
 	if err != nil {
 		return nil, err
 	}
@@ -33,37 +33,37 @@
 		Interval: keepaliveInterval,
 		Count:    keepaliveCount,
 	}}
-	e.listener, err = config.Listen(ctx, "tcp", e.options.ListenAddress.String())
+	srv.listener, err = config.Listen(ctx, "tcp", srv.options.ListenAddress.String())
 	if err != nil {
 		return nil, err
 	}
-	ended := make(chan error, 1)
-	stop := context.AfterFunc(ctx, e.wakeAll)
+	stopped := make(chan error, 1)
+	stop := context.AfterFunc(ctx, srv.wakeAll)
 	go func() {
-		defer close(ended)
-		e.accept(ctx)
-		e.running.Wait()
+		defer close(stopped)
+		srv.accept(ctx)
+		srv.goroutines.Wait()
 		stop()
-		e.note(event.CallersGone)
+		srv.logEvent(event.CallersGone)
 	}()
-	return ended, nil
+	return stopped, nil
 }
 
-func (e *Server) accept(ctx context.Context) {
+func (srv *Server) accept(ctx context.Context) {
 	for {
-		conn, err := e.listener.Accept()
+		conn, err := srv.listener.Accept()
 		if err == nil {
-			ended := e.background()
+			done := srv.trackGoroutine()
 			go func() {
-				defer ended()
-				e.serve(ctx, conn)
+				defer done()
+				srv.serve(ctx, conn)
 			}()
 			continue
 		}
-		if ctx.Err() != nil || e.draining.Load() {
+		if ctx.Err() != nil || srv.draining.Load() {
 			return
 		}
-		e.note(event.AcceptFailed, "reason", err.Error())
+		srv.logEvent(event.AcceptFailed, "reason", err.Error())
 		select {
 		case <-ctx.Done():
 			return
--- a/internal/edge/caller/local.go
+++ b/internal/edge/caller/local.go
@@ -9,111 +9,111 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/edge/postgres"
 )
 
-// textType is the type number of text.
-const textType = 25
+// textOID is the object ID of the type text.
+const textOID = 25
 
-// answer is a row of one column that the proxy itself gives.
-type answer struct{ column, value string }
+// localRow is a row of one column that the proxy generates.
+type localRow struct{ column, value string }
 
-// isLocal reports whether the proxy answers a batch by itself.
+// isLocal reports whether the proxy answers a batch without a database.
 func (b *batch) isLocal(open bool) bool {
 	if c := b.command(); c != nil {
-		return c.isOwn() || !open && c.verb != verbSet && c.verb != verbShow
+		return c.isProxySetting() || !open && c.kind != commandSet && c.kind != commandShow
 	}
 	if open {
 		return false
 	}
-	return b.isNothing() || b.onlyCloses()
+	return b.hasNoStatement() || b.onlyCloses()
 }
 
-// isNothing reports whether the batch holds no statement.
-func (b *batch) isNothing() bool {
-	return b.isEmpty() || !b.extended && b.traits.first == ""
+// hasNoStatement reports whether the batch holds no statement.
+func (b *batch) hasNoStatement() bool {
+	return b.isEmpty() || !b.extended && b.traits.firstWord == ""
 }
 
 func (b *batch) onlyCloses() bool {
 	if !b.extended {
 		return false
 	}
-	for i := range b.parts {
-		if b.parts[i].kind != 'C' {
+	for i := range b.messages {
+		if b.messages[i].frameType != 'C' {
 			return false
 		}
 	}
 	return true
 }
 
-// runs reports whether the batch executes anything.
-func (b *batch) runs() bool {
+// executes reports whether the batch executes a statement.
+func (b *batch) executes() bool {
 	if !b.extended {
 		return true
 	}
-	for i := range b.parts {
-		if b.parts[i].kind == 'E' {
+	for i := range b.messages {
+		if b.messages[i].frameType == 'E' {
 			return true
 		}
 	}
 	return false
 }
 
-// command returns the command that the batch is, or nil.
+// command returns the session command in the batch, or nil if there is none.
 func (b *batch) command() *command {
 	if !b.extended {
-		return b.only
+		return b.queryCommand
 	}
-	if b.traits.several {
+	if b.traits.multipleStatements {
 		return nil
 	}
-	for i := range b.parts {
-		if b.parts[i].statement != nil {
-			return b.parts[i].statement.command
+	for i := range b.messages {
+		if b.messages[i].statement != nil {
+			return b.messages[i].statement.command
 		}
 	}
 	return nil
 }
 
-// handleLocal runs a command on the session's own state.
+// handleLocal runs a command on the state of the session.
 func (s *session) handleLocal(b *batch) error {
 	c := b.command()
 	if c == nil {
 		return s.answerLocally(b, "", nil)
 	}
-	if c.verb == verbShow {
-		value, err := s.show(strings.TrimPrefix(c.name, ownPrefix))
+	if c.kind == commandShow {
+		value, err := s.showProxySetting(strings.TrimPrefix(c.name, proxyPrefix))
 		if err != nil {
-			b.refuse(hintProblem(err))
+			b.reject(hintProblem(err))
 			return s.handleProblem(b)
 		}
-		return s.answerLocally(b, "SHOW", &answer{column: c.name, value: value})
+		return s.answerLocally(b, "SHOW", &localRow{column: c.name, value: value})
 	}
-	if !b.runs() {
+	if !b.executes() {
 		return s.answerLocally(b, "", nil)
 	}
-	tag, err := s.apply(c)
+	tag, err := s.applyCommand(c)
 	if err != nil {
-		b.refuse(hintProblem(err))
+		b.reject(hintProblem(err))
 		return s.handleProblem(b)
 	}
 	return s.answerLocally(b, tag, nil)
 }
 
-// apply changes the session's own state and returns the command's tag. Its
-// error is a *HintError.
-func (s *session) apply(c *command) (string, error) {
-	switch c.verb {
-	case verbSet:
-		return "SET", s.setOwn(strings.TrimPrefix(c.name, ownPrefix), c.value)
-	case verbReset:
-		if c.isOwn() {
-			return "RESET", s.resetOwn(strings.TrimPrefix(c.name, ownPrefix))
+// applyCommand changes the state of the session and returns the command tag.
+// Its error is a *HintError.
+func (s *session) applyCommand(c *command) (string, error) {
+	switch c.kind {
+	case commandSet:
+		return "SET", s.setProxySetting(strings.TrimPrefix(c.name, proxyPrefix), c.value)
+	case commandReset:
+		if c.isProxySetting() {
+			return "RESET", s.resetProxySetting(strings.TrimPrefix(c.name, proxyPrefix))
 		}
 		s.settings.drop(c.name)
 		return "RESET", nil
-	case verbResetAll:
+	case commandResetAll:
 		s.settings.clear()
 		s.hint = hint{roaming: s.hint.roaming}
 		return "RESET", nil
-	case verbDeallocate:
+	case commandDeallocate:
 		if c.name != "" {
 			s.statements.drop(c.name)
 			return "DEALLOCATE", nil
@@ -127,9 +127,9 @@
 	return "DISCARD ALL", nil
 }
 
-// setOwn changes a setting of the proxy's own. A token set here counts for the
-// statements that follow until the next commit gives a newer one.
-func (s *session) setOwn(name, value string) error {
+// setProxySetting changes a proxy setting. A token that is set here applies to
+// the following statements until the next commit returns a newer one.
+func (s *session) setProxySetting(name, value string) error {
 	set, known := hintSetters[name]
 	if !known || name == statementOnly || name == sessionOnly {
 		return &HintError{Name: name, Value: value, Detail: "not a setting of a session"}
@@ -146,7 +146,7 @@
 	return nil
 }
 
-func (s *session) resetOwn(name string) error {
+func (s *session) resetProxySetting(name string) error {
 	switch name {
 	case "kind":
 		s.hint.kind = ""
@@ -161,9 +161,9 @@
 	return nil
 }
 
-// show returns the value of a setting of the proxy's own. Its error is a
+// showProxySetting returns the value of a proxy setting. Its error is a
 // *HintError.
-func (s *session) show(name string) (string, error) {
+func (s *session) showProxySetting(name string) (string, error) {
 	switch name {
 	case "token":
 		if s.token.Group == "" {
@@ -181,75 +181,76 @@
 }
 
 // -----------------------------------------------------------------------------
-// Answers.
+// Answers generated by the proxy.
 
-// answerLocally gives the answer to a batch that no database has seen.
-func (s *session) answerLocally(b *batch, tag string, row *answer) error {
+// answerLocally answers a batch that was not sent to a database.
+func (s *session) answerLocally(b *batch, tag string, row *localRow) error {
 	if !b.extended {
 		s.appendSimple(tag, row)
 	} else {
-		for i := range b.parts {
-			s.appendPart(b, &b.parts[i], tag, row)
+		for i := range b.messages {
+			s.appendMessageAnswer(b, &b.messages[i], tag, row)
 		}
 	}
-	s.ready(s.status())
+	s.appendReady(s.status())
 	return s.flush()
 }
 
-func (s *session) append(message pgproto3.BackendMessage) {
-	s.work.out, _ = message.Encode(s.work.out)
+func (s *session) appendMessage(message pgproto3.BackendMessage) {
+	s.workspace.output, _ = message.Encode(s.workspace.output)
 }
 
-func (s *session) appendSimple(tag string, row *answer) {
+func (s *session) appendSimple(tag string, row *localRow) {
 	if tag == "" {
-		s.append(&pgproto3.EmptyQueryResponse{})
+		s.appendMessage(&pgproto3.EmptyQueryResponse{})
 		return
 	}
 	if row != nil {
-		s.append(row.description())
-		s.append(&pgproto3.DataRow{Values: [][]byte{[]byte(row.value)}})
+		s.appendMessage(row.description())
+		s.appendMessage(&pgproto3.DataRow{Values: [][]byte{[]byte(row.value)}})
 	}
-	s.append(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
+	s.appendMessage(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 }
 
-// appendPart answers one message of the extended protocol.
-func (s *session) appendPart(b *batch, p *part, tag string, row *answer) {
-	switch p.kind {
+// appendMessageAnswer appends the answer to one message of the extended
+// protocol.
+func (s *session) appendMessageAnswer(b *batch, m *extendedMessage, tag string, row *localRow) {
+	switch m.frameType {
 	case 'P':
-		s.statements.put(p.statement)
-		s.append(&pgproto3.ParseComplete{})
+		s.statements.put(m.statement)
+		s.appendMessage(&pgproto3.ParseComplete{})
 	case 'B':
-		s.append(&pgproto3.BindComplete{})
+		s.appendMessage(&pgproto3.BindComplete{})
 	case 'C':
-		if p.named {
-			s.statements.drop(p.name)
+		if m.namesStatement {
+			s.statements.drop(m.name)
 		}
-		s.append(&pgproto3.CloseComplete{})
+		s.appendMessage(&pgproto3.CloseComplete{})
 	case 'D':
-		if b.raw[p.start+postgres.HeaderSize] == 'S' {
-			s.append(&pgproto3.ParameterDescription{})
+		if b.raw[m.start+postgres.HeaderSize] == 'S' {
+			s.appendMessage(&pgproto3.ParameterDescription{})
 		}
 		if row != nil {
-			s.append(row.description())
+			s.appendMessage(row.description())
 			return
 		}
-		s.append(&pgproto3.NoData{})
+		s.appendMessage(&pgproto3.NoData{})
 	case 'E':
 		if tag == "" {
-			s.append(&pgproto3.EmptyQueryResponse{})
+			s.appendMessage(&pgproto3.EmptyQueryResponse{})
 			return
 		}
 		if row != nil {
-			s.append(&pgproto3.DataRow{Values: [][]byte{[]byte(row.value)}})
+			s.appendMessage(&pgproto3.DataRow{Values: [][]byte{[]byte(row.value)}})
 		}
-		s.append(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
+		s.appendMessage(&pgproto3.CommandComplete{CommandTag: []byte(tag)})
 	}
 }
 
-func (a *answer) description() *pgproto3.RowDescription {
+func (r *localRow) description() *pgproto3.RowDescription {
 	return &pgproto3.RowDescription{Fields: []pgproto3.FieldDescription{{
-		Name:         []byte(a.column),
-		DataTypeOID:  textType,
+		Name:         []byte(r.column),
+		DataTypeOID:  textOID,
 		DataTypeSize: -1,
 		TypeModifier: -1,
 	}}}
--- a/internal/edge/caller/mailbox.go
+++ b/internal/edge/caller/mailbox.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// deadliner is a connection whose reads can be woken.
+// deadliner is a connection whose reads can be interrupted.
 type deadliner interface{ SetReadDeadline(t time.Time) error }
 
-// aLongTimeAgo wakes a read at once.
+// aLongTimeAgo is a read deadline that interrupts a read at once.
 var aLongTimeAgo = time.Unix(1, 0)
 
-// mailbox carries what others have to say to a session's goroutine, which
-// either waits for it or reads a connection. A post wakes both.
+// mailbox is the queue of items for the goroutine of a session, which either
+// waits for an item or reads a connection. Posting an item interrupts both.
 type mailbox struct {
 	signal chan struct{}
 
-	mu      sync.Mutex
-	items   []any
-	reading deadliner
+	mu       sync.Mutex
+	items    []any
+	readConn deadliner
 }
 
 func newMailbox() *mailbox { return &mailbox{signal: make(chan struct{}, 1)} }
@@ -27,8 +27,8 @@
 func (m *mailbox) post(item any) {
 	m.mu.Lock()
 	m.items = append(m.items, item)
-	if m.reading != nil {
-		_ = m.reading.SetReadDeadline(aLongTimeAgo)
+	if m.readConn != nil {
+		_ = m.readConn.SetReadDeadline(aLongTimeAgo)
 	}
 	m.mu.Unlock()
 	select {
@@ -37,7 +37,7 @@
 	}
 }
 
-// take returns the oldest item, if there is one.
+// take removes and returns the oldest item. It reports false if there is none.
 func (m *mailbox) take() (any, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -53,28 +53,28 @@
 	return item, true
 }
 
-// putBack puts an item back that was taken last.
+// putBack returns the item taken last to the front of the queue.
 func (m *mailbox) putBack(item any) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.items = append([]any{item}, m.items...)
 }
 
-// read bounds the reads of conn until done: they end at the deadline, or as
-// soon as there is an item.
-func (m *mailbox) read(conn deadliner, deadline time.Time) {
+// startRead limits the reads of conn until endRead is called: they end at the
+// deadline, or as soon as there is an item.
+func (m *mailbox) startRead(conn deadliner, deadline time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.reading = conn
+	m.readConn = conn
 	if len(m.items) > 0 {
 		deadline = aLongTimeAgo
 	}
 	_ = conn.SetReadDeadline(deadline)
 }
 
-// done tells that no connection is read any more.
-func (m *mailbox) done() {
+// endRead ends the effect of startRead.
+func (m *mailbox) endRead() {
 	m.mu.Lock()
-	m.reading = nil
+	m.readConn = nil
 	m.mu.Unlock()
 }
--- a/internal/edge/caller/main_test.go
+++ b/internal/edge/caller/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests.
+// TestMain sets a fixed seed for the property tests.
 func TestMain(m *testing.M) {
 	err := flag.Set("rapid.seed", "7")
 	if err != nil {
--- a/internal/edge/caller/mixed_test.go
+++ b/internal/edge/caller/mixed_test.go
@@ -9,34 +9,34 @@
 	"pgregory.net/rapid"
 )
 
-// TestAnswersNeverMixed has several sessions run random statements over two
-// backend connections, some of which break. Each answer has to be that of the
+// TestAnswersNeverMixed runs random statements in several sessions over two
+// backend connections, some of which break. Each answer must be that of the
 // session's own statement, or an error.
 func TestAnswersNeverMixed(t *testing.T) {
-	b := newBench(t)
+	setup := newTestSetup(t)
 	for session := range 4 {
 		for step := range 12 {
-			b.db.on(statementOf(session, step, "cut"), (*fakeConn).cut)
-			b.db.on(statementOf(session, step, "fail"), func(c *fakeConn) { c.shown(); c.fail("22012", "division by zero") })
+			setup.db.answerWith(statementOf(session, step, "disconnect"), (*fakeConn).disconnect)
+			setup.db.answerWith(statementOf(session, step, "fail"), func(c *fakeConn) { c.sendPosition(); c.sendError("22012", "division by zero") })
 		}
 	}
 	rapid.Check(t, func(rt *rapid.T) {
-		plans := rapid.SliceOfN(rapid.SliceOfN(rapid.SampledFrom([]string{"read", "read", "cut", "fail", "transaction"}), 1, 12), 2, 4).Draw(rt, "plans")
+		plans := rapid.SliceOfN(rapid.SliceOfN(rapid.SampledFrom([]string{"read", "read", "disconnect", "fail", "transaction"}), 1, 12), 2, 4).Draw(rt, "plans")
 		var running sync.WaitGroup
-		faults := make([]string, len(plans))
+		diffs := make([]string, len(plans))
 		for session, plan := range plans {
-			caller := startRaw(t, b)
+			caller := startRaw(t, setup)
 			running.Add(1)
 			go func() {
 				defer running.Done()
 				defer caller.conn.Close()
-				faults[session] = runPlan(caller, session, plan)
+				diffs[session] = runPlan(caller, session, plan)
 			}()
 		}
 		running.Wait()
-		for _, fault := range faults {
-			if fault != "" {
-				rt.Error(fault)
+		for _, diff := range diffs {
+			if diff != "" {
+				rt.Error(diff)
 			}
 		}
 	})
@@ -46,13 +46,14 @@
 	return fmt.Sprintf("select %s %d %d", kind, session, step)
 }
 
-// runPlan runs a session's statements and returns what is wrong, if anything.
+// runPlan runs the statements of a session and returns the first difference, or
+// "".
 func runPlan(caller *rawCaller, session int, plan []string) string {
 	for step, kind := range plan {
-		text := statementOf(session, step, kind)
-		want := []string{"row " + text, "SELECT 1", "ready I"}
+		sql := statementOf(session, step, kind)
+		want := []string{"row " + sql, "SELECT 1", "ready I"}
 		switch kind {
-		case "cut":
+		case "disconnect":
 			want = []string{"ERROR 08007", "ready I"}
 		case "fail":
 			want = []string{"ERROR 22012", "ready I"}
@@ -60,7 +61,7 @@
 			caller.query("BEGIN")
 			want[2] = "ready T"
 		}
-		diff := cmp.Diff(want, caller.query(text))
+		diff := cmp.Diff(want, caller.query(sql))
 		if diff != "" {
 			return diff
 		}
--- a/internal/edge/caller/patience.go
+++ b/internal/edge/caller/patience.go
@@ -10,77 +10,81 @@
 )
 
 const (
-	// cancelGrace is the time that a database has to answer after a cancel
+	// cancelGrace is how long a database may take to answer after a cancel
 	// request.
 	cancelGrace = time.Second
-	// checkTimeout bounds the check of a silent connection.
+	// checkTimeout is the maximum duration of the check of a silent connection.
 	checkTimeout = 2 * time.Second
-	// confirmDelay is the time between the finding that a silent connection
-	// has no statement running and its closing: an answer that was on its way
-	// has arrived by then.
+	// confirmDelay is the time between the check that finds no running
+	// statement on a silent connection and its closing. An answer that was
+	// under way during the check arrives in this time.
 	confirmDelay = 100 * time.Millisecond
-	// checkGrowth is the factor between one check and the next.
-	checkGrowth = 2
+	// silenceThresholdGrowth is the factor by which each check raises the
+	// threshold.
+	silenceThresholdGrowth = 2
 )
 
-// timers tells when the relay has to look up from reading.
+// timers holds the times at which the relay interrupts its reads.
 type timers struct {
-	// reads and heard tell how many reads had brought bytes, and when.
-	reads uint64
-	heard time.Time
-	// suspect is the silence after which the next check is due.
-	suspect time.Duration
-	// checking says that a check is running.
-	checking bool
-	// confirm is when a silent connection is closed unless it speaks before;
-	// zero where no check has found it mute.
-	confirm time.Time
-	// silent says that the last check found the database answering.
-	silent bool
-	// watch is when the caller's connection is watched; zero once it is.
-	watch time.Time
-	// kill is when the connection is closed, after a cancel request; zero
-	// where none was sent.
-	kill time.Time
+	// readCount is the number of reads that returned bytes, and lastReadAt the
+	// time when it was last seen to grow.
+	readCount  uint64
+	lastReadAt time.Time
+	// silenceThreshold is the time since lastReadAt after which the next check
+	// is due; zero for no checks.
+	silenceThreshold time.Duration
+	// checkRunning is true while a check is running.
+	checkRunning bool
+	// closeAt is when the silent connection is closed unless bytes arrive
+	// before; zero if no check has found it without a running statement.
+	closeAt time.Time
+	// databaseResponsive is true if the database answered the last check.
+	databaseResponsive bool
+	// watchAt is when the watch of the caller's connection starts; zero once it
+	// has started.
+	watchAt time.Time
+	// cancelExpiresAt is when the connection is closed after a cancel request;
+	// zero if none was sent.
+	cancelExpiresAt time.Time
 }
 
-// checked tells a session what the check of a silent connection has found.
-type checked struct {
-	request *request
-	attempt uint32
-	busy    int
-	err     error
+// checkResult is the result of the check of a silent connection.
+type checkResult struct {
+	request           *request
+	attempt           uint32
+	runningStatements int
+	err               error
 }
 
-// begin starts the timers of an exchange.
-func (y *relay) begin(now time.Time) {
-	y.times = timers{
-		reads:   y.r.conn.Reader.ReadCount(),
-		heard:   now,
-		suspect: y.r.dispatch.SilenceTimeout,
-		watch:   now.Add(watchDelay),
+// startTimers initializes the timers of an exchange.
+func (rl *relay) startTimers(now time.Time) {
+	rl.timers = timers{
+		readCount:        rl.request.conn.Reader.ReadCount(),
+		lastReadAt:       now,
+		silenceThreshold: rl.request.dispatch.SilenceTimeout,
+		watchAt:          now.Add(watchDelay),
 	}
-	y.rearm()
+	rl.rearm()
 }
 
-// rearm bounds the reads of the backend connection by the next timer.
-func (y *relay) rearm() { y.s.mailbox.read(y.r.conn, y.next()) }
+// rearm sets the read deadline of the backend connection to the next timer.
+func (rl *relay) rearm() { rl.session.mailbox.startRead(rl.request.conn, rl.nextTimer()) }
 
-// next returns when the first timer is due.
-func (y *relay) next() time.Time {
-	t := &y.times
-	due := y.r.dispatch.Deadline
-	if !t.kill.IsZero() {
-		due = t.kill
+// nextTimer returns the time of the earliest timer.
+func (rl *relay) nextTimer() time.Time {
+	t := &rl.timers
+	due := rl.request.dispatch.Deadline
+	if !t.cancelExpiresAt.IsZero() {
+		due = t.cancelExpiresAt
 	}
-	if t.suspect > 0 && !t.checking && t.confirm.IsZero() {
-		due = earlier(due, t.heard.Add(t.suspect))
+	if t.silenceThreshold > 0 && !t.checkRunning && t.closeAt.IsZero() {
+		due = earlier(due, t.lastReadAt.Add(t.silenceThreshold))
 	}
-	due = earlier(due, t.confirm)
-	return earlier(due, t.watch)
+	due = earlier(due, t.closeAt)
+	return earlier(due, t.watchAt)
 }
 
-// earlier returns the earlier of two times, of which b may be none.
+// earlier returns the earlier of two times. A zero b is ignored.
 func earlier(a, b time.Time) time.Time {
 	if b.IsZero() || a.Before(b) {
 		return a
@@ -88,165 +92,169 @@
 	return b
 }
 
-// receive reads the next frame of the backend connection. Meanwhile it hears
-// what the core says, and sees to the timers.
-func (y *relay) receive(ctx context.Context) (postgres.Frame, result) {
+// readFrame reads the next frame of the backend connection. While it waits, it
+// handles the items of the mailbox and the timers.
+func (rl *relay) readFrame(ctx context.Context) (postgres.Frame, result) {
 	for {
-		frame, err := y.r.conn.Reader.Next()
+		frame, err := rl.request.conn.Reader.Next()
 		if err == nil {
 			return frame, nil
 		}
 		if !isTimeout(err) {
-			return frame, resultLost{}
+			return frame, resultConnectionLost{}
 		}
-		end := y.lookUp(ctx, time.Now())
-		if end != nil {
-			return frame, end
+		res := rl.handleWakeup(ctx, time.Now())
+		if res != nil {
+			return frame, res
 		}
-		y.rearm()
+		rl.rearm()
 	}
 }
 
-// lookUp acts on what is due.
-func (y *relay) lookUp(ctx context.Context, now time.Time) result {
+// handleWakeup handles the items of the mailbox and the timers that are due.
+func (rl *relay) handleWakeup(ctx context.Context, now time.Time) result {
 	if ctx.Err() != nil {
-		return resultUnread{cause: errEnding}
+		return resultSessionEnded{cause: errTerminating}
 	}
-	end := y.hear(ctx, now)
-	if end != nil {
-		return end
+	res := rl.handleItems(ctx, now)
+	if res != nil {
+		return res
 	}
-	t := &y.times
-	if reads := y.r.conn.Reader.ReadCount(); reads != t.reads {
-		t.reads = reads
-		t.heard = now
-		t.suspect = y.r.dispatch.SilenceTimeout
-		t.confirm = time.Time{}
+	t := &rl.timers
+	if reads := rl.request.conn.Reader.ReadCount(); reads != t.readCount {
+		t.readCount = reads
+		t.lastReadAt = now
+		t.silenceThreshold = rl.request.dispatch.SilenceTimeout
+		t.closeAt = time.Time{}
 	}
-	if !t.watch.IsZero() && !now.Before(t.watch) {
-		t.watch = time.Time{}
-		y.s.startWatch()
+	if !t.watchAt.IsZero() && !now.Before(t.watchAt) {
+		t.watchAt = time.Time{}
+		rl.session.startWatch()
 	}
-	if !t.confirm.IsZero() && !now.Before(t.confirm) {
-		return y.closeSilent(now)
+	if !t.closeAt.IsZero() && !now.Before(t.closeAt) {
+		return rl.closeUnresponsive(now)
 	}
-	if t.suspect > 0 && !t.checking && t.confirm.IsZero() && !now.Before(t.heard.Add(t.suspect)) {
-		y.check(ctx)
+	if t.silenceThreshold > 0 && !t.checkRunning && t.closeAt.IsZero() &&
+		!now.Before(t.lastReadAt.Add(t.silenceThreshold)) {
+		rl.startCheck(ctx)
 	}
-	return y.lookAtDeadline(ctx, now)
+	return rl.enforceDeadline(ctx, now)
 }
 
-// lookAtDeadline cancels the statement at the deadline, and gives the
-// connection up where the database does not answer that either.
-func (y *relay) lookAtDeadline(ctx context.Context, now time.Time) result {
-	t := &y.times
-	if t.kill.IsZero() {
-		if !now.Before(y.r.dispatch.Deadline) {
+// enforceDeadline cancels the statement at the deadline, and gives the
+// connection up if the database does not answer within cancelGrace.
+func (rl *relay) enforceDeadline(ctx context.Context, now time.Time) result {
+	t := &rl.timers
+	if t.cancelExpiresAt.IsZero() {
+		if !now.Before(rl.request.dispatch.Deadline) {
 			deadlineCancels.Add(1)
-			y.interrupt(ctx, now)
+			rl.cancelStatement(ctx, now)
 		}
 		return nil
 	}
-	if now.Before(t.kill) {
+	if now.Before(t.cancelExpiresAt) {
 		return nil
 	}
-	return resultLost{silent: t.silent}
+	return resultConnectionLost{unresponsive: t.databaseResponsive}
 }
 
-// hear takes what others have to say to a running exchange.
-func (y *relay) hear(ctx context.Context, now time.Time) result {
+// handleItems handles the items of the mailbox during an exchange.
+func (rl *relay) handleItems(ctx context.Context, now time.Time) result {
 	for {
-		item, ok := y.s.mailbox.take()
+		item, ok := rl.session.mailbox.take()
 		if !ok {
 			return nil
 		}
 		switch item := item.(type) {
 		case message.CancelStatement:
-			if item.Request == y.r.id && item.Attempt == y.r.attempt {
-				y.interrupt(ctx, now)
+			if item.Request == rl.request.id && item.Attempt == rl.request.attempt {
+				rl.cancelStatement(ctx, now)
 			}
 		case message.CloseConnection:
-			if item.Request == y.r.id && item.Attempt == y.r.attempt {
-				return resultLost{}
+			if item.Request == rl.request.id && item.Attempt == rl.request.attempt {
+				return resultConnectionLost{}
 			}
 		case message.AbortRequest:
-			if item.Request == y.r.id {
-				return resultStopped{problem: abandonProblem(item)}
+			if item.Request == rl.request.id {
+				return resultAborted{problem: abortProblem(item)}
 			}
 		case message.RefuseRequest:
-			if item.Request == y.r.id {
-				return resultStopped{problem: refusalProblem(item)}
+			if item.Request == rl.request.id {
+				return resultAborted{problem: refusalProblem(item)}
 			}
-		case callerGone:
-			y.s.withdraw(y.r)
-		case checked:
-			y.takeCheck(item, now)
+		case callerDisconnected:
+			rl.session.reportCanceled(rl.request)
+		case checkResult:
+			rl.handleCheckResult(item, now)
 		}
 	}
 }
 
-// interrupt asks the database, once, to cancel the running statement. The
-// connection is not used again afterwards: the request might come late.
-func (y *relay) interrupt(ctx context.Context, now time.Time) {
-	t := &y.times
-	if !t.kill.IsZero() {
+// cancelStatement sends the database one cancel request for the running
+// statement. The connection is not used again, because the request might arrive
+// late and cancel another statement.
+func (rl *relay) cancelStatement(ctx context.Context, now time.Time) {
+	t := &rl.timers
+	if !t.cancelExpiresAt.IsZero() {
 		return
 	}
-	t.kill = now.Add(cancelGrace)
-	conn := y.r.conn
+	t.cancelExpiresAt = now.Add(cancelGrace)
+	conn := rl.request.conn
 	conn.Taint()
-	if y.s.canceling != nil {
+	if rl.session.cancelDone != nil {
 		return
 	}
-	ended := make(chan struct{})
-	y.s.canceling = ended
-	pool := y.s.edge.pool
+	done := make(chan struct{})
+	rl.session.cancelDone = done
+	pool := rl.session.server.pool
 	go func() {
-		defer close(ended)
+		defer close(done)
 		_ = pool.Cancel(ctx, conn)
 	}()
 }
 
 // -----------------------------------------------------------------------------
-// Silent connections.
+// Checks of silent connections.
 
-// check asks the database on a new connection whether it is alive and runs
-// anything at all.
-func (y *relay) check(ctx context.Context) {
-	y.times.checking = true
+// startCheck asks the database on a new connection how many statements it is
+// running.
+func (rl *relay) startCheck(ctx context.Context) {
+	rl.timers.checkRunning = true
 	silenceChecks.Add(1)
-	s, r := y.s, y.r
-	database, attempt, since := r.dispatch.Database, r.attempt, y.times.heard
-	ended := s.edge.background()
+	s, req := rl.session, rl.request
+	databaseID, attempt, since := req.dispatch.Database, req.attempt, rl.timers.lastReadAt
+	done := s.server.trackGoroutine()
 	go func() {
-		defer ended()
-		busy, err := s.edge.pool.RunningStatements(ctx, database, since, checkTimeout)
-		s.mailbox.post(checked{request: r, attempt: uint32(attempt), busy: busy, err: err})
+		defer done()
+		running, err := s.server.pool.RunningStatements(ctx, databaseID, since, checkTimeout)
+		s.mailbox.post(checkResult{request: req, attempt: uint32(attempt), runningStatements: running, err: err})
 	}()
 }
 
-// takeCheck judges the finding. A database that does not answer at all says
-// nothing about this connection; one that runs statements may run this one.
-func (y *relay) takeCheck(c checked, now time.Time) {
-	if c.request != y.r || c.attempt != uint32(y.r.attempt) {
+// handleCheckResult evaluates a check. A database that does not answer says
+// nothing about this connection, and a database that runs statements may be
+// running this one.
+func (rl *relay) handleCheckResult(c checkResult, now time.Time) {
+	if c.request != rl.request || c.attempt != uint32(rl.request.attempt) {
 		return
 	}
-	t := &y.times
-	t.checking = false
-	t.silent = c.err == nil
-	t.suspect *= checkGrowth
-	if c.err == nil && c.busy == 0 {
-		t.confirm = now.Add(confirmDelay)
+	t := &rl.timers
+	t.checkRunning = false
+	t.databaseResponsive = c.err == nil
+	t.silenceThreshold *= silenceThresholdGrowth
+	if c.err == nil && c.runningStatements == 0 {
+		t.closeAt = now.Add(confirmDelay)
 	}
 }
 
-// closeSilent gives up a connection on which nothing runs and nothing comes,
-// and with it the idle ones that may have gone silent before it.
-func (y *relay) closeSilent(now time.Time) result {
+// closeUnresponsive gives up a connection that has no running statement and
+// receives no bytes. It also closes the idle connections that may have become
+// unresponsive before it.
+func (rl *relay) closeUnresponsive(now time.Time) result {
 	silentClosed.Add(1)
-	y.s.edge.pool.CloseIdle(y.r.conn, y.times.heard)
-	y.s.edge.note(event.ConnectionSilent,
-		"session", y.s.id, "request", y.r.id, "database", y.r.dispatch.Database,
-		"silence", now.Sub(y.times.heard))
-	return resultLost{silent: true}
+	rl.session.server.pool.CloseIdle(rl.request.conn, rl.timers.lastReadAt)
+	rl.session.server.logEvent(event.ConnectionSilent,
+		"session", rl.session.id, "request", rl.request.id, "database", rl.request.dispatch.Database,
+		"silence", now.Sub(rl.timers.lastReadAt))
+	return resultConnectionLost{unresponsive: true}
 }
--- a/internal/edge/caller/raw_test.go
+++ b/internal/edge/caller/raw_test.go
@@ -9,7 +9,7 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// rawCaller speaks the caller's side of the protocol message by message.
+// rawCaller implements the caller's side of the protocol, message by message.
 type rawCaller struct {
 	t        *testing.T
 	conn     net.Conn
@@ -17,12 +17,12 @@
 	key      pgproto3.BackendKeyData
 }
 
-// rawTimeout ends a test whose other side says nothing.
+// rawTimeout is the deadline of a test whose server does not answer.
 const rawTimeout = 20 * time.Second
 
-func dialRaw(t *testing.T, b *bench) *rawCaller {
+func dialRaw(t *testing.T, setup *testSetup) *rawCaller {
 	t.Helper()
-	conn, err := net.Dial("tcp", b.edge.Address().String())
+	conn, err := net.Dial("tcp", setup.server.Address().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,20 +31,20 @@
 	return &rawCaller{t: t, conn: conn, frontend: pgproto3.NewFrontend(conn, conn)}
 }
 
-// startRaw connects and goes through the startup.
-func startRaw(t *testing.T, b *bench) *rawCaller {
+// startRaw connects and completes the startup.
+func startRaw(t *testing.T, setup *testSetup) *rawCaller {
 	t.Helper()
-	c := dialRaw(t, b)
-	c.send(&pgproto3.StartupMessage{
+	caller := dialRaw(t, setup)
+	caller.send(&pgproto3.StartupMessage{
 		ProtocolVersion: pgproto3.ProtocolVersion30,
 		Parameters:      map[string]string{"user": "officer", "database": string(testGroup)},
 	})
 	for {
-		switch message := c.receive().(type) {
+		switch message := caller.receive().(type) {
 		case *pgproto3.BackendKeyData:
-			c.key = pgproto3.BackendKeyData{ProcessID: message.ProcessID, SecretKey: append([]byte(nil), message.SecretKey...)}
+			caller.key = pgproto3.BackendKeyData{ProcessID: message.ProcessID, SecretKey: append([]byte(nil), message.SecretKey...)}
 		case *pgproto3.ReadyForQuery:
-			return c
+			return caller
 		}
 	}
 }
@@ -67,32 +67,32 @@
 	return message
 }
 
-// answer reads up to ReadyForQuery and returns one short word a message.
+// answer reads up to ReadyForQuery and returns a short summary of each message.
 func (c *rawCaller) answer() []string {
-	var words []string
+	var summary []string
 	for {
 		switch message := c.receive().(type) {
 		case *pgproto3.DataRow:
-			words = append(words, "row "+string(message.Values[0]))
+			summary = append(summary, "row "+string(message.Values[0]))
 		case *pgproto3.CommandComplete:
-			words = append(words, string(message.CommandTag))
+			summary = append(summary, string(message.CommandTag))
 		case *pgproto3.ErrorResponse:
-			words = append(words, message.Severity+" "+message.Code)
+			summary = append(summary, message.Severity+" "+message.Code)
 			if message.Severity == "FATAL" {
-				return words
+				return summary
 			}
 		case *pgproto3.ReadyForQuery:
-			return append(words, "ready "+string(message.TxStatus))
+			return append(summary, "ready "+string(message.TxStatus))
 		case *pgproto3.ParseComplete:
-			words = append(words, "parsed")
+			summary = append(summary, "parsed")
 		case *pgproto3.BindComplete:
-			words = append(words, "bound")
+			summary = append(summary, "bound")
 		case *pgproto3.CloseComplete:
-			words = append(words, "closed")
+			summary = append(summary, "closed")
 		case *pgproto3.ParameterStatus:
-			words = append(words, message.Name+" "+message.Value)
+			summary = append(summary, message.Name+" "+message.Value)
 		case *pgproto3.EmptyQueryResponse:
-			words = append(words, "empty")
+			summary = append(summary, "empty")
 		}
 	}
 }
--- a/internal/edge/caller/relay.go
+++ b/internal/edge/caller/relay.go
@@ -12,17 +12,20 @@
 )
 
 const (
-	// holdLimit bounds an answer that waits for the proof of its position, in
-	// bytes. Beyond it the database is not read any further.
-	holdLimit = 4 << 20
-	// writeHold is what is held back of the proven answer to a write, in
-	// bytes, so that the write can be run again where its connection breaks.
-	writeHold = 64 << 10
-	// flushSize is the size at which rows are sent on, in bytes.
+	// maxHeldAnswer is the maximum size of an answer that is held until its
+	// position is durable, in bytes. Beyond it the database is not read any
+	// further.
+	maxHeldAnswer = 4 << 20
+	// writeHoldSize is the size up to which an answer to a write is held back even
+	// if its position is durable, in bytes, so that the write can be run again if
+	// its connection breaks.
+	writeHoldSize = 64 << 10
+	// flushSize is the size from which rows are sent without waiting for more,
+	// in bytes.
 	flushSize = 32 << 10
 )
 
-// The parameters of the databases' protocol.
+// Parameters of the protocol of the databases, and the token for callers.
 const (
 	groupPrefix    = "group_"
 	groupPosition  = "group_position"
@@ -30,261 +33,264 @@
 	tokenParameter = "eelgrassfold.token"
 )
 
-// relay passes one answer from a backend connection to the caller.
+// relay forwards the answer to one batch from a backend connection to the
+// caller.
 type relay struct {
-	s *session
-	r *request
-	b *batch
-	o *outgoing
+	session  *session
+	request  *request
+	batch    *batch
+	outgoing *outgoing
 
-	times timers
-	// preludeFailed says that a query of the proxy's own failed.
-	preludeFailed bool
-	// wasSetUp says that the settings were changed within the batch, so that
-	// a failure of the batch takes them back.
-	wasSetUp bool
-	// known says that the answer has shown its position.
-	known bool
-	// behind says that the position is older than was asked for.
+	timers timers
+	// setupQueryFailed is true if a setup query of the proxy failed.
+	setupQueryFailed bool
+	// setupInBatch is true if the batch itself set the group settings, which a
+	// failure of the batch rolls back.
+	setupInBatch bool
+	// positionKnown is true once the answer has reported its position.
+	positionKnown bool
+	// behind is true if the position is older than the minimum position.
 	behind bool
-	// streaming says that frames go to the caller as they come.
-	streaming bool
-	commit    model.Position
-	failure   *pgproto3.ErrorResponse
-	// refusal is the database's proof that nothing ran, or nil.
-	refusal *resultRefused
-	// copying says that a COPY is being turned down.
-	copying bool
+	// streaming is true if frames are sent to the caller as they arrive.
+	streaming      bool
+	commitPosition model.Position
+	databaseError  *pgproto3.ErrorResponse
+	// notStarted is set if the database reported that nothing was run, and is
+	// nil otherwise.
+	notStarted *resultNotStarted
+	// rejectingCopy is true while a COPY is being rejected.
+	rejectingCopy bool
 }
 
-// newRelay returns the session's relay, made ready for an exchange.
+// newRelay initializes the relay of the session for an exchange.
 func newRelay(s *session, r *request, b *batch) *relay {
-	y := &s.work.relay
-	*y = relay{s: s, r: r, b: b, o: &s.work.outgoing}
-	return y
+	rl := &s.workspace.relay
+	*rl = relay{session: s, request: r, batch: b, outgoing: &s.workspace.outgoing}
+	return rl
 }
 
-// run reads the answer to its ReadyForQuery.
-func (y *relay) run(ctx context.Context) result {
-	y.begin(time.Now())
+// run reads the answer up to its ReadyForQuery.
+func (rl *relay) run(ctx context.Context) result {
+	rl.startTimers(time.Now())
 	for {
-		frame, end := y.receive(ctx)
-		if end != nil {
-			return end
+		frame, res := rl.readFrame(ctx)
+		if res != nil {
+			return res
 		}
-		if y.o.preludes > 0 {
-			y.takePrelude(frame)
+		if rl.outgoing.pendingSetupQueries > 0 {
+			rl.handleSetupQueryFrame(frame)
 			continue
 		}
-		if y.o.setups > 0 && y.takeSetup(frame) {
+		if rl.outgoing.pendingSetupStatements > 0 && rl.handleSetupStatementFrame(frame) {
 			continue
 		}
 		if frame.Type == 'Z' {
-			return y.finish(frame)
+			return rl.finish(frame)
 		}
-		end = y.take(ctx, frame)
-		if end != nil {
-			return end
+		res = rl.handleFrame(ctx, frame)
+		if res != nil {
+			return res
 		}
 	}
 }
 
-// takePrelude swallows the answers to the proxy's own queries.
-func (y *relay) takePrelude(frame postgres.Frame) {
+// handleSetupQueryFrame drops the answers to the setup queries of the proxy.
+func (rl *relay) handleSetupQueryFrame(frame postgres.Frame) {
 	switch frame.Type {
 	case 'Z':
-		y.o.preludes--
+		rl.outgoing.pendingSetupQueries--
 	case 'E':
-		y.preludeFailed = true
+		rl.setupQueryFailed = true
 	}
 }
 
-// takeSetup swallows the answers to the proxy's own statements within the batch,
-// and reports whether the frame was one. Where one of them fails, the database
-// skips everything up to the end of the batch.
-func (y *relay) takeSetup(frame postgres.Frame) bool {
+// handleSetupStatementFrame drops the answers to the setup statements of the
+// proxy within the batch, and reports whether the frame was one. If one of them
+// fails, the database skips everything up to the end of the batch.
+func (rl *relay) handleSetupStatementFrame(frame postgres.Frame) bool {
 	switch frame.Type {
 	case 'Z':
 		return false
 	case 'C':
-		y.o.setups--
-		y.wasSetUp = true
+		rl.outgoing.pendingSetupStatements--
+		rl.setupInBatch = true
 	case 'E':
-		y.setupRefused(frame)
+		rl.handleSetupError(frame)
 	}
 	return true
 }
 
-// setupRefused judges the refusal of a statement of the proxy's own: nothing of
-// the caller's has run.
-func (y *relay) setupRefused(frame postgres.Frame) {
-	y.o.setups = 0
-	y.r.conn.Taint()
-	y.refusal = &resultRefused{why: message.NotStartedBrokenConnection}
+// handleSetupError handles the failure of a setup statement of the proxy.
+// Nothing of the caller's batch has run.
+func (rl *relay) handleSetupError(frame postgres.Frame) {
+	rl.outgoing.pendingSetupStatements = 0
+	rl.request.conn.Taint()
+	rl.notStarted = &resultNotStarted{reason: message.NotStartedBrokenConnection}
 	var response pgproto3.ErrorResponse
-	if response.Decode(frame.Body()) == nil && response.Code == stateTerm {
-		y.refusal.why = message.NotStartedWrongTerm
+	if response.Decode(frame.Body()) == nil && response.Code == stateWrongTerm {
+		rl.notStarted.reason = message.NotStartedWrongTerm
 	}
 }
 
-// take acts on one frame of the caller's answer.
-func (y *relay) take(ctx context.Context, frame postgres.Frame) result {
+// handleFrame handles one frame of the answer to the caller's batch.
+func (rl *relay) handleFrame(ctx context.Context, frame postgres.Frame) result {
 	switch frame.Type {
 	case 'S':
-		return y.takeParameter(ctx, frame)
+		return rl.handleParameterStatus(ctx, frame)
 	case 'E':
-		y.takeError(frame)
+		rl.handleError(frame)
 	case '1':
-		if y.takeParsed() {
+		if rl.handleParseComplete() {
 			return nil
 		}
-		y.pass(frame)
+		rl.bufferFrame(frame)
 	case '3':
-		if y.takeClosed() {
+		if rl.handleCloseComplete() {
 			return nil
 		}
-		y.pass(frame)
+		rl.bufferFrame(frame)
 	case 'G', 'H', 'W':
-		return y.takeCopy(frame)
+		return rl.rejectCopy(frame)
 	case 'D':
-		if !y.known {
-			// Rows of a state that nobody knows can't be checked.
-			return resultLost{}
+		if !rl.positionKnown {
+			// Rows read at an unknown position cannot be checked.
+			return resultConnectionLost{}
 		}
-		y.pass(frame)
+		rl.bufferFrame(frame)
 	case 'd', 'c', 'A':
 		return nil
 	default:
-		y.pass(frame)
+		rl.bufferFrame(frame)
 	}
-	return y.moveOn(ctx)
+	return rl.forwardBuffered(ctx)
 }
 
-func (y *relay) pass(frame postgres.Frame) {
-	if !y.behind && !y.copying {
-		y.s.work.out = append(y.s.work.out, frame.Raw...)
+func (rl *relay) bufferFrame(frame postgres.Frame) {
+	if !rl.behind && !rl.rejectingCopy {
+		rl.session.workspace.output = append(rl.session.workspace.output, frame.Raw...)
 	}
 }
 
-// takeParsed notes that a statement is prepared, and reports whether the caller
-// did not ask for it.
-func (y *relay) takeParsed() bool {
-	if len(y.o.parses) == 0 {
+// handleParseComplete records that a statement is prepared, and reports whether
+// the answer is dropped because the caller did not ask for it.
+func (rl *relay) handleParseComplete() bool {
+	if len(rl.outgoing.expectedParses) == 0 {
 		return false
 	}
-	one := y.o.parses[0]
-	y.o.parses = y.o.parses[1:]
-	if one.statement.backend != "" {
-		y.r.conn.State.PreparedStatements[one.statement.backend] = struct{}{}
+	expected := rl.outgoing.expectedParses[0]
+	rl.outgoing.expectedParses = rl.outgoing.expectedParses[1:]
+	if expected.statement.backendName != "" {
+		rl.request.conn.State.PreparedStatements[expected.statement.backendName] = struct{}{}
 	}
-	if !one.swallow {
-		y.s.statements.put(one.statement)
+	if !expected.suppress {
+		rl.session.statements.put(expected.statement)
 	}
-	return one.swallow
+	return expected.suppress
 }
 
-func (y *relay) takeClosed() bool {
-	if len(y.o.closes) == 0 {
+func (rl *relay) handleCloseComplete() bool {
+	if len(rl.outgoing.expectedCloses) == 0 {
 		return false
 	}
-	one := y.o.closes[0]
-	y.o.closes = y.o.closes[1:]
-	if one.statement != nil {
-		y.s.statements.drop(one.statement.name)
+	expected := rl.outgoing.expectedCloses[0]
+	rl.outgoing.expectedCloses = rl.outgoing.expectedCloses[1:]
+	if expected.statement != nil {
+		rl.session.statements.drop(expected.statement.name)
 	}
-	return one.swallow
+	return expected.suppress
 }
 
-// takeParameter acts on the parameters of the databases' protocol and passes on
-// the others.
-func (y *relay) takeParameter(ctx context.Context, frame postgres.Frame) result {
+// handleParameterStatus handles the parameters of the protocol of the databases
+// and forwards all others.
+func (rl *relay) handleParameterStatus(ctx context.Context, frame postgres.Frame) result {
 	name, rest, ok := cutString(frame.Body())
 	if !ok {
-		return resultLost{}
+		return resultConnectionLost{}
 	}
 	switch string(name) {
 	case groupPosition, groupCommit:
 		value, _, _ := cutString(rest)
 		position, err := model.ParsePosition(string(value))
 		if err != nil {
-			return resultLost{}
+			return resultConnectionLost{}
 		}
-		return y.takePosition(ctx, position, string(name) == groupCommit)
+		return rl.handlePosition(ctx, position, string(name) == groupCommit)
 	}
 	if len(name) < len(groupPrefix) || string(name[:len(groupPrefix)]) != groupPrefix {
-		y.pass(frame)
+		rl.bufferFrame(frame)
 	}
 	return nil
 }
 
-func (y *relay) takePosition(ctx context.Context, position model.Position, commit bool) result {
-	if y.streaming {
-		// What came before was of a state that is proven.
-		err := y.s.flush()
+func (rl *relay) handlePosition(ctx context.Context, position model.Position, commit bool) result {
+	if rl.streaming {
+		// What was buffered before belongs to a durable position.
+		err := rl.session.flush()
 		if err != nil {
-			return resultUnread{cause: err}
+			return resultSessionEnded{cause: err}
 		}
-		y.r.passed = true
-		y.streaming = false
+		rl.request.partlySent = true
+		rl.streaming = false
 	}
-	y.known = true
-	y.r.position = y.r.position.Max(position)
+	rl.positionKnown = true
+	rl.request.position = rl.request.position.Max(position)
 	if commit {
-		y.commit = y.commit.Max(position)
+		rl.commitPosition = rl.commitPosition.Max(position)
 		return nil
 	}
-	if position.Less(y.r.dispatch.MinPosition) {
-		return y.takeBehind()
+	if position.Less(rl.request.dispatch.MinPosition) {
+		return rl.handleBehind()
 	}
-	return y.moveOn(ctx)
+	return rl.forwardBuffered(ctx)
 }
 
-// takeBehind acts on a state that is too old for the caller. Where nothing was
-// passed on, the work can be run elsewhere.
-func (y *relay) takeBehind() result {
-	if y.r.passed || !y.r.first {
-		return resultStopped{problem: problemBehind}
+// handleBehind handles a position older than the minimum position. If nothing
+// was sent to the caller, the request can be run elsewhere.
+func (rl *relay) handleBehind() result {
+	if rl.request.partlySent || !rl.request.firstBatch {
+		return resultAborted{problem: problemBehind}
 	}
-	y.behind = y.r.dispatch.Access == model.AccessRead
-	if !y.behind {
-		// A primary of the right term that lacks what the group has proven
-		// can't be trusted with a write; its outcome has to be settled.
-		return resultLost{}
+	rl.behind = rl.request.dispatch.Access == model.AccessRead
+	if !rl.behind {
+		// A primary of the right term that lacks durable positions cannot be
+		// trusted with a write; the outcome of the write is in doubt and has to
+		// be resolved.
+		return resultConnectionLost{}
 	}
 	return nil
 }
 
-// finish judges the whole answer.
-func (y *relay) finish(frame postgres.Frame) result {
+// finish returns the result of a complete answer.
+func (rl *relay) finish(frame postgres.Frame) result {
 	body := frame.Body()
 	if len(body) != 1 {
-		return resultLost{}
+		return resultConnectionLost{}
 	}
-	y.r.status = body[0]
-	y.copying = false
-	if y.preludeFailed {
-		return y.finishUnsure()
+	rl.request.transactionStatus = body[0]
+	rl.rejectingCopy = false
+	if rl.setupQueryFailed {
+		return rl.finishUncertain()
 	}
-	if y.commit.IsZero() && y.refusal != nil {
-		return *y.refusal
+	if rl.commitPosition.IsZero() && rl.notStarted != nil {
+		return *rl.notStarted
 	}
-	if y.commit.IsZero() && y.behind {
+	if rl.commitPosition.IsZero() && rl.behind {
 		return resultBehind{}
 	}
-	return resultWhole{
-		commit:   y.commit,
-		failure:  y.failure,
-		unproven: len(y.s.work.out) > 0 && !y.mayPass(),
+	return resultComplete{
+		commitPosition: rl.commitPosition,
+		databaseError:  rl.databaseError,
+		mustHold:       len(rl.session.workspace.output) > 0 && !rl.mayForward(),
 	}
 }
 
-// finishUnsure judges an answer that came although a query of the proxy's own
-// had failed: unless the database refused the work as well, it may have run
-// without the guard of a term.
-func (y *relay) finishUnsure() result {
-	if y.refusal != nil && y.commit.IsZero() {
-		y.r.conn.Taint()
-		return *y.refusal
+// finishUncertain returns the result of an answer that arrived although a setup
+// query of the proxy had failed. Unless the database refused the batch as well,
+// the batch may have run without the check of the term.
+func (rl *relay) finishUncertain() result {
+	if rl.notStarted != nil && rl.commitPosition.IsZero() {
+		rl.request.conn.Taint()
+		return *rl.notStarted
 	}
-	return resultLost{}
+	return resultConnectionLost{}
 }
--- a/internal/edge/caller/relay_error.go
+++ b/internal/edge/caller/relay_error.go
@@ -8,76 +8,78 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/edge/postgres"
 )
 
-// takeError acts on an error of the database.
-func (y *relay) takeError(frame postgres.Frame) {
+// handleError handles an error from the database.
+func (rl *relay) handleError(frame postgres.Frame) {
 	var response pgproto3.ErrorResponse
 	if response.Decode(frame.Body()) != nil {
 		return
 	}
-	y.failure = &response
-	y.r.conn.State.GroupSettingsUncertain = y.r.conn.State.GroupSettingsUncertain || y.wasSetUp
+	rl.databaseError = &response
+	rl.request.conn.State.GroupSettingsUncertain = rl.request.conn.State.GroupSettingsUncertain || rl.setupInBatch
 	// After an error the database skips the rest of an extended batch.
-	y.o.parses = nil
-	y.o.closes = nil
-	if y.copying {
-		y.s.say(problemCopy)
-		y.r.state = problemCopy.state
+	rl.outgoing.expectedParses = nil
+	rl.outgoing.expectedCloses = nil
+	if rl.rejectingCopy {
+		rl.session.appendProblem(problemCopy)
+		rl.request.sqlState = problemCopy.sqlState
 		return
 	}
-	why, ours := y.refusedWhy(response.Code)
-	if !ours {
-		if !y.r.failed {
-			y.r.state = response.Code
+	reason, isGroupProtocol := rl.classifyError(response.Code)
+	if !isGroupProtocol {
+		if !rl.request.alreadyFailed {
+			rl.request.sqlState = response.Code
 		}
-		y.pass(frame)
+		rl.bufferFrame(frame)
 		return
 	}
-	if y.r.first && !y.r.passed {
-		y.refusal = &resultRefused{why: why}
+	if rl.request.firstBatch && !rl.request.partlySent {
+		rl.notStarted = &resultNotStarted{reason: reason}
 	}
-	p := y.rewritten(response)
-	y.r.state = p.state
-	y.s.say(p)
+	p := rl.callerProblem(response)
+	rl.request.sqlState = p.sqlState
+	rl.session.appendProblem(p)
 }
 
-// refusedWhy tells whether an error is a word between database and proxy.
-func (y *relay) refusedWhy(state string) (message.NotStartedReason, bool) {
-	switch state {
-	case stateTerm:
+// classifyError returns why a request was not started, and reports whether the
+// error belongs to the protocol between database and proxy.
+func (rl *relay) classifyError(sqlState string) (message.NotStartedReason, bool) {
+	switch sqlState {
+	case stateWrongTerm:
 		return message.NotStartedWrongTerm, true
-	case stateDuplicate:
+	case stateDuplicateKey:
 		return message.NotStartedDuplicateKey, true
 	case stateReadOnly:
-		return message.NotStartedReadOnly, y.r.dispatch.Access == model.AccessWrite
+		return message.NotStartedReadOnly, rl.request.dispatch.Access == model.AccessWrite
 	}
 	return 0, false
 }
 
-// rewritten returns what the caller gets for such an error where the work can't
-// be run elsewhere any more.
-func (y *relay) rewritten(response pgproto3.ErrorResponse) *problem {
-	if response.Code == stateDuplicate && y.r.ownKey {
-		p := refusals[message.RefuseDuplicateKey]
-		return p.with(response.Message)
+// callerProblem returns the error that the caller receives for such an error if
+// the request cannot be run elsewhere any more.
+func (rl *relay) callerProblem(response pgproto3.ErrorResponse) *problem {
+	if response.Code == stateDuplicateKey && rl.request.callerSuppliedKey {
+		p := refusalProblems[message.RefuseDuplicateKey]
+		return p.withDetail(response.Message)
 	}
-	return problemFenced.with(response.Message)
+	return problemFenced.withDetail(response.Message)
 }
 
-// takeCopy turns a COPY down without losing the protocol's step.
-func (y *relay) takeCopy(frame postgres.Frame) result {
-	y.copying = true
-	y.r.conn.Taint()
+// rejectCopy rejects a COPY and keeps the protocol in step.
+func (rl *relay) rejectCopy(frame postgres.Frame) result {
+	rl.rejectingCopy = true
+	rl.request.conn.Taint()
 	if frame.Type != 'G' {
-		return resultStopped{problem: problemCopy}
+		return resultAborted{problem: problemCopy}
 	}
-	refusal, _ := (&pgproto3.CopyFail{Message: "COPY is not supported"}).Encode(nil)
-	if y.b.extended {
-		// The Sync of the batch was swallowed by the copy mode.
-		refusal, _ = (&pgproto3.Sync{}).Encode(refusal)
+	rejection, _ := (&pgproto3.CopyFail{Message: "COPY is not supported"}).Encode(nil)
+	if rl.batch.extended {
+		// The database consumed the Sync of the batch while it was in copy
+		// mode.
+		rejection, _ = (&pgproto3.Sync{}).Encode(rejection)
 	}
-	_, err := y.r.conn.Write(refusal, sendTimeout)
+	_, err := rl.request.conn.Write(rejection, sendTimeout)
 	if err != nil {
-		return resultLost{}
+		return resultConnectionLost{}
 	}
 	return nil
 }
