--- a/internal/edge/caller/render.go
+++ b/internal/edge/caller/render.go
@@ -11,90 +11,94 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/edge/postgres"
 )
 
-// unknownPrefix begins the names that no prepared statement has.
+// unknownPrefix is the prefix of names that no prepared statement has.
 const unknownPrefix = "unknown "
 
-// expectation tells what to do with the next answer to a Parse or a Close.
-type expectation struct {
-	// statement is what the answer is about, or nil.
+// expectedAnswer describes the next answer to a Parse or a Close.
+type expectedAnswer struct {
+	// statement is the statement that the answer is about, or nil.
 	statement *statement
-	// swallow says that the caller did not ask for it.
-	swallow bool
+	// suppress is true if the answer is dropped because the caller did not send
+	// the message.
+	suppress bool
 }
 
-// outgoing is a batch as it goes to one backend connection, with what is known
-// of the answers.
+// outgoing is a batch as it is sent to one backend connection, with the answers
+// that are expected.
 type outgoing struct {
 	bytes []byte
-	// preludes counts the answers of the proxy's own queries that come first,
-	// each up to its ReadyForQuery.
-	preludes int
-	// setups counts the proxy's own statements that follow in the batch
-	// itself, ahead of the caller's.
-	setups int
-	parses []expectation
-	closes []expectation
+	// pendingSetupQueries counts the setup queries of the proxy that are sent
+	// before the batch and whose ReadyForQuery has not arrived.
+	pendingSetupQueries int
+	// pendingSetupStatements counts the setup statements of the proxy that are
+	// sent within the batch, before the caller's messages, and whose answer has
+	// not arrived.
+	pendingSetupStatements int
+	expectedParses         []expectedAnswer
+	expectedCloses         []expectedAnswer
 }
 
 func (o *outgoing) reset() {
-	if cap(o.bytes) > keptBuffer {
+	if cap(o.bytes) > maxRetainedBuffer {
 		o.bytes = nil
 	}
-	clear(o.parses)
-	clear(o.closes)
-	*o = outgoing{bytes: o.bytes[:0], parses: o.parses[:0], closes: o.closes[:0]}
+	clear(o.expectedParses)
+	clear(o.expectedCloses)
+	*o = outgoing{bytes: o.bytes[:0], expectedParses: o.expectedParses[:0], expectedCloses: o.expectedCloses[:0]}
 }
 
-// query appends a query of the proxy's own.
-func (o *outgoing) query(text string) {
+// appendSetupQuery appends a setup query of the proxy.
+func (o *outgoing) appendSetupQuery(text string) {
 	o.bytes, _ = (&pgproto3.Query{String: text}).Encode(o.bytes)
-	o.preludes++
+	o.pendingSetupQueries++
 }
 
-// setUp appends a statement of the proxy's own. In a simple batch it is a query
-// by itself. In an extended one it goes into the batch: that spares the database
-// a write, and where it fails the database skips the caller's part.
-func (o *outgoing) setUp(text string, extended bool) {
+// appendSetupStatement appends a setup statement of the proxy. For a simple
+// batch it is a separate query. For an extended batch it becomes part of the
+// batch, which saves the database a write, and if it fails the database skips
+// the caller's messages.
+func (o *outgoing) appendSetupStatement(text string, extended bool) {
 	if !extended {
-		o.query(text)
+		o.appendSetupQuery(text)
 		return
 	}
 	o.bytes, _ = (&pgproto3.Parse{Query: text}).Encode(o.bytes)
 	o.bytes, _ = (&pgproto3.Bind{}).Encode(o.bytes)
 	o.bytes, _ = (&pgproto3.Execute{}).Encode(o.bytes)
-	o.setups++
+	o.pendingSetupStatements++
 }
 
-// prelude appends what sets the connection up for a dispatched request.
-func (o *outgoing) prelude(conn *database.Conn, d message.Dispatch, extended bool) {
+// appendSetup appends the statements that prepare the connection for a
+// dispatched request.
+func (o *outgoing) appendSetup(conn *database.Conn, d message.Dispatch, extended bool) {
 	state := &conn.State
-	if len(state.PreparedStatements) > preparedLimit {
+	if len(state.PreparedStatements) > maxBackendStatements {
 		state.NeedsReset = true
 	}
 	if state.NeedsReset {
-		o.query("DISCARD ALL")
-		forget(state)
+		o.appendSetupQuery("DISCARD ALL")
+		clearState(state)
 	}
-	work := workOf(d)
-	if state.GroupWork != work || state.GroupSettingsUncertain {
-		o.setUp("SET group_work = '"+work+"'", extended)
-		state.GroupWork = work
+	groupWork := groupWorkValue(d)
+	if state.GroupWork != groupWork || state.GroupSettingsUncertain {
+		o.appendSetupStatement("SET group_work = '"+groupWork+"'", extended)
+		state.GroupWork = groupWork
 	}
-	reads := d.Access == model.AccessRead
-	if state.GroupRead != reads || state.GroupSettingsUncertain {
-		o.setUp("SET group_read = '"+onOff(reads)+"'", extended)
-		state.GroupRead = reads
+	readOnly := d.Access == model.AccessRead
+	if state.GroupRead != readOnly || state.GroupSettingsUncertain {
+		o.appendSetupStatement("SET group_read = '"+onOff(readOnly)+"'", extended)
+		state.GroupRead = readOnly
 	}
 	state.GroupSettingsUncertain = false
 }
 
-// forget sets the state of a connection after DISCARD ALL.
-func forget(state *database.SessionState) {
+// clearState sets the recorded state of a connection to that after DISCARD ALL.
+func clearState(state *database.SessionState) {
 	clear(state.PreparedStatements)
 	*state = database.SessionState{PreparedStatements: state.PreparedStatements}
 }
 
-func workOf(d message.Dispatch) string {
+func groupWorkValue(d message.Dispatch) string {
 	term := strconv.FormatUint(uint64(d.Term), 10)
 	if d.Access == model.AccessRead {
 		return term + "/"
@@ -112,108 +116,111 @@
 // -----------------------------------------------------------------------------
 // The caller's messages.
 
-// body appends the caller's batch, with the names that its prepared statements
-// have at the databases, and prepares those that the connection lacks.
-func (o *outgoing) body(conn *database.Conn, b *batch) {
+// appendBatch appends the caller's batch, with the names that its prepared
+// statements have at the databases. Before it, it prepares the statements that
+// the connection lacks.
+func (o *outgoing) appendBatch(conn *database.Conn, b *batch) {
 	if !b.extended {
 		o.bytes = append(o.bytes, b.raw...)
 		return
 	}
-	o.prepare(conn, b)
+	o.appendMissingStatements(conn, b)
 	last := 0
-	for i := range b.parts {
-		p := &b.parts[i]
-		last = p.end
+	for i := range b.messages {
+		m := &b.messages[i]
+		last = m.end
 		switch {
-		case p.kind == 'P':
-			o.parse(conn, p)
-		case p.kind == 'C' && p.named:
-			o.close(p)
-		case p.kind == 'C':
-			o.closes = append(o.closes, expectation{})
-			o.bytes = append(o.bytes, b.raw[p.start:p.end]...)
-		case p.named:
-			o.rename(b.raw[p.start:p.end], p)
+		case m.frameType == 'P':
+			o.appendParse(conn, m)
+		case m.frameType == 'C' && m.namesStatement:
+			o.appendClose(m)
+		case m.frameType == 'C':
+			o.expectedCloses = append(o.expectedCloses, expectedAnswer{})
+			o.bytes = append(o.bytes, b.raw[m.start:m.end]...)
+		case m.namesStatement:
+			o.appendRenamed(b.raw[m.start:m.end], m)
 		default:
-			o.bytes = append(o.bytes, b.raw[p.start:p.end]...)
+			o.bytes = append(o.bytes, b.raw[m.start:m.end]...)
 		}
 	}
 	o.bytes = append(o.bytes, b.raw[last:]...)
 }
 
-// close appends a Close of a name that no connection knows, which is no error:
-// the statement itself may serve other sessions that prepared the same.
-func (o *outgoing) close(p *part) {
-	o.bytes, _ = (&pgproto3.Close{ObjectType: 'S', Name: unknownPrefix + p.name}).Encode(o.bytes)
-	o.closes = append(o.closes, expectation{statement: &statement{name: p.name}})
+// appendClose appends a Close of a name that no connection knows, which is not
+// an error. The statement itself stays prepared, because other sessions that
+// prepared the same text may use it.
+func (o *outgoing) appendClose(m *extendedMessage) {
+	o.bytes, _ = (&pgproto3.Close{ObjectType: 'S', Name: unknownPrefix + m.name}).Encode(o.bytes)
+	o.expectedCloses = append(o.expectedCloses, expectedAnswer{statement: &statement{name: m.name}})
 }
 
-// prepare sends the statements that the batch uses and that the connection
-// lacks ahead of it.
-func (o *outgoing) prepare(conn *database.Conn, b *batch) {
-	for i := range b.parts {
-		p := &b.parts[i]
-		if p.kind == 'P' || p.kind == 'C' || p.statement == nil {
+// appendMissingStatements appends a Parse for each statement that the batch
+// uses and that is not prepared on the connection.
+func (o *outgoing) appendMissingStatements(conn *database.Conn, b *batch) {
+	for i := range b.messages {
+		m := &b.messages[i]
+		if m.frameType == 'P' || m.frameType == 'C' || m.statement == nil {
 			continue
 		}
-		if b.parsedBefore(i) || o.isPrepared(conn, p.statement) {
+		if b.isParsedBefore(i) || o.isPrepared(conn, m.statement) {
 			continue
 		}
-		o.bytes = append(o.bytes, p.statement.parse...)
-		o.parses = append(o.parses, expectation{statement: p.statement, swallow: true})
+		o.bytes = append(o.bytes, m.statement.parseMessage...)
+		o.expectedParses = append(o.expectedParses, expectedAnswer{statement: m.statement, suppress: true})
 	}
 }
 
-// parsedBefore reports whether the statement of part i comes from a Parse of
-// the same batch.
-func (b *batch) parsedBefore(i int) bool {
+// isParsedBefore reports whether the statement of message i comes from an
+// earlier Parse of the same batch.
+func (b *batch) isParsedBefore(i int) bool {
 	for j := range i {
-		if b.parts[j].kind == 'P' && b.parts[j].statement == b.parts[i].statement {
+		if b.messages[j].frameType == 'P' && b.messages[j].statement == b.messages[i].statement {
 			return true
 		}
 	}
 	return false
 }
 
-func (o *outgoing) isPrepared(conn *database.Conn, one *statement) bool {
-	for i := range o.parses {
-		other := o.parses[i].statement
-		if other == one || one.backend != "" && other.backend == one.backend {
+func (o *outgoing) isPrepared(conn *database.Conn, stmt *statement) bool {
+	for i := range o.expectedParses {
+		other := o.expectedParses[i].statement
+		if other == stmt || stmt.backendName != "" && other.backendName == stmt.backendName {
 			return true
 		}
 	}
-	if one.backend == "" {
+	if stmt.backendName == "" {
 		return false
 	}
-	_, found := conn.State.PreparedStatements[one.backend]
+	_, found := conn.State.PreparedStatements[stmt.backendName]
 	return found
 }
 
-// parse appends the caller's Parse. One that the connection has already is
-// closed first, so that the answers come as the caller expects them.
-func (o *outgoing) parse(conn *database.Conn, p *part) {
-	if p.statement.backend != "" && o.isPrepared(conn, p.statement) {
-		o.bytes, _ = (&pgproto3.Close{ObjectType: 'S', Name: p.statement.backend}).Encode(o.bytes)
-		o.closes = append(o.closes, expectation{swallow: true})
+// appendParse appends the caller's Parse. A statement that is prepared on the
+// connection already is closed first, so that the database answers as the
+// caller expects.
+func (o *outgoing) appendParse(conn *database.Conn, m *extendedMessage) {
+	if m.statement.backendName != "" && o.isPrepared(conn, m.statement) {
+		o.bytes, _ = (&pgproto3.Close{ObjectType: 'S', Name: m.statement.backendName}).Encode(o.bytes)
+		o.expectedCloses = append(o.expectedCloses, expectedAnswer{suppress: true})
 	}
-	o.bytes = append(o.bytes, p.statement.parse...)
-	o.parses = append(o.parses, expectation{statement: p.statement})
+	o.bytes = append(o.bytes, m.statement.parseMessage...)
+	o.expectedParses = append(o.expectedParses, expectedAnswer{statement: m.statement})
 }
 
-// rename appends a Bind, Describe or Close with the name that the statement has
-// at the databases. A name that the session does not know gets one that no
-// connection knows.
-func (o *outgoing) rename(raw []byte, p *part) {
-	name := unknownPrefix + p.name
-	if p.statement != nil {
-		name = p.statement.backend
+// appendRenamed appends a Bind, Describe or Close with the name that the
+// statement has at the databases. A name that the session does not know is
+// replaced by one that no connection knows.
+func (o *outgoing) appendRenamed(raw []byte, m *extendedMessage) {
+	name := unknownPrefix + m.name
+	if m.statement != nil {
+		name = m.statement.backendName
 	}
 	body := raw[postgres.HeaderSize:]
-	if p.kind != 'B' {
-		o.bytes = appendFrame(o.bytes, p.kind, body[:1], []byte(name), []byte{0})
+	if m.frameType != 'B' {
+		o.bytes = appendFrame(o.bytes, m.frameType, body[:1], []byte(name), []byte{0})
 		return
 	}
 	portal, rest, _ := cutString(body)
 	_, rest, _ = cutString(rest)
-	o.bytes = appendFrame(o.bytes, p.kind, portal, []byte{0}, []byte(name), []byte{0}, rest)
+	o.bytes = appendFrame(o.bytes, m.frameType, portal, []byte{0}, []byte(name), []byte{0}, rest)
 }
--- a/internal/edge/caller/request.go
+++ b/internal/edge/caller/request.go
@@ -12,156 +12,161 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/edge/database"
 )
 
-// watchDelay is the time after which the caller's connection is watched while
-// its request waits or runs.
+// watchDelay is how long a request waits or runs before the caller's connection
+// is watched.
 const watchDelay = 20 * time.Millisecond
 
-// request is one unit of work on its way.
+// request is a statement or a transaction of a caller.
 type request struct {
 	id       model.RequestID
 	attempt  model.Attempt
 	dispatch message.Dispatch
-	// ownKey says that the caller gave the key itself.
-	ownKey bool
-	// conn is the backend connection, from the attempt's start until the
-	// answer is read to its end outside of a transaction.
+	// callerSuppliedKey is true if the caller supplied the idempotency key.
+	callerSuppliedKey bool
+	// conn is the backend connection, from the start of the attempt until a
+	// complete answer was read outside a transaction.
 	conn *database.Conn
-	// first says that the batch which opened the request is running.
-	first bool
-	// passed says that a part of an answer has gone to the caller.
-	passed bool
-	// status is that of the last ReadyForQuery.
-	status byte
-	// sent is when the attempt was sent, opened the time that opening a
-	// connection took.
-	sent   time.Time
-	opened time.Duration
-	// position is the newest that an answer has shown.
+	// firstBatch is true while the batch that opened the request is running.
+	firstBatch bool
+	// partlySent is true once a part of an answer was sent to the caller.
+	partlySent bool
+	// transactionStatus is the status in the last ReadyForQuery.
+	transactionStatus byte
+	// sentAt is when the attempt was sent; connectTime is how long it took to
+	// open a connection for it.
+	sentAt      time.Time
+	connectTime time.Duration
+	// position is the highest position that an answer has reported.
 	position model.Position
-	// released is the position that the core has released.
-	released model.Position
-	// failed says that the transaction had failed before its last batch.
-	failed bool
-	// state is the SQLSTATE of the last error in an answer.
-	state string
-	// canceled says that the core was told of the caller's withdrawal.
-	canceled bool
+	// releasedPosition is the position up to which the core has released
+	// answers.
+	releasedPosition model.Position
+	// alreadyFailed is true if the transaction had failed before its last
+	// batch.
+	alreadyFailed bool
+	// sqlState is the SQLSTATE of the last error in an answer.
+	sqlState string
+	// cancelReported is true once the cancellation by the caller was reported
+	// to the core.
+	cancelReported bool
 }
 
-// arrive tells the core of a new request.
-func (s *session) arrive(b *batch) *request {
-	h := b.hint.over(s.hint)
-	id := s.edge.register(s)
-	r := &request{id: id, first: true, status: statusIdle, ownKey: h.key != ""}
-	s.current.Store(uint64(id))
+// startRequest creates a request for the batch and reports it to the core.
+func (s *session) startRequest(b *batch) *request {
+	h := b.hint.withDefaults(s.hint)
+	id := s.server.register(s)
+	r := &request{id: id, firstBatch: true, transactionStatus: statusIdle, callerSuppliedKey: h.key != ""}
+	s.currentRequest.Store(uint64(id))
 	key := h.key
 	if key == "" {
-		key = s.edge.options.IdempotencyKeyPrefix + "-" + strconv.FormatUint(uint64(id), 10)
+		key = s.server.options.IdempotencyKeyPrefix + "-" + strconv.FormatUint(uint64(id), 10)
 	}
 	requests.Add(1)
-	s.edge.sink.Post(message.RequestArrived{
+	s.server.sink.Post(message.RequestArrived{
 		Request:           id,
 		Session:           s.id,
 		Kind:              h.kind,
 		IdempotencyKey:    key,
-		CallerSuppliedKey: r.ownKey,
-		Transaction:       b.runs() && b.traits.opensTransaction(),
+		CallerSuppliedKey: r.callerSuppliedKey,
+		Transaction:       b.executes() && b.traits.opensTransaction(),
 		TokenPosition:     h.token.Position,
 		Deadline:          h.deadline,
 	})
 	return r
 }
 
-// ended tells the core how the attempt ended.
-func (s *session) ended(r *request, answer message.Outcome) {
+// reportOutcome reports to the core how the attempt ended.
+func (s *session) reportOutcome(r *request, outcome message.Outcome) {
 	var elapsed time.Duration
-	if !r.sent.IsZero() {
-		elapsed = time.Since(r.sent)
+	if !r.sentAt.IsZero() {
+		elapsed = time.Since(r.sentAt)
 	}
-	s.edge.sink.Post(message.AttemptEnded{
+	s.server.sink.Post(message.AttemptEnded{
 		Request:     r.id,
 		Attempt:     r.attempt,
-		Outcome:     answer,
+		Outcome:     outcome,
 		Elapsed:     elapsed,
-		ConnectTime: r.opened,
+		ConnectTime: r.connectTime,
 	})
 }
 
-// endRequest forgets a request. Its backend connection is gone already.
+// endRequest removes a request. Its backend connection must have been given up.
 func (s *session) endRequest(r *request) {
 	s.stopWatch()
-	s.current.Store(0)
-	s.edge.requests.drop(r.id)
+	s.currentRequest.Store(0)
+	s.server.requests.drop(r.id)
 	s.request = nil
 }
 
-// endWith ends a request with an error. What was held back is dropped.
-func (s *session) endWith(r *request, p *problem, status byte) error {
+// endWithProblem ends a request with an error. The held part of its answer is
+// dropped.
+func (s *session) endWithProblem(r *request, p *problem, status byte) error {
 	s.endRequest(r)
-	s.resetOut()
-	s.say(p)
-	s.ready(status)
+	s.resetOutput()
+	s.appendProblem(p)
+	s.appendReady(status)
 	return s.flush()
 }
 
-// endCommitted ends a request whose connection was lost, and whose commit is
-// proven nevertheless. The answer to a COMMIT can be given; that to another
-// statement is lost with its rows.
+// endCommitted ends a request whose connection was lost and whose commit is
+// confirmed nevertheless. The answer to a COMMIT can be generated; the answer
+// to any other statement is lost with its rows.
 func (s *session) endCommitted(r *request, b *batch, a message.AcknowledgeCommit) error {
 	s.endRequest(r)
-	s.resetOut()
-	s.giveToken(a.Token)
-	if b.traits.first == "COMMIT" && !b.traits.several {
+	s.resetOutput()
+	s.appendToken(a.Token)
+	if b.traits.firstWord == "COMMIT" && !b.traits.multipleStatements {
 		return s.answerLocally(b, "COMMIT", nil)
 	}
-	s.say(&problem{
-		state:   stateUnknownOutcome,
-		message: "the work was committed, but its answer was lost",
-		detail:  "Committed at " + a.Token.String() + ".",
-		hint:    "Do not send it again.",
+	s.appendProblem(&problem{
+		sqlState: stateUnknownOutcome,
+		message:  "the work was committed, but its answer was lost",
+		detail:   "Committed at " + a.Token.String() + ".",
+		hint:     "Do not send it again.",
 	})
-	s.ready(statusIdle)
+	s.appendReady(statusIdle)
 	return s.flush()
 }
 
-// giveToken appends the session's new token for the caller.
-func (s *session) giveToken(token model.Token) {
+// appendToken appends the new token of the session to the output.
+func (s *session) appendToken(token model.Token) {
 	s.token = token
 	status := pgproto3.ParameterStatus{Name: tokenParameter, Value: token.String()}
-	s.work.out, _ = status.Encode(s.work.out)
+	s.workspace.output, _ = status.Encode(s.workspace.output)
 }
 
-// dropConn closes the backend connection of a request. What was open on it is
-// rolled back by the database.
-func (s *session) dropConn(r *request) {
+// discardConn closes the backend connection of a request. The database rolls
+// back a transaction that was open on it.
+func (s *session) discardConn(r *request) {
 	if r.conn == nil {
 		return
 	}
-	s.edge.pool.Discard(r.conn)
+	s.server.pool.Discard(r.conn)
 	r.conn = nil
 }
 
-// freeConn gives the backend connection back after a whole answer.
-func (s *session) freeConn(r *request) {
+// releaseConn returns the backend connection to the pool after a complete
+// answer.
+func (s *session) releaseConn(r *request) {
 	if r.conn == nil {
 		return
 	}
-	s.edge.pool.Release(r.conn)
+	s.server.pool.Release(r.conn)
 	r.conn = nil
 }
 
 // -----------------------------------------------------------------------------
 // Waiting for the core.
 
-// await waits for the core's next word on a request.
-func (s *session) await(ctx context.Context, r *request) (any, error) {
-	timer := s.work.timer
+// awaitAction waits for the next action of the core on a request.
+func (s *session) awaitAction(ctx context.Context, r *request) (any, error) {
+	timer := s.workspace.timer
 	timer.Reset(watchDelay)
 	defer timer.Stop()
 	for {
 		item, ok := s.mailbox.take()
 		if ok {
-			item = s.forRequest(r, item)
+			item = s.filterItem(r, item)
 			if item != nil {
 				return item, nil
 			}
@@ -172,43 +177,43 @@
 		case <-timer.C:
 			s.startWatch()
 		case <-ctx.Done():
-			return nil, errEnding
+			return nil, errTerminating
 		}
 	}
 }
 
-// forRequest returns the item where it is the core's word on the request and
-// its present attempt.
-func (s *session) forRequest(r *request, item any) any {
-	concerns := false
+// filterItem returns the item if it is an action on the request and its current
+// attempt, and nil otherwise.
+func (s *session) filterItem(r *request, item any) any {
+	matches := false
 	switch item := item.(type) {
 	case message.Dispatch:
-		concerns = item.Request == r.id && item.Attempt > r.attempt
+		matches = item.Request == r.id && item.Attempt > r.attempt
 	case message.RefuseRequest:
-		concerns = item.Request == r.id
+		matches = item.Request == r.id
 	case message.AbortRequest:
-		concerns = item.Request == r.id
+		matches = item.Request == r.id
 	case message.ReleaseResult:
-		concerns = item.Request == r.id && item.Attempt == r.attempt
+		matches = item.Request == r.id && item.Attempt == r.attempt
 	case message.CloseConnection:
-		concerns = item.Request == r.id && item.Attempt == r.attempt
+		matches = item.Request == r.id && item.Attempt == r.attempt
 	case message.AcknowledgeCommit:
-		concerns = item.Request == r.id && item.Attempt == r.attempt
-	case callerGone:
-		s.withdraw(r)
+		matches = item.Request == r.id && item.Attempt == r.attempt
+	case callerDisconnected:
+		s.reportCanceled(r)
 	}
-	if concerns {
+	if matches {
 		return item
 	}
 	return nil
 }
 
-// withdraw tells the core, once, that the caller does not want the request any
-// more.
-func (s *session) withdraw(r *request) {
-	if r.canceled {
+// reportCanceled reports to the core, once, that the caller canceled the
+// request.
+func (s *session) reportCanceled(r *request) {
+	if r.cancelReported {
 		return
 	}
-	r.canceled = true
-	s.edge.sink.Post(message.RequestCanceled{Request: r.id})
+	r.cancelReported = true
+	s.server.sink.Post(message.RequestCanceled{Request: r.id})
 }
--- a/internal/edge/caller/request_table.go
+++ b/internal/edge/caller/request_table.go
@@ -6,11 +6,12 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// requestShards is the number of parts of a requestTable.
+// requestShards is the number of shards of a requestTable.
 const requestShards = 32
 
-// requestTable finds the session of a request. Every request goes in and out of
-// it, so it is cut into parts with a lock each. Its zero value is empty.
+// requestTable maps requests to their sessions. Every request is added and
+// removed, so it is split into shards with a lock each to reduce contention.
+// The zero value is empty.
 type requestTable struct{ shards [requestShards]requestShard }
 
 type requestShard struct {
--- a/internal/edge/caller/result.go
+++ b/internal/edge/caller/result.go
@@ -7,39 +7,42 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// result is how an exchange ended.
+// result describes how an exchange ended.
 type result interface{ isResult() }
 
-// resultWhole: the answer was read to its end; what is left of it waits in the
-// workspace, without the ReadyForQuery.
-type resultWhole struct {
-	// commit is the position of a commit, or zero.
-	commit model.Position
-	// failure is the last error in the answer, or nil.
-	failure *pgproto3.ErrorResponse
-	// unproven says that the answer has to wait for the proof of its position.
-	unproven bool
+// resultComplete: the answer was read completely. The part that was not sent
+// yet is in the workspace, without the ReadyForQuery.
+type resultComplete struct {
+	// commitPosition is the position of a commit, or zero.
+	commitPosition model.Position
+	// databaseError is the last error in the answer, or nil.
+	databaseError *pgproto3.ErrorResponse
+	// mustHold is true if the answer must be held until its position is
+	// durable.
+	mustHold bool
 }
 
-// resultLost: the connection broke, or was given up.
-type resultLost struct{ silent bool }
+// resultConnectionLost: the backend connection broke or was given up.
+type resultConnectionLost struct{ unresponsive bool }
 
-// resultRefused: the database proved that it did not run the work.
-type resultRefused struct{ why message.NotStartedReason }
+// resultNotStarted: the database reported that it did not run the batch.
+type resultNotStarted struct{ reason message.NotStartedReason }
 
-// resultBehind: the database's state is older than was asked for.
+// resultBehind: the position of the database is older than the minimum
+// position.
 type resultBehind struct{}
 
-// resultStopped: the core or the edge ended the exchange with an error for the
+// resultAborted: the core or the relay ended the exchange with an error for the
 // caller.
-type resultStopped struct{ problem *problem }
-
-// resultUnread: the caller does not take its answer.
-type resultUnread struct{ cause error }
-
-func (resultWhole) isResult()   {}
-func (resultLost) isResult()    {}
-func (resultRefused) isResult() {}
-func (resultBehind) isResult()  {}
-func (resultStopped) isResult() {}
-func (resultUnread) isResult()  {}
+type resultAborted struct{ problem *problem }
+
+// resultSessionEnded: the caller does not read its answer, or the instance is
+// terminating.
+type resultSessionEnded struct{ cause error }
+
+func (resultComplete) isResult()       {}
+func (resultConnectionLost) isResult() {}
+func (resultNotStarted) isResult()     {}
+func (resultBehind) isResult()         {}
+func (resultAborted) isResult()        {}
+func (resultSessionEnded) isResult()   {}
--- a/internal/edge/caller/session.go
+++ b/internal/edge/caller/session.go
@@ -15,65 +15,68 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// The states of a transaction, as ReadyForQuery tells them.
+// Transaction statuses in ReadyForQuery.
 const (
 	statusIdle        byte = 'I'
 	statusTransaction byte = 'T'
 	statusFailed      byte = 'E'
 )
 
-// session is one caller's connection. Its goroutine reads the caller's batches,
-// and reads the backend connection while one is running, so that no row passes
-// from one goroutine to another.
+// session is the connection of one caller. Its goroutine reads the caller's
+// batches, and reads the backend connection while a batch is running, so that
+// no row passes from one goroutine to another.
 type session struct {
-	edge   *Server
-	id     model.SessionID
-	conn   net.Conn
-	reader *postgres.Reader
-	group  model.GroupID
-	caller model.CallerID
-	proven *provenCell
+	server  *Server
+	id      model.SessionID
+	conn    net.Conn
+	reader  *postgres.Reader
+	group   model.GroupID
+	caller  model.CallerID
+	durable *durablePosition
 
-	// writeUntil is the deadline of writes to the caller.
-	writeUntil time.Time
-	// secret is what a cancel request has to know.
-	secret []byte
-	// current is the request that a cancel request is for, or zero.
-	current atomic.Uint64
-	mailbox *mailbox
+	// writeDeadline is the current deadline of writes to the caller.
+	writeDeadline time.Time
+	// cancelSecret is the secret key that a cancel request must present.
+	cancelSecret []byte
+	// currentRequest is the request that a cancel request applies to, or zero.
+	currentRequest atomic.Uint64
+	mailbox        *mailbox
 
 	hint       hint
 	token      model.Token
 	statements statements
 	settings   settings
-	// request is the transaction that is open, or nil.
+	// request is the open transaction, or nil.
 	request *request
-	// failed says that a transaction was lost; the caller has to end it.
-	failed bool
-	// why is what the caller is still to be told of that, or nil.
-	why *problem
-	// canceling is closed when a cancel request to a database has ended; nil
-	// where none was sent.
-	canceling chan struct{}
-	// watch is closed when the watch of the caller's connection has ended;
-	// nil where there is none.
-	watch chan struct{}
-	// work holds the buffers while the session is not idle.
-	work *workspace
+	// inFailedTransaction is true if a transaction was lost and the caller has
+	// not ended it yet.
+	inFailedTransaction bool
+	// unreportedProblem is the reason of that loss, until it was sent to the
+	// caller; nil otherwise.
+	unreportedProblem *problem
+	// cancelDone is closed when the cancel request to a database has ended; nil
+	// if none was sent.
+	cancelDone chan struct{}
+	// watchDone is closed when the watch of the caller's connection has ended;
+	// nil if there is no watch.
+	watchDone chan struct{}
+	// workspace holds the buffers while the session is not idle.
+	workspace *workspace
 }
 
-// workspace is what a session needs only while it works.
+// workspace holds what a session needs only while it processes a batch.
 type workspace struct {
 	batch    batch
 	outgoing outgoing
 	relay    relay
-	// out holds what goes to the caller next.
-	out   []byte
-	timer *time.Timer
+	// output is the data to be sent to the caller next.
+	output []byte
+	timer  *time.Timer
 }
 
-// keptBuffer is the greatest buffer that a workspace keeps, in bytes.
-const keptBuffer = 64 << 10
+// maxRetainedBuffer is the maximum size of a buffer that a workspace keeps, in
+// bytes.
+const maxRetainedBuffer = 64 << 10
 
 var workspaces = sync.Pool{New: func() any {
 	timer := time.NewTimer(time.Hour)
@@ -81,61 +84,61 @@
 	return &workspace{timer: timer}
 }}
 
-func (s *session) takeWorkspace() {
-	if s.work == nil {
-		s.work = workspaces.Get().(*workspace)
+func (s *session) acquireWorkspace() {
+	if s.workspace == nil {
+		s.workspace = workspaces.Get().(*workspace)
 	}
 }
 
-func (s *session) giveWorkspace() {
-	if s.work == nil {
+func (s *session) releaseWorkspace() {
+	if s.workspace == nil {
 		return
 	}
-	s.work.batch.reset()
-	s.work.outgoing.reset()
-	s.work.relay = relay{}
-	s.resetOut()
-	workspaces.Put(s.work)
-	s.work = nil
+	s.workspace.batch.reset()
+	s.workspace.outgoing.reset()
+	s.workspace.relay = relay{}
+	s.resetOutput()
+	workspaces.Put(s.workspace)
+	s.workspace = nil
 }
 
-func (s *session) resetOut() {
-	if cap(s.work.out) > keptBuffer {
-		s.work.out = nil
+func (s *session) resetOutput() {
+	if cap(s.workspace.output) > maxRetainedBuffer {
+		s.workspace.output = nil
 	}
-	s.work.out = s.work.out[:0]
+	s.workspace.output = s.workspace.output[:0]
 }
 
 // -----------------------------------------------------------------------------
-// The life of a session.
+// Processing of batches.
 
-// run serves the caller until it leaves, and returns the reason.
+// run serves the caller until the session ends, and returns the reason.
 func (s *session) run(ctx context.Context) error {
-	defer s.giveWorkspace()
+	defer s.releaseWorkspace()
 	for {
 		err := s.awaitBatch(ctx)
 		if err != nil {
-			return s.leave(err)
+			return s.end(err)
 		}
-		s.takeWorkspace()
-		s.work.batch.reset()
-		err = s.readWhole(ctx, &s.work.batch)
+		s.acquireWorkspace()
+		s.workspace.batch.reset()
+		err = s.readFullBatch(ctx, &s.workspace.batch)
 		if err == nil {
-			err = s.handle(ctx, &s.work.batch)
-			s.settle()
+			err = s.handleBatch(ctx, &s.workspace.batch)
+			s.awaitBackground()
 		}
 		if err != nil {
-			return s.leave(err)
+			return s.end(err)
 		}
 	}
 }
 
-// settle waits for what a batch has started beside itself.
-func (s *session) settle() {
+// awaitBackground waits for the goroutines that the batch has started.
+func (s *session) awaitBackground() {
 	s.stopWatch()
-	if s.canceling != nil {
-		<-s.canceling
-		s.canceling = nil
+	if s.cancelDone != nil {
+		<-s.cancelDone
+		s.cancelDone = nil
 	}
 }
 
@@ -144,24 +147,24 @@
 func (s *session) awaitBatch(ctx context.Context) error {
 	for s.reader.Buffered() == 0 {
 		if ctx.Err() != nil {
-			return errEnding
+			return errTerminating
 		}
 		if s.request == nil {
-			if s.edge.draining.Load() {
+			if s.server.draining.Load() {
 				return errDrained
 			}
-			s.giveWorkspace()
+			s.releaseWorkspace()
 		}
-		s.mailbox.read(s.conn, s.idleDeadline())
+		s.mailbox.startRead(s.conn, s.idleDeadline())
 		err := s.reader.Fill()
-		s.mailbox.done()
+		s.mailbox.endRead()
 		if err == nil {
 			return nil
 		}
 		if !isTimeout(err) {
 			return err
 		}
-		err = s.idleItems(ctx)
+		err = s.handleIdleItems(ctx)
 		if err != nil {
 			return err
 		}
@@ -169,24 +172,24 @@
 	return nil
 }
 
-// readWhole reads a batch to its end, also where it comes slowly.
-func (s *session) readWhole(ctx context.Context, b *batch) error {
+// readFullBatch reads a complete batch, even if it arrives in parts.
+func (s *session) readFullBatch(ctx context.Context, b *batch) error {
 	for {
-		s.mailbox.read(s.conn, s.idleDeadline())
+		s.mailbox.startRead(s.conn, s.idleDeadline())
 		err := s.readBatch(b)
-		s.mailbox.done()
+		s.mailbox.endRead()
 		if err == nil || !isTimeout(err) {
 			return err
 		}
-		err = s.idleItems(ctx)
+		err = s.handleIdleItems(ctx)
 		if err != nil {
 			return err
 		}
 	}
 }
 
-// idleDeadline returns until when the caller may be silent: for ever, or until
-// the deadline of its open transaction.
+// idleDeadline returns the time until which the caller may be idle: the
+// deadline of its open transaction, or zero for no limit.
 func (s *session) idleDeadline() time.Time {
 	if s.request == nil {
 		return time.Time{}
@@ -194,10 +197,11 @@
 	return s.request.dispatch.Deadline
 }
 
-// idleItems looks at what has come for a session that waits for its caller.
-func (s *session) idleItems(ctx context.Context) error {
+// handleIdleItems handles the items of the mailbox and the transaction deadline
+// while the session waits for its caller.
+func (s *session) handleIdleItems(ctx context.Context) error {
 	if ctx.Err() != nil {
-		return errEnding
+		return errTerminating
 	}
 	for {
 		item, ok := s.mailbox.take()
@@ -207,56 +211,56 @@
 		switch item := item.(type) {
 		case message.AbortRequest:
 			if s.owns(item.Request) {
-				s.why = abandonProblem(item)
-				s.breakTransaction(message.OutcomeDatabaseError{SQLState: s.why.state})
+				s.unreportedProblem = abortProblem(item)
+				s.abortTransaction(message.OutcomeDatabaseError{SQLState: s.unreportedProblem.sqlState})
 			}
 		case message.CloseConnection:
 			if s.owns(item.Request) && s.request.attempt == item.Attempt {
-				s.why = problemFenced
-				s.breakTransaction(message.OutcomeConnectionLost{PartlySent: true})
+				s.unreportedProblem = problemFenced
+				s.abortTransaction(message.OutcomeConnectionLost{PartlySent: true})
 			}
 		}
 	}
 	r := s.request
 	if r != nil && !time.Now().Before(r.dispatch.Deadline) {
-		s.edge.note(event.TransactionExpired, "session", s.id, "request", r.id)
-		s.why = problemIdle
-		s.breakTransaction(message.OutcomeDatabaseError{SQLState: s.why.state})
+		s.server.logEvent(event.TransactionExpired, "session", s.id, "request", r.id)
+		s.unreportedProblem = problemDeadlinePassed
+		s.abortTransaction(message.OutcomeDatabaseError{SQLState: s.unreportedProblem.sqlState})
 	}
 	return nil
 }
 
 func (s *session) owns(id model.RequestID) bool { return s.request != nil && s.request.id == id }
 
-// breakTransaction rolls back an open transaction whose caller is idle. The
-// caller learns it with its next statement.
-func (s *session) breakTransaction(answer message.Outcome) {
+// abortTransaction rolls back an open transaction whose caller is idle. The
+// caller receives the error with its next statement.
+func (s *session) abortTransaction(outcome message.Outcome) {
 	r := s.request
-	s.dropConn(r)
-	s.ended(r, answer)
+	s.discardConn(r)
+	s.reportOutcome(r, outcome)
 	s.endRequest(r)
-	s.failed = true
+	s.inFailedTransaction = true
 }
 
-// leave ends the session for a reason, with a last word where the caller still
-// listens.
-func (s *session) leave(reason error) error {
+// end ends the session for a reason, and sends a last error if the caller can
+// still receive it.
+func (s *session) end(reason error) error {
 	s.stopWatch()
 	if r := s.request; r != nil {
-		s.dropConn(r)
-		s.ended(r, message.OutcomeDatabaseError{SQLState: stateProtocolViolation})
+		s.discardConn(r)
+		s.reportOutcome(r, message.OutcomeDatabaseError{SQLState: stateProtocolViolation})
 		s.endRequest(r)
 	}
-	var violation *ProtocolError
-	var size *postgres.SizeError
-	s.takeWorkspace()
-	s.resetOut()
+	var protocolErr *ProtocolError
+	var sizeErr *postgres.SizeError
+	s.acquireWorkspace()
+	s.resetOutput()
 	switch {
-	case errors.As(reason, &violation), errors.As(reason, &size):
-		s.edge.note(event.ProtocolViolated, "session", s.id, "reason", reason.Error())
-		s.say(&problem{state: stateProtocolViolation, message: reason.Error(), fatal: true})
-	case errors.Is(reason, errDrained), errors.Is(reason, errEnding):
-		s.say(problemDrained)
+	case errors.As(reason, &protocolErr), errors.As(reason, &sizeErr):
+		s.server.logEvent(event.ProtocolViolated, "session", s.id, "reason", reason.Error())
+		s.appendProblem(&problem{sqlState: stateProtocolViolation, message: reason.Error(), fatal: true})
+	case errors.Is(reason, errDrained), errors.Is(reason, errTerminating):
+		s.appendProblem(problemTerminated)
 	default:
 		return reason
 	}
@@ -265,46 +269,45 @@
 }
 
 // -----------------------------------------------------------------------------
-// Words to the caller.
+// Output to the caller.
 
-// flush sends what is waiting. A caller that does not read in time loses its
-// connection: what waits for it is bounded by the buffer here and that of the
-// system.
+// flush sends the output. A caller that does not read in time is disconnected:
+// unsent data is limited to the output and the buffer of the operating system.
 func (s *session) flush() error {
-	if len(s.work.out) == 0 {
+	if len(s.workspace.output) == 0 {
 		return nil
 	}
-	s.moveWriteDeadline()
-	_, err := s.conn.Write(s.work.out)
-	s.resetOut()
+	s.extendWriteDeadline()
+	_, err := s.conn.Write(s.workspace.output)
+	s.resetOutput()
 	return err
 }
 
-// moveWriteDeadline gives the caller once to twice the time that it has to take
-// what is sent. Moving the deadline now and then only is cheaper.
-func (s *session) moveWriteDeadline() {
-	limit := s.edge.options.WriteTimeout
+// extendWriteDeadline gives the caller once to twice the write timeout. The
+// deadline is not moved with every write, because setting it costs time.
+func (s *session) extendWriteDeadline() {
+	timeout := s.server.options.WriteTimeout
 	now := time.Now()
-	if s.writeUntil.Sub(now) >= limit {
+	if s.writeDeadline.Sub(now) >= timeout {
 		return
 	}
-	s.writeUntil = now.Add(2 * limit)
-	_ = s.conn.SetWriteDeadline(s.writeUntil)
+	s.writeDeadline = now.Add(2 * timeout)
+	_ = s.conn.SetWriteDeadline(s.writeDeadline)
 }
 
-// say appends an error.
-func (s *session) say(p *problem) { s.work.out = p.encode(s.work.out) }
+// appendProblem appends an error to the output.
+func (s *session) appendProblem(p *problem) { s.workspace.output = p.encode(s.workspace.output) }
 
-// ready appends ReadyForQuery.
-func (s *session) ready(status byte) {
-	s.work.out = append(s.work.out, 'Z', 0, 0, 0, 5, status)
+// appendReady appends a ReadyForQuery to the output.
+func (s *session) appendReady(status byte) {
+	s.workspace.output = append(s.workspace.output, 'Z', 0, 0, 0, 5, status)
 }
 
-// answerProblem refuses a batch with an error and goes on.
+// answerProblem rejects a batch with an error; the session continues.
 func (s *session) answerProblem(p *problem, status byte) error {
-	s.resetOut()
-	s.say(p)
-	s.ready(status)
+	s.resetOutput()
+	s.appendProblem(p)
+	s.appendReady(status)
 	return s.flush()
 }
 
--- a/internal/edge/caller/session_test.go
+++ b/internal/edge/caller/session_test.go
@@ -10,24 +10,24 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/message"
 )
 
-// TestConversations gives what a caller sends, by simple queries, and what it
-// gets back. What reaches the database is in ran.
+// TestConversations sends simple queries and checks the answers and the
+// statements that reach the database.
 func TestConversations(t *testing.T) {
 	cases := []struct {
-		name string
-		say  []string
-		want [][]string
-		ran  []string
+		name     string
+		queries  []string
+		want     [][]string
+		executed []string
 	}{
-		{"nothing", []string{"", " ; ", "-- a comment"}, [][]string{{"empty", "ready I"}, {"empty", "ready I"}, {"empty", "ready I"}}, nil},
+		{"no statement", []string{"", " ; ", "-- a comment"}, [][]string{{"empty", "ready I"}, {"empty", "ready I"}, {"empty", "ready I"}}, nil},
 		{
-			"own settings",
+			"proxy settings",
 			[]string{"SET eelgrassfold.kind = 'post'", "SHOW eelgrassfold.kind", "RESET eelgrassfold.kind", "SHOW eelgrassfold.kind"},
 			[][]string{{"SET", "ready I"}, {"row post", "SHOW", "ready I"}, {"RESET", "ready I"}, {"row ", "SHOW", "ready I"}},
 			nil,
 		},
 		{
-			"unknown own setting",
+			"unknown proxy setting",
 			[]string{"SET eelgrassfold.rank = '1'", "SHOW eelgrassfold.rank", "SET eelgrassfold.key = 'a'"},
 			[][]string{{"ERROR 22023", "ready I"}, {"ERROR 22023", "ready I"}, {"ERROR 22023", "ready I"}},
 			nil,
@@ -57,7 +57,7 @@
 			[]string{"select a"},
 		},
 		{"listen", []string{"LISTEN a"}, [][]string{{"ERROR 0A000", "ready I"}}, nil},
-		{"several", []string{"SELECT 1; SELECT 2"}, [][]string{{"row SELECT 1; SELECT 2", "SELECT 1", "ready I"}}, []string{"SELECT 1; SELECT 2"}},
+		{"several statements", []string{"SELECT 1; SELECT 2"}, [][]string{{"row SELECT 1; SELECT 2", "SELECT 1", "ready I"}}, []string{"SELECT 1; SELECT 2"}},
 		{
 			"token",
 			[]string{"INSERT x", "SHOW eelgrassfold.token"},
@@ -71,13 +71,13 @@
 			nil,
 		},
 		{
-			"problem in a transaction",
+			"error in a transaction",
 			[]string{"BEGIN", "SET eelgrassfold.rank = '1'", "INSERT x", "COMMIT", "select a"},
 			[][]string{{"BEGIN", "ready T"}, {"ERROR 22023", "ready E"}, {"ERROR 25P02", "ready E"}, {"ROLLBACK", "ready I"}, {"row select a", "SELECT 1", "ready I"}},
 			[]string{"BEGIN", "select a"},
 		},
 		{
-			"unannounced transaction",
+			"transaction opened by a later statement",
 			[]string{"SELECT 1; BEGIN", "INSERT x", "COMMIT"},
 			[][]string{{"BEGIN", "ready T"}, {"INSERT 0 1", "ready T"}, {"COMMIT", "eelgrassfold.token ratings/7:101", "ready I"}},
 			[]string{"SELECT 1; BEGIN", "INSERT x", "COMMIT"},
@@ -85,89 +85,89 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t)
-			b.db.on("", func(c *fakeConn) { c.standard("", true) })
-			b.db.on("SELECT 1; BEGIN", func(c *fakeConn) { c.status = 'T'; c.shown(); c.complete("BEGIN") })
-			caller := startRaw(t, b)
+			setup := newTestSetup(t)
+			setup.db.answerWith("", func(c *fakeConn) { c.answerDefault("", true) })
+			setup.db.answerWith("SELECT 1; BEGIN", func(c *fakeConn) { c.transactionStatus = 'T'; c.sendPosition(); c.sendComplete("BEGIN") })
+			caller := startRaw(t, setup)
 			var got [][]string
-			for _, text := range test.say {
+			for _, text := range test.queries {
 				got = append(got, caller.query(text))
 			}
 			if diff := cmp.Diff(test.want, got); diff != "" {
 				t.Error(diff)
 			}
-			if diff := cmp.Diff(test.ran, b.db.statements()); diff != "" {
+			if diff := cmp.Diff(test.executed, setup.db.statements()); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// TestSettingsFollow checks that a session's settings are in force on each
-// connection that serves it, and on none that serves another.
-func TestSettingsFollow(t *testing.T) {
-	b := newBench(t)
-	b.setDatabases(1)
-	first, second := startRaw(t, b), startRaw(t, b)
+// TestSettingsReplayed checks that the settings of a session apply on each
+// connection that serves it, and on none that serves another session.
+func TestSettingsReplayed(t *testing.T) {
+	setup := newTestSetup(t)
+	setup.setDatabases(1)
+	first, second := startRaw(t, setup), startRaw(t, setup)
 	first.query("SET search_path = dinghies")
 	second.query("select a")
 	first.query("select b")
 	first.query("select c")
 	second.query("select d")
 	want := []string{"SET search_path = dinghies", "select a", "SET search_path = dinghies", "select b", "select c", "select d"}
-	if diff := cmp.Diff(want, b.db.statements()); diff != "" {
+	if diff := cmp.Diff(want, setup.db.statements()); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(2, b.db.resets()); diff != "" {
+	if diff := cmp.Diff(2, setup.db.resets()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestSettingsShared checks that sessions with the same settings share a
+// TestSettingsShared checks that sessions with equal settings share a
 // connection without a reset.
 func TestSettingsShared(t *testing.T) {
-	b := newBench(t)
-	b.setDatabases(1)
-	first, second := connect(t, b, "&search_path=dinghies"), connect(t, b, "&search_path=dinghies")
+	setup := newTestSetup(t)
+	setup.setDatabases(1)
+	first, second := connect(t, setup, "&search_path=dinghies"), connect(t, setup, "&search_path=dinghies")
 	for range 2 {
-		outcomeOf(t, b, first, "select a")
-		outcomeOf(t, b, second, "select b")
+		runStatement(t, setup, first, "select a")
+		runStatement(t, setup, second, "select b")
 	}
 	want := []string{"SET search_path = 'dinghies'", "select a", "select b", "select a", "select b"}
-	if diff := cmp.Diff(want, b.db.statements()); diff != "" {
+	if diff := cmp.Diff(want, setup.db.statements()); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(0, b.db.resets()); diff != "" {
+	if diff := cmp.Diff(0, setup.db.resets()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestHints checks what the core is told of a request.
+// TestHints checks the RequestArrived event for each kind of hint.
 func TestHints(t *testing.T) {
 	cases := []struct {
-		name, text string
-		want       message.RequestArrived
+		name, query string
+		want        message.RequestArrived
 	}{
 		{"none", "select a", message.RequestArrived{IdempotencyKey: "i1-1"}},
 		{
 			"comment", "select a /*kind='post',deadline='200ms',token='ratings%2F7:3'*/",
 			message.RequestArrived{IdempotencyKey: "i1-1", Kind: "post", Deadline: 200e6, TokenPosition: position(7, 3)},
 		},
-		{"comment ahead", "/*key='finish-12'*/ INSERT x", message.RequestArrived{IdempotencyKey: "finish-12", CallerSuppliedKey: true}},
+		{"comment before the statement", "/*key='finish-12'*/ INSERT x", message.RequestArrived{IdempotencyKey: "finish-12", CallerSuppliedKey: true}},
 		{"transaction", "BEGIN /*kind='post'*/", message.RequestArrived{IdempotencyKey: "i1-1", Kind: "post", Transaction: true}},
 		{"start transaction", "start transaction", message.RequestArrived{IdempotencyKey: "i1-1", Transaction: true}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			arrived := make(chan message.RequestArrived, 1)
-			b := newBench(t)
-			b.core.hook = func(event message.Event) bool {
+			setup := newTestSetup(t)
+			setup.core.hook = func(event message.Event) bool {
 				if one, ok := event.(message.RequestArrived); ok {
 					arrived <- one
 				}
 				return false
 			}
-			startRaw(t, b).query(test.text)
+			startRaw(t, setup).query(test.query)
 			test.want.Request, test.want.Session = 1, 1
 			if diff := cmp.Diff(test.want, <-arrived); diff != "" {
 				t.Error(diff)
@@ -176,7 +176,8 @@
 	}
 }
 
-// TestCopy turns down each kind of COPY that a database begins, and goes on.
+// TestCopy checks that each direction of COPY is rejected and that the session
+// continues.
 func TestCopy(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -188,21 +189,21 @@
 			c.backend.Flush()
 			message, _ := c.backend.Receive()
 			if _, failed := message.(*pgproto3.CopyFail); failed {
-				c.fail("57014", "copy failed")
+				c.sendError("57014", "copy failed")
 			}
 		}, []string{"ERROR 0A000", "ready I"}},
 		{"out", func(c *fakeConn) {
 			c.backend.Send(&pgproto3.CopyOutResponse{})
 			c.backend.Send(&pgproto3.CopyData{Data: []byte("a")})
 			c.backend.Send(&pgproto3.CopyDone{})
-			c.complete("COPY 1")
+			c.sendComplete("COPY 1")
 		}, []string{"ERROR 0A000", "ready I"}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t)
-			b.db.on("WITH a COPY", test.answer)
-			caller := startRaw(t, b)
+			setup := newTestSetup(t)
+			setup.db.answerWith("WITH a COPY", test.answer)
+			caller := startRaw(t, setup)
 			if diff := cmp.Diff(test.want, caller.query("WITH a COPY")); diff != "" {
 				t.Error(diff)
 			}
@@ -213,8 +214,8 @@
 	}
 }
 
-// TestExtended gives batches of the extended protocol.
-func TestExtended(t *testing.T) {
+// TestExtendedProtocol sends batches of the extended protocol.
+func TestExtendedProtocol(t *testing.T) {
 	parse := func(name, text string) pgproto3.FrontendMessage { return &pgproto3.Parse{Name: name, Query: text} }
 	bind := func(name string) pgproto3.FrontendMessage { return &pgproto3.Bind{PreparedStatement: name} }
 	execute, sync := &pgproto3.Execute{}, &pgproto3.Sync{}
@@ -236,7 +237,7 @@
 			[][]string{{"parsed", "ready I"}, append([]string{"bound"}, row...), append([]string{"parsed", "bound"}, row...)},
 		},
 		{
-			"two names for one text",
+			"two names for the same text",
 			[][]pgproto3.FrontendMessage{{parse("s", "select a"), parse("r", "select a"), bind("r"), execute, sync}},
 			[][]string{append([]string{"parsed", "parsed", "bound"}, row...)},
 		},
@@ -247,7 +248,7 @@
 		}, [][]string{{"parsed", "ready I"}, {"closed", "ready I"}, {"ERROR 26000", "ready I"}}},
 		{"unknown unnamed", [][]pgproto3.FrontendMessage{{bind(""), execute, sync}}, [][]string{{"ERROR 26000", "ready I"}}},
 		{
-			"own setting",
+			"proxy setting",
 			[][]pgproto3.FrontendMessage{{parse("", "SET eelgrassfold.kind = 'post'"), bind(""), execute, sync}},
 			[][]string{{"parsed", "bound", "SET", "ready I"}},
 		},
@@ -266,7 +267,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			caller := startRaw(t, newBench(t))
+			caller := startRaw(t, newTestSetup(t))
 			var got [][]string
 			for _, batch := range test.batches {
 				caller.send(batch...)
@@ -279,18 +280,18 @@
 	}
 }
 
-// TestLimits sends more than a session may.
+// TestLimits exceeds each limit of a session.
 func TestLimits(t *testing.T) {
-	small := func(_ *bench, options *Options) { options.MaxMessageSize = 1000 }
+	small := func(_ *testSetup, options *Options) { options.MaxMessageSize = 1000 }
 	long := strings.Repeat("x", 2000)
 	t.Run("message", func(t *testing.T) {
-		caller := startRaw(t, newBench(t, small))
+		caller := startRaw(t, newTestSetup(t, small))
 		if diff := cmp.Diff([]string{"FATAL 08P01"}, caller.query(long)); diff != "" {
 			t.Error(diff)
 		}
 	})
 	t.Run("batch", func(t *testing.T) {
-		caller := startRaw(t, newBench(t, small))
+		caller := startRaw(t, newTestSetup(t, small))
 		for range 3 {
 			caller.send(&pgproto3.Parse{Query: long[:500]})
 		}
@@ -300,16 +301,16 @@
 		}
 	})
 	t.Run("sessions", func(t *testing.T) {
-		b := newBench(t, func(_ *bench, options *Options) { options.MaxSessions = 1 })
-		startRaw(t, b)
-		caller := dialRaw(t, b)
+		setup := newTestSetup(t, func(_ *testSetup, options *Options) { options.MaxSessions = 1 })
+		startRaw(t, setup)
+		caller := dialRaw(t, setup)
 		caller.send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: map[string]string{"user": "a"}})
 		if diff := cmp.Diff([]string{"FATAL 53300"}, caller.answer()); diff != "" {
 			t.Error(diff)
 		}
 	})
 	t.Run("statements", func(t *testing.T) {
-		caller := startRaw(t, newBench(t))
+		caller := startRaw(t, newTestSetup(t))
 		caller.send(&pgproto3.Parse{Name: "s", Query: strings.Repeat(long, 600)}, &pgproto3.Sync{})
 		if diff := cmp.Diff([]string{"ERROR 53400", "ready I"}, caller.answer()); diff != "" {
 			t.Error(diff)
@@ -317,12 +318,12 @@
 	})
 }
 
-// TestStatementsApart checks that no session reaches what another has prepared
-// on the connection that they share.
+// TestStatementsApart checks that a session cannot use statements that
+// another one prepared on the connection they share.
 func TestStatementsApart(t *testing.T) {
-	b := newBench(t)
-	b.setDatabases(1)
-	first, second := startRaw(t, b), startRaw(t, b)
+	setup := newTestSetup(t)
+	setup.setDatabases(1)
+	first, second := startRaw(t, setup), startRaw(t, setup)
 	parse := &pgproto3.Parse{Name: "s", Query: "select a"}
 	first.send(parse, &pgproto3.Parse{Query: "select b"}, &pgproto3.Sync{})
 	first.answer()
--- a/internal/edge/caller/settings.go
+++ b/internal/edge/caller/settings.go
@@ -7,17 +7,18 @@
 )
 
 const (
-	// settingCount bounds the settings that a session keeps.
-	settingCount = 64
-	// settingBytes bounds the text of one of them, in bytes.
-	settingBytes = 1 << 10
+	// maxSettings is the maximum number of settings that a session keeps.
+	maxSettings = 64
+	// maxSettingBytes is the maximum length of a SET statement that is kept, in
+	// bytes.
+	maxSettingBytes = 1 << 10
 )
 
-// settings holds what a caller has set by SET outside of transactions, to be
-// set again on each backend connection that serves it.
+// settings holds what a caller has set by SET outside transactions. It is set
+// again on each backend connection that serves the caller.
 type settings struct {
 	list []setting
-	// joined is the text of all of them, which names their state.
+	// joined is the text of all statements. Equal texts mean equal settings.
 	joined string
 }
 
@@ -27,15 +28,15 @@
 	text string
 }
 
-func (s *settings) put(one setting) {
+func (s *settings) put(added setting) {
 	defer s.join()
 	for i := range s.list {
-		if s.list[i].name == one.name {
-			s.list[i] = one
+		if s.list[i].name == added.name {
+			s.list[i] = added
 			return
 		}
 	}
-	s.list = append(s.list, one)
+	s.list = append(s.list, added)
 }
 
 func (s *settings) drop(name string) {
@@ -58,17 +59,17 @@
 	s.joined = strings.Join(texts, ";")
 }
 
-func (s *settings) hasRoom(one setting) bool {
-	return len(s.list) < settingCount && len(one.text) <= settingBytes
+func (s *settings) hasRoom(added setting) bool {
+	return len(s.list) < maxSettings && len(added.text) <= maxSettingBytes
 }
 
 // -----------------------------------------------------------------------------
-// On backend connections.
+// Settings on backend connections.
 
-// replay puts the session's settings in force on a connection. It returns the
-// database's error as a problem where one is refused, or an error where the
-// connection is of no use. Nothing of the caller's work was sent by then.
-func (s *session) replay(conn *database.Conn) (*problem, error) {
+// replaySettings sets the settings of the session on a connection. It returns a
+// problem if the database rejects one of them, and an error if the connection
+// is unusable. Nothing of the caller's batch was sent before.
+func (s *session) replaySettings(conn *database.Conn) (*problem, error) {
 	state := &conn.State
 	if state.CallerSettings == s.settings.joined && !state.NeedsReset {
 		return nil, nil
@@ -79,63 +80,63 @@
 	if len(s.settings.list) == 0 {
 		return nil, nil
 	}
-	o := &s.work.outgoing
+	o := &s.workspace.outgoing
 	o.reset()
 	if state.NeedsReset {
-		o.query("DISCARD ALL")
-		forget(state)
+		o.appendSetupQuery("DISCARD ALL")
+		clearState(state)
 	}
 	for _, one := range s.settings.list {
-		o.query(one.text)
+		o.appendSetupQuery(one.text)
 	}
 	state.CallerSettings = s.settings.joined
-	return s.runPreludes(conn, o)
+	return s.runSetupQueries(conn, o)
 }
 
-// runPreludes sends the proxy's own queries and waits for their answers.
-func (s *session) runPreludes(conn *database.Conn, o *outgoing) (*problem, error) {
+// runSetupQueries sends setup queries of the proxy and reads their answers.
+func (s *session) runSetupQueries(conn *database.Conn, o *outgoing) (*problem, error) {
 	_, err := conn.Write(o.bytes, sendTimeout)
 	if err != nil {
 		return nil, err
 	}
-	y := &relay{s: s, o: o}
-	var refused *problem
+	rl := &relay{session: s, outgoing: o}
+	var rejection *problem
 	_ = conn.SetReadDeadline(deadlineIn(sendTimeout))
-	for o.preludes > 0 {
+	for o.pendingSetupQueries > 0 {
 		frame, err := conn.Reader.Next()
 		if err != nil {
 			return nil, err
 		}
-		if frame.Type == 'E' && refused == nil {
-			refused = databaseProblem(frame)
+		if frame.Type == 'E' && rejection == nil {
+			rejection = databaseProblem(frame)
 			conn.State.NeedsReset = true
 		}
-		y.takePrelude(frame)
+		rl.handleSetupQueryFrame(frame)
 	}
-	return refused, nil
+	return rejection, nil
 }
 
-// keepSetting remembers a SET of the caller that a database has accepted.
-func (s *session) keepSetting(r *request, b *batch) {
-	command := b.command()
-	if command == nil || r.status != statusIdle || !r.first || !b.runs() {
+// rememberSetting stores a SET of the caller that a database has accepted.
+func (s *session) rememberSetting(r *request, b *batch) {
+	cmd := b.command()
+	if cmd == nil || r.transactionStatus != statusIdle || !r.firstBatch || !b.executes() {
 		return
 	}
-	if command.verb != verbSet {
+	if cmd.kind != commandSet {
 		return
 	}
-	s.settings.put(setting{name: command.name, text: command.text})
+	s.settings.put(setting{name: cmd.name, text: cmd.text})
 	if r.conn != nil {
 		r.conn.State.CallerSettings = s.settings.joined
 	}
 }
 
-// isSetting reports whether the batch is a SET that the session keeps by
-// itself, so that the connection need not be reset for it.
-func (b *batch) isSetting() bool {
-	command := b.command()
-	return command != nil && command.verb == verbSet
+// isSet reports whether the batch is a SET. The session keeps track of it, so
+// the connection need not be reset because of it.
+func (b *batch) isSet() bool {
+	cmd := b.command()
+	return cmd != nil && cmd.kind == commandSet
 }
 
-// settingName normalises the name of a setting.
+// settingName normalizes the name of a setting.
 func settingName(name string) string { return strings.ToLower(strings.Trim(name, "\"")) }
--- a/internal/edge/caller/sql.go
+++ b/internal/edge/caller/sql.go
@@ -2,55 +2,55 @@
 
 import "strings"
 
-// traits is what the proxy wants to know of a statement's text. It errs in the
-// safe direction: words inside of literals count like any other.
+// traits holds the properties of a statement's text that the proxy acts on.
+// They are conservative: words inside literals count like any others.
 type traits struct {
-	// first and second are the leading keywords in upper case; empty where
-	// there is none or it is longer than any that matters.
-	first, second string
-	// commits says that the text may end a transaction by a commit.
+	// firstWord and secondWord are the leading words in upper case; empty if
+	// there is none or it is longer than maxWordLength.
+	firstWord, secondWord string
+	// commits is true if the text may commit a transaction.
 	commits bool
-	// leavesState says that the text may leave state on the connection that
-	// outlasts the transaction.
+	// leavesState is true if the text may leave state on the connection that
+	// outlives the transaction.
 	leavesState bool
-	// several says that more than one statement follows.
-	several bool
+	// multipleStatements is true if the text has more than one statement.
+	multipleStatements bool
 }
 
 // opensTransaction reports whether the text begins with BEGIN or START
 // TRANSACTION.
 func (t traits) opensTransaction() bool {
-	return t.first == "BEGIN" || t.first == "START" && t.second == "TRANSACTION"
+	return t.firstWord == "BEGIN" || t.firstWord == "START" && t.secondWord == "TRANSACTION"
 }
 
 // endsTransaction reports whether the text begins with a statement that ends a
-// transaction, also one that has failed.
+// transaction, including one that has failed.
 func (t traits) endsTransaction() bool {
-	switch t.first {
+	switch t.firstWord {
 	case "COMMIT", "END", "ABORT":
 		return true
 	case "ROLLBACK":
-		return t.second != "TO"
+		return t.secondWord != "TO"
 	}
 	return false
 }
 
-// join adds what a further statement of the same batch does.
-func (t traits) join(other traits) traits {
-	if t.first == "" {
-		t.first, t.second = other.first, other.second
+// merge adds the traits of the next statement of the same batch.
+func (t traits) merge(other traits) traits {
+	if t.firstWord == "" {
+		t.firstWord, t.secondWord = other.firstWord, other.secondWord
 	} else {
-		t.several = true
+		t.multipleStatements = true
 	}
 	t.commits = t.commits || other.commits
 	t.leavesState = t.leavesState || other.leavesState
-	t.several = t.several || other.several
+	t.multipleStatements = t.multipleStatements || other.multipleStatements
 	return t
 }
 
-// stateless lists the keywords that begin a statement which leaves no state on
-// the connection, provided that none of stateWords is in it.
-var stateless = map[string]bool{
+// statelessKeywords lists the keywords of statements that leave no state on the
+// connection, provided that they contain none of stateWords.
+var statelessKeywords = map[string]bool{
 	"SELECT": true, "INSERT": true, "UPDATE": true, "DELETE": true, "MERGE": true,
 	"VALUES": true, "WITH": true, "TABLE": true, "SHOW": true, "EXPLAIN": true,
 	"BEGIN": true, "START": true, "COMMIT": true, "END": true, "ROLLBACK": true,
@@ -65,22 +65,23 @@
 	"SETSEED": true, "DBLINK_CONNECT": true, "PREPARE": true, "EXECUTE": true,
 }
 
-// commitWords lists the words without which no transaction commits.
+// commitWords lists the words of which a text must contain one to commit an open
+// transaction.
 var commitWords = map[string]bool{"COMMIT": true, "END": true, "PREPARE": true}
 
-// wordLimit is above the length of the longest word in the lists, in bytes.
-const wordLimit = 32
+// maxWordLength exceeds the length of the longest word in the lists, in bytes.
+const maxWordLength = 32
 
-// scan reads the traits of a text in one pass.
-func scan(text string) traits {
+// scanTraits determines the traits of a text in one pass.
+func scanTraits(text string) traits {
 	var t traits
-	var upper [wordLimit]byte
-	statements := 0
-	words := 0
+	var upper [maxWordLength]byte
+	statementCount := 0
+	wordCount := 0
 	rest := skipBlank(text)
 	for rest != "" {
 		if rest[0] == ';' {
-			words = 0
+			wordCount = 0
 			rest = skipBlank(rest[1:])
 			continue
 		}
@@ -91,32 +92,32 @@
 		n := wordLength(rest)
 		word := upperWord(rest[:n], &upper)
 		rest = rest[n:]
-		words++
-		if words == 1 {
-			statements++
-			t.leavesState = t.leavesState || !stateless[string(word)]
+		wordCount++
+		if wordCount == 1 {
+			statementCount++
+			t.leavesState = t.leavesState || !statelessKeywords[string(word)]
 		}
-		t.note(word, statements, words)
-		if words == 1 {
+		t.addWord(word, statementCount, wordCount)
+		if wordCount == 1 {
 			rest = skipBlank(rest)
 		}
 	}
-	t.several = statements > 1
+	t.multipleStatements = statementCount > 1
 	return t
 }
 
-func (t *traits) note(word []byte, statement, place int) {
-	if statement == 1 && place == 1 {
-		t.first = keyword(word)
+func (t *traits) addWord(word []byte, statementIndex, wordIndex int) {
+	if statementIndex == 1 && wordIndex == 1 {
+		t.firstWord = keyword(word)
 	}
-	if statement == 1 && place == 2 {
-		t.second = keyword(word)
+	if statementIndex == 1 && wordIndex == 2 {
+		t.secondWord = keyword(word)
 	}
 	t.commits = t.commits || commitWords[string(word)]
 	t.leavesState = t.leavesState || stateWords[string(word)]
 }
 
-// keywords interns the words that first and second are compared with.
+// keywords interns the words that firstWord and secondWord are compared with.
 var keywords = map[string]string{
 	"BEGIN": "BEGIN", "START": "START", "TRANSACTION": "TRANSACTION",
 	"COMMIT": "COMMIT", "END": "END", "ROLLBACK": "ROLLBACK", "ABORT": "ABORT",
@@ -133,7 +134,7 @@
 	return string(word)
 }
 
-// skipBlank skips white space, comments and opening brackets.
+// skipBlank skips white space, comments and opening parentheses.
 func skipBlank(text string) string {
 	for {
 		text = strings.TrimLeft(text, " \t\r\n\f\v(")
@@ -148,8 +149,8 @@
 	}
 }
 
-// commentLength returns the length of the comment that text begins with;
-// comments nest.
+// commentLength returns the length of the comment at the start of text.
+// Comments nest.
 func commentLength(text string) int {
 	depth := 0
 	for i := 0; i+1 < len(text); i++ {
@@ -181,10 +182,10 @@
 	return len(text)
 }
 
-// upperWord returns the word in upper case, or nothing where it is longer than
-// any that matters.
-func upperWord(word string, into *[wordLimit]byte) []byte {
-	if len(word) > wordLimit {
+// upperWord returns the word in upper case, or nil if it is longer than
+// maxWordLength.
+func upperWord(word string, buffer *[maxWordLength]byte) []byte {
+	if len(word) > maxWordLength {
 		return nil
 	}
 	for i := 0; i < len(word); i++ {
@@ -192,7 +193,7 @@
 		if b >= 'a' && b <= 'z' {
 			b -= 'a' - 'A'
 		}
-		into[i] = b
+		buffer[i] = b
 	}
-	return into[:len(word)]
+	return buffer[:len(word)]
 }
--- a/internal/edge/caller/standin_test.go
+++ b/internal/edge/caller/standin_test.go
@@ -16,7 +16,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"github.com/jackc/pgx/v5"
 	"github.com/jackc/pgx/v5/pgproto3"
-	// The driver for database/sql.
+	// Registers the driver for database/sql.
 	_ "github.com/jackc/pgx/v5/stdlib"
 
 	"github.com/eelgrassfold/eelgrassfold/internal/core/message"
@@ -25,48 +25,49 @@
 	standin "github.com/eelgrassfold/eelgrassfold/internal/standin/database"
 )
 
-// newStandinBench starts an edge before a stand-in database.
-func newStandinBench(t testing.TB, connections int) (*Server, *standin.Database) {
+// startSimulatedDatabase starts a simulated database and a server in front of
+// it.
+func startSimulatedDatabase(t testing.TB, connections int) (*Server, *standin.Database) {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
-	any := netip.MustParseAddrPort("127.0.0.1:0")
-	db := standin.NewDatabase(standin.Options{
-		Name: testDatabase, Group: testGroup, Listen: any, AdminListen: any,
+	anyAddress := netip.MustParseAddrPort("127.0.0.1:0")
+	simulated := standin.NewDatabase(standin.Options{
+		Name: testDatabase, Group: testGroup, Listen: anyAddress, AdminListen: anyAddress,
 		Slots: connections, Connections: connections + 10, Primary: true, Term: 7,
 	})
-	dbGone, err := db.Start(ctx)
+	databaseStopped, err := simulated.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	pool := database.NewPool(database.PoolOptions{User: "eelgrassfold"}, logr.Discard())
-	poolGone, err := pool.Start(ctx)
+	poolStopped, err := pool.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	pool.HandleAction(message.SetDatabases{Databases: []message.DatabaseTarget{{
-		Database: testDatabase, Group: testGroup, Address: db.Address(), Connections: connections,
+		Database: testDatabase, Group: testGroup, Address: simulated.Address(), Connections: connections,
 	}}})
 	core := &fakeCore{
-		keys:     map[model.RequestID]string{},
-		ended:    make(chan message.AttemptEnded),
-		quiet:    true,
-		dispatch: message.Dispatch{Database: testDatabase, Term: 7, HoldUntilDurable: true, Access: model.AccessWrite},
+		keys:          map[model.RequestID]string{},
+		ended:         make(chan message.AttemptEnded),
+		discardEvents: true,
+		dispatch:      message.Dispatch{Database: testDatabase, Term: 7, HoldUntilDurable: true, Access: model.AccessWrite},
 	}
-	edge := NewServer(Options{ListenAddress: any, IdempotencyKeyPrefix: "i1", Trust: true}, pool, core, logr.Discard())
-	core.edge = edge
-	edge.HandleAction(message.SetDurablePosition{Group: testGroup, Position: model.Position{Term: 7, Offset: 1 << 60}})
-	edgeGone, err := edge.Start(ctx)
+	server := NewServer(Options{ListenAddress: anyAddress, IdempotencyKeyPrefix: "i1", Trust: true}, pool, core, logr.Discard())
+	core.server = server
+	server.HandleAction(message.SetDurablePosition{Group: testGroup, Position: model.Position{Term: 7, Offset: 1 << 60}})
+	serverStopped, err := server.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		stop()
-		<-edgeGone
-		<-poolGone
-		for range dbGone {
+		<-serverStopped
+		<-poolStopped
+		for range databaseStopped {
 		}
 	})
-	return edge, db
+	return server, simulated
 }
 
 func dial(t testing.TB, address netip.AddrPort) *pgx.Conn {
@@ -79,11 +80,12 @@
 	return conn
 }
 
-// TestStandin writes and reads through the edge before a stand-in database.
-func TestStandin(t *testing.T) {
-	edge, _ := newStandinBench(t, 3)
+// TestSimulatedDatabase writes and reads through the server at a simulated
+// database.
+func TestSimulatedDatabase(t *testing.T) {
+	server, _ := startSimulatedDatabase(t, 3)
 	ctx := context.Background()
-	conn := dial(t, edge.Address())
+	conn := dial(t, server.Address())
 	tx, err := conn.Begin(ctx)
 	if err != nil {
 		t.Fatal(err)
@@ -101,8 +103,8 @@
 	if diff := cmp.Diff("1", got); err != nil || diff != "" {
 		t.Fatal(err, diff)
 	}
-	_, err = conn.PgConn().CopyTo(ctx, discard{}, "COPY kv TO STDOUT")
-	if diff := cmp.Diff("0A000", stateOf(err)); diff != "" {
+	_, err = conn.PgConn().CopyTo(ctx, discardWriter{}, "COPY kv TO STDOUT")
+	if diff := cmp.Diff("0A000", sqlStateOf(err)); diff != "" {
 		t.Error(diff)
 	}
 	err = conn.QueryRow(ctx, "SELECT value FROM kv WHERE key = $1", "a").Scan(&got)
@@ -111,10 +113,10 @@
 	}
 }
 
-// openSQL opens the edge by database/sql with ordinary settings.
-func openSQL(t *testing.T, edge *Server) *sql.DB {
+// openSQL connects database/sql to the server with default settings.
+func openSQL(t *testing.T, server *Server) *sql.DB {
 	t.Helper()
-	pool, err := sql.Open("pgx", "postgres://officer@"+edge.Address().String()+"/ratings?sslmode=disable")
+	pool, err := sql.Open("pgx", "postgres://officer@"+server.Address().String()+"/ratings?sslmode=disable")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,13 +124,13 @@
 	return pool
 }
 
-// TestStandinSQL runs transactions of database/sql through the edge: what is
-// committed can be read, what is rolled back can't, and an error leaves the
-// connection usable.
-func TestStandinSQL(t *testing.T) {
-	edge, _ := newStandinBench(t, 3)
-	pool, ctx := openSQL(t, edge), context.Background()
-	for _, ending := range []func(*sql.Tx) error{(*sql.Tx).Rollback, (*sql.Tx).Commit} {
+// TestSimulatedDatabaseSQL runs transactions of database/sql through the
+// server. Committed data must be readable, rolled back data must not be, and an
+// error must leave the connection usable.
+func TestSimulatedDatabaseSQL(t *testing.T) {
+	server, _ := startSimulatedDatabase(t, 3)
+	pool, ctx := openSQL(t, server), context.Background()
+	for _, end := range []func(*sql.Tx) error{(*sql.Tx).Rollback, (*sql.Tx).Commit} {
 		tx, err := pool.BeginTx(ctx, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -141,13 +143,13 @@
 		if _, err = tx.ExecContext(ctx, "INSERT INTO kv (key, value) VALUES ($1, $2)", "boat", "4.5"); err != nil {
 			t.Fatal(err)
 		}
-		if err = ending(tx); err != nil {
+		if err = end(tx); err != nil {
 			t.Fatal(err)
 		}
 	}
 	_, err := pool.ExecContext(ctx, "SELECT value FROM nowhere")
-	if stateOf(err) == "" {
-		t.Error("no SQLSTATE: ", err)
+	if sqlStateOf(err) == "" {
+		t.Error("the error has no SQLSTATE: ", err)
 	}
 	var got string
 	err = pool.QueryRowContext(ctx, "SELECT value FROM kv WHERE key = $1", "boat").Scan(&got)
@@ -156,11 +158,11 @@
 	}
 }
 
-// TestStandinSQLPrepared runs one prepared statement of database/sql from many
-// goroutines, over more connections than there are to the database.
-func TestStandinSQLPrepared(t *testing.T) {
-	edge, _ := newStandinBench(t, 3)
-	pool, ctx := openSQL(t, edge), context.Background()
+// TestSimulatedDatabaseSQLPrepared runs one prepared statement of database/sql
+// from more goroutines than there are connections to the database.
+func TestSimulatedDatabaseSQLPrepared(t *testing.T) {
+	server, _ := startSimulatedDatabase(t, 3)
+	pool, ctx := openSQL(t, server), context.Background()
 	if _, err := pool.ExecContext(ctx, "INSERT INTO kv (key, value) VALUES ($1, $2)", "boat", "4.5"); err != nil {
 		t.Fatal(err)
 	}
@@ -185,37 +187,37 @@
 	}
 	running.Wait()
 	close(values)
-	counted := map[string]int{}
+	counts := map[string]int{}
 	for got := range values {
-		counted[got]++
+		counts[got]++
 	}
-	if diff := cmp.Diff(map[string]int{"4.5": clients * rounds}, counted); diff != "" {
+	if diff := cmp.Diff(map[string]int{"4.5": clients * rounds}, counts); diff != "" {
 		t.Error(diff)
 	}
 }
 
-type discard struct{}
+type discardWriter struct{}
 
-func (discard) Write(b []byte) (int, error) { return len(b), nil }
+func (discardWriter) Write(b []byte) (int, error) { return len(b), nil }
 
 // -----------------------------------------------------------------------------
-// Measurements.
+// Benchmarks.
 
 // BenchmarkStatements measures a short statement directly and through the
-// edge, with several connections at once.
+// server, on several connections at once.
 func BenchmarkStatements(b *testing.B) {
 	for _, clients := range []int{1, 16, 64} {
-		edge, db := newStandinBench(b, 60)
-		b.Run(name("direct", clients), func(b *testing.B) { benchmark(b, db.Address(), clients) })
-		b.Run(name("through", clients), func(b *testing.B) { benchmark(b, edge.Address(), clients) })
+		server, db := startSimulatedDatabase(b, 60)
+		b.Run(benchmarkName("direct", clients), func(b *testing.B) { benchmarkAddress(b, db.Address(), clients) })
+		b.Run(benchmarkName("through", clients), func(b *testing.B) { benchmarkAddress(b, server.Address(), clients) })
 	}
 }
 
-func name(way string, clients int) string {
-	return way + "-" + time.Duration(clients).String()[:len(time.Duration(clients).String())-2]
+func benchmarkName(route string, clients int) string {
+	return route + "-" + time.Duration(clients).String()[:len(time.Duration(clients).String())-2]
 }
 
-func benchmark(b *testing.B, address netip.AddrPort, clients int) {
+func benchmarkAddress(b *testing.B, address netip.AddrPort, clients int) {
 	conns := make([]*pgx.Conn, clients)
 	for i := range conns {
 		conns[i] = dial(b, address)
@@ -244,22 +246,22 @@
 	running.Wait()
 }
 
-// BenchmarkIdleMemory measures what an idle caller's connection takes in this
-// process: heap and stacks, with the caller's own end of it left out as far as a
-// bare socket allows.
+// BenchmarkIdleMemory measures the heap and stack memory of an idle caller's
+// connection in this process. The caller's end is a bare socket, to keep its
+// share small.
 func BenchmarkIdleMemory(b *testing.B) {
-	edge, _ := newStandinBench(b, 3)
+	server, _ := startSimulatedDatabase(b, 3)
 	const count = 2000
 	conns := make([]net.Conn, 0, count)
-	hello := startupPacket(0x30000, "user\x00a\x00database\x00ratings\x00\x00")
+	startup := startupPacket(0x30000, "user\x00a\x00database\x00ratings\x00\x00")
 	query, _ := (&pgproto3.Query{String: "SELECT 1"}).Encode(nil)
-	before := memory()
+	memoryBefore := memoryInUse()
 	for range count {
-		conn, err := net.Dial("tcp", edge.Address().String())
+		conn, err := net.Dial("tcp", server.Address().String())
 		if err != nil {
 			b.Fatal(err)
 		}
-		conn.Write(append(append([]byte(nil), hello...), query...))
+		conn.Write(append(append([]byte(nil), startup...), query...))
 		conns = append(conns, conn)
 		for ready := 0; ready < 2; {
 			var answer [4096]byte
@@ -270,13 +272,13 @@
 			ready += strings.Count(string(answer[:n]), "Z\x00\x00\x00\x05I")
 		}
 	}
-	b.ReportMetric(float64(memory()-before)/count, "B/connection")
+	b.ReportMetric(float64(memoryInUse()-memoryBefore)/count, "B/connection")
 	for _, conn := range conns {
 		conn.Close()
 	}
 }
 
-func memory() uint64 {
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/edge/caller/startup.go
+++ b/internal/edge/caller/startup.go
@@ -19,50 +19,50 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// The codes that begin a startup packet.
+// Codes at the start of a startup packet.
 const (
 	codeCancel    = 80877102
 	codeTLS       = 80877103
 	codeEncrypted = 80877104
-	// passwordLimit is the greatest message before a caller is known, in
-	// bytes.
-	passwordLimit = 4 << 10
-	// shortSecret and longSecret are the sizes of the secret of a cancel
+	// maxStartupMessageSize is the maximum size of a message from a caller that
+	// is not authenticated yet, in bytes.
+	maxStartupMessageSize = 4 << 10
+	// secretSize30 and secretSize32 are the sizes of the secret key of a cancel
 	// request in protocol 3.0 and 3.2, in bytes.
-	shortSecret = 4
-	longSecret  = 32
+	secretSize30 = 4
+	secretSize32 = 32
 )
 
-// hello is what a connection says first.
-type hello struct {
+// handshake is the state of a connection during its startup.
+type handshake struct {
 	conn    net.Conn
 	reader  *postgres.Reader
-	secured bool
-	// startup is nil where the connection brought a cancel request.
+	usesTLS bool
+	// startup is nil if the connection carried a cancel request.
 	startup *pgproto3.StartupMessage
 }
 
-// serve takes a connection from its first byte to its end.
-func (e *Server) serve(ctx context.Context, conn net.Conn) {
-	h := &hello{conn: conn, reader: postgres.NewReader(conn, passwordLimit)}
+// serve handles a connection from startup to close.
+func (srv *Server) serve(ctx context.Context, conn net.Conn) {
+	h := &handshake{conn: conn, reader: postgres.NewReader(conn, maxStartupMessageSize)}
 	stop := context.AfterFunc(ctx, func() { _ = conn.SetReadDeadline(aLongTimeAgo) })
-	s, err := e.greet(h)
+	s, err := srv.performStartup(h)
 	stop()
 	if err != nil {
-		e.note(event.SessionRefused, "address", conn.RemoteAddr().String(), "reason", err.Error())
+		srv.logEvent(event.SessionRefused, "address", conn.RemoteAddr().String(), "reason", err.Error())
 	}
 	if s != nil {
-		e.serveSession(ctx, s)
+		srv.serveSession(ctx, s)
 	}
 	h.reader.Close()
 	_ = h.conn.Close()
 }
 
-// serveSession runs a session that was let in.
-func (e *Server) serveSession(ctx context.Context, s *session) {
+// serveSession runs an admitted session.
+func (srv *Server) serveSession(ctx context.Context, s *session) {
 	sessionsOpen.Add(1)
-	e.note(event.SessionOpened, "session", s.id, "group", s.group, "caller", s.caller)
-	e.sink.Post(message.SessionOpened{
+	srv.logEvent(event.SessionOpened, "session", s.id, "group", s.group, "caller", s.caller)
+	srv.sink.Post(message.SessionOpened{
 		Session:       s.id,
 		Group:         s.group,
 		Caller:        s.caller,
@@ -70,43 +70,43 @@
 		Roaming:       s.hint.roaming,
 	})
 	reason := s.run(ctx)
-	e.remove(s)
-	e.sink.Post(message.SessionClosed{Session: s.id})
+	srv.removeSession(s)
+	srv.sink.Post(message.SessionClosed{Session: s.id})
 	sessionsOpen.Add(-1)
-	e.note(event.SessionClosed, "session", s.id, "reason", reason.Error())
+	srv.logEvent(event.SessionClosed, "session", s.id, "reason", reason.Error())
 }
 
-// greet goes through the startup, and returns the session that came of it, or
-// nil after a cancel request.
-func (e *Server) greet(h *hello) (*session, error) {
-	err := h.conn.SetDeadline(time.Now().Add(startTimeout))
+// performStartup handles the startup of a connection. It returns the new
+// session, or nil after a cancel request.
+func (srv *Server) performStartup(h *handshake) (*session, error) {
+	err := h.conn.SetDeadline(time.Now().Add(startupTimeout))
 	if err != nil {
 		return nil, err
 	}
-	err = e.readStartup(h)
+	err = srv.readStartup(h)
 	if err != nil || h.startup == nil {
 		return nil, err
 	}
-	s, refused := e.admit(h)
-	if refused != nil {
-		_, _ = h.conn.Write(refused.encode(nil))
-		return nil, &AuthenticationError{User: h.startup.Parameters["user"], Detail: refused.message}
+	s, rejection := srv.admit(h)
+	if rejection != nil {
+		_, _ = h.conn.Write(rejection.encode(nil))
+		return nil, &AuthenticationError{User: h.startup.Parameters["user"], Detail: rejection.message}
 	}
-	_, err = h.conn.Write(e.welcome(h, s))
+	_, err = h.conn.Write(srv.startupResponse(h, s))
 	if err == nil {
 		err = h.conn.SetDeadline(time.Time{})
 	}
 	if err != nil {
-		e.remove(s)
+		srv.removeSession(s)
 		return nil, err
 	}
-	h.reader.SetLimit(e.options.MaxMessageSize)
+	h.reader.SetLimit(srv.options.MaxMessageSize)
 	return s, nil
 }
 
 // readStartup reads startup packets until one is a startup message or a cancel
 // request.
-func (e *Server) readStartup(h *hello) error {
+func (srv *Server) readStartup(h *handshake) error {
 	for {
 		body, err := h.reader.NextStartupPacket()
 		if err != nil {
@@ -117,19 +117,19 @@
 			var request pgproto3.CancelRequest
 			err = request.Decode(body)
 			if err == nil {
-				e.cancel(request.ProcessID, request.SecretKey)
+				srv.cancelSessionRequest(request.ProcessID, request.SecretKey)
 			}
 			return err
 		case codeTLS:
-			err = e.secure(h)
+			err = srv.startTLS(h)
 		case codeEncrypted:
 			_, err = h.conn.Write([]byte{'N'})
 		case pgproto3.ProtocolVersion30, pgproto3.ProtocolVersion32:
 			h.startup = &pgproto3.StartupMessage{}
 			return h.startup.Decode(body)
 		default:
-			refusal := problem{state: stateProtocolViolation, message: "unsupported protocol version", fatal: true}
-			_, _ = h.conn.Write(refusal.encode(nil))
+			rejection := problem{sqlState: stateProtocolViolation, message: "unsupported protocol version", fatal: true}
+			_, _ = h.conn.Write(rejection.encode(nil))
 			return &ProtocolError{Detail: "unsupported protocol version"}
 		}
 		if err != nil {
@@ -138,13 +138,14 @@
 	}
 }
 
-// secure answers a request for TLS.
-func (e *Server) secure(h *hello) error {
-	if e.options.TLS == nil || h.secured {
+// startTLS answers a request for TLS and performs the TLS handshake.
+func (srv *Server) startTLS(h *handshake) error {
+	if srv.options.TLS == nil || h.usesTLS {
 		_, err := h.conn.Write([]byte{'N'})
 		return err
 	}
-	// Bytes sent ahead of the handshake could have been put there by others.
+	// Data sent before the TLS handshake could have been injected by an
+	// attacker.
 	if h.reader.Buffered() > 0 {
 		return &ProtocolError{Detail: "unencrypted data after the request for TLS"}
 	}
@@ -152,102 +153,103 @@
 	if err != nil {
 		return err
 	}
-	secured := tls.Server(h.conn, e.options.TLS)
-	err = secured.Handshake()
+	tlsConn := tls.Server(h.conn, srv.options.TLS)
+	err = tlsConn.Handshake()
 	if err != nil {
 		return err
 	}
-	h.conn = secured
-	h.reader.SetSource(secured)
-	h.secured = true
+	h.conn = tlsConn
+	h.reader.SetSource(tlsConn)
+	h.usesTLS = true
 	return nil
 }
 
-// admit decides whether a caller may have a session.
-func (e *Server) admit(h *hello) (*session, *problem) {
-	if e.draining.Load() {
-		return nil, problemEnding
+// admit authenticates a caller and adds its session.
+func (srv *Server) admit(h *handshake) (*session, *problem) {
+	if srv.draining.Load() {
+		return nil, problemShuttingDown
 	}
-	refused := e.authenticate(h)
-	if refused != nil {
-		return nil, refused
+	rejection := srv.authenticate(h)
+	if rejection != nil {
+		return nil, rejection
 	}
-	s, refused := e.newSession(h)
-	if refused != nil {
-		return nil, refused
+	s, rejection := srv.newSession(h)
+	if rejection != nil {
+		return nil, rejection
 	}
-	if !e.add(s) {
-		return nil, limitProblem(e.options.MaxSessions)
+	if !srv.addSession(s) {
+		return nil, tooManyConnectionsProblem(srv.options.MaxSessions)
 	}
 	return s, nil
 }
 
-// newSession reads the startup parameters.
-func (e *Server) newSession(h *hello) (*session, *problem) {
+// newSession creates a session from the startup parameters.
+func (srv *Server) newSession(h *handshake) (*session, *problem) {
 	parameters := h.startup.Parameters
 	group := parameters["database"]
 	if group == "" {
 		group = parameters["user"]
 	}
-	size := shortSecret
+	size := secretSize30
 	if h.startup.ProtocolVersion != pgproto3.ProtocolVersion30 {
-		size = longSecret
+		size = secretSize32
 	}
 	s := &session{
-		edge:    e,
-		id:      model.SessionID(e.lastSession.Add(1)),
-		conn:    h.conn,
-		reader:  h.reader,
-		group:   model.GroupID(group),
-		caller:  model.CallerID(parameters["user"]),
-		proven:  e.provenOf(model.GroupID(group)),
-		secret:  make([]byte, size),
-		mailbox: newMailbox(),
+		server:       srv,
+		id:           model.SessionID(srv.lastSession.Add(1)),
+		conn:         h.conn,
+		reader:       h.reader,
+		group:        model.GroupID(group),
+		caller:       model.CallerID(parameters["user"]),
+		durable:      srv.durablePositionOf(model.GroupID(group)),
+		cancelSecret: make([]byte, size),
+		mailbox:      newMailbox(),
 	}
-	_, _ = rand.Read(s.secret)
-	refused := s.takeParameters(parameters)
-	return s, refused
+	_, _ = rand.Read(s.cancelSecret)
+	rejection := s.readParameters(parameters)
+	return s, rejection
 }
 
-// takeParameters reads the proxy's own settings among the startup parameters.
-func (s *session) takeParameters(parameters map[string]string) *problem {
+// readParameters applies the startup parameters to the session.
+func (s *session) readParameters(parameters map[string]string) *problem {
 	for _, name := range slices.Sorted(maps.Keys(parameters)) {
 		value := parameters[name]
-		own, is := strings.CutPrefix(strings.ToLower(name), ownPrefix)
-		if !is {
-			refused := s.takeSetting(strings.ToLower(name), value)
-			if refused != nil {
-				return refused
+		proxyName, isProxy := strings.CutPrefix(strings.ToLower(name), proxyPrefix)
+		if !isProxy {
+			rejection := s.addStartupSetting(strings.ToLower(name), value)
+			if rejection != nil {
+				return rejection
 			}
 			continue
 		}
-		set, known := hintSetters[own]
-		if !known || own == statementOnly {
-			return fatal(hintProblem(&HintError{Name: own, Value: value, Detail: "not a setting of a session"}))
+		set, known := hintSetters[proxyName]
+		if !known || proxyName == statementOnly {
+			return asFatal(hintProblem(&HintError{Name: proxyName, Value: value, Detail: "not a setting of a session"}))
 		}
 		err := set(&s.hint, value)
 		if err != nil {
-			return fatal(hintProblem(err))
+			return asFatal(hintProblem(err))
 		}
 	}
 	token := s.hint.token
 	if token.Group != "" && token.Group != s.group {
-		return fatal(hintProblem(&HintError{Name: "token", Value: token.String(), Detail: "the token is of another group"}))
+		return asFatal(hintProblem(&HintError{Name: "token", Value: token.String(), Detail: "the token is of another group"}))
 	}
 	s.token = token
 	return nil
 }
 
-func fatal(p *problem) *problem {
+func asFatal(p *problem) *problem {
 	p.fatal = true
 	return p
 }
 
-// welcome returns what tells a caller that it may begin.
-func (e *Server) welcome(h *hello, s *session) []byte {
+// startupResponse returns the messages that complete the startup, up to
+// ReadyForQuery.
+func (srv *Server) startupResponse(h *handshake, s *session) []byte {
 	out, _ := (&pgproto3.AuthenticationOk{}).Encode(nil)
 	for _, status := range []pgproto3.ParameterStatus{
-		{Name: "server_version", Value: e.options.ServerVersion},
+		{Name: "server_version", Value: srv.options.ServerVersion},
 		{Name: "server_encoding", Value: "UTF8"},
 		{Name: "client_encoding", Value: "UTF8"},
 		{Name: "DateStyle", Value: "ISO, MDY"},
@@ -259,7 +261,7 @@
 	} {
 		out, _ = status.Encode(out)
 	}
-	key := pgproto3.BackendKeyData{ProcessID: uint32(s.id), SecretKey: s.secret}
+	key := pgproto3.BackendKeyData{ProcessID: uint32(s.id), SecretKey: s.cancelSecret}
 	out, _ = key.Encode(out)
 	return append(out, 'Z', 0, 0, 0, 5, statusIdle)
 }
@@ -267,19 +269,19 @@
 // -----------------------------------------------------------------------------
 // The table of sessions.
 
-// add takes a session in, unless there are too many.
-func (e *Server) add(s *session) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if len(e.sessions) >= e.options.MaxSessions {
+// addSession adds a session, and reports false if there are too many.
+func (srv *Server) addSession(s *session) bool {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if len(srv.sessions) >= srv.options.MaxSessions {
 		return false
 	}
-	e.sessions[s.id] = s
+	srv.sessions[s.id] = s
 	return true
 }
 
-func (e *Server) remove(s *session) {
-	e.mu.Lock()
-	delete(e.sessions, s.id)
-	e.mu.Unlock()
+func (srv *Server) removeSession(s *session) {
+	srv.mu.Lock()
+	delete(srv.sessions, s.id)
+	srv.mu.Unlock()
 }
--- a/internal/edge/caller/startup_setting.go
+++ b/internal/edge/caller/startup_setting.go
@@ -2,9 +2,9 @@
 
 import "strings"
 
-// takeSetting takes a startup parameter that is not the proxy's own: the
-// session has it set at the databases, as if by SET.
-func (s *session) takeSetting(name, value string) *problem {
+// addStartupSetting adds a startup parameter that is no proxy setting to the
+// settings of the session, as if it were set by SET.
+func (s *session) addStartupSetting(name, value string) *problem {
 	switch name {
 	case "user", "database", "application_name":
 		return nil
@@ -17,39 +17,40 @@
 			return nil
 		}
 		return &problem{
-			state:   stateFeatureNotSupported,
-			message: "the startup parameter " + quoted(name) + " is not supported",
-			fatal:   true,
+			sqlState: stateFeatureNotSupported,
+			message:  "the startup parameter " + quoted(name) + " is not supported",
+			fatal:    true,
 		}
 	}
 	if strings.HasPrefix(name, protocolPrefix) {
 		return nil
 	}
 	if !isSettingName(name) {
-		return fatal(hintProblem(&HintError{Name: name, Value: value, Detail: "not the name of a setting"}))
+		return asFatal(hintProblem(&HintError{Name: name, Value: value, Detail: "not the name of a setting"}))
 	}
-	one := setting{name: name, text: "SET " + name + " = '" + strings.ReplaceAll(value, "'", "''") + "'"}
-	if !s.settings.hasRoom(one) {
-		return fatal(problemSettings.with(name))
+	added := setting{name: name, text: "SET " + name + " = '" + strings.ReplaceAll(value, "'", "''") + "'"}
+	if !s.settings.hasRoom(added) {
+		return asFatal(problemTooManySettings.withDetail(name))
 	}
-	s.settings.put(one)
+	s.settings.put(added)
 	return nil
 }
 
-// protocolPrefix begins the names of options of the protocol itself.
+// protocolPrefix is the prefix of protocol options.
 const protocolPrefix = "_pq_."
 
 func isUTF8(value string) bool {
-	plain := strings.ToUpper(strings.Trim(value, "'"))
-	return plain == "UTF8" || plain == "UTF-8"
+	normalized := strings.ToUpper(strings.Trim(value, "'"))
+	return normalized == "UTF8" || normalized == "UTF-8"
 }
 
-// isSettingName reports whether a name may stand in a statement as it is.
+// isSettingName reports whether a name can be used in a statement without
+// quotes.
 func isSettingName(name string) bool {
 	for i := range len(name) {
 		letter := name[i] >= 'a' && name[i] <= 'z' || name[i] == '_'
-		later := name[i] >= '0' && name[i] <= '9' || name[i] == '.'
-		if !letter && (i == 0 || !later) {
+		notFirst := name[i] >= '0' && name[i] <= '9' || name[i] == '.'
+		if !letter && (i == 0 || !notFirst) {
 			return false
 		}
 	}
--- a/internal/edge/caller/startup_test.go
+++ b/internal/edge/caller/startup_test.go
@@ -23,8 +23,9 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// certificate returns a TLS setting with a certificate of its own.
-func certificate(t *testing.T) *tls.Config {
+// newCertificate returns a TLS configuration with a new self-signed
+// certificate.
+func newCertificate(t *testing.T) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -42,14 +43,14 @@
 	return &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{raw}, PrivateKey: key}}}
 }
 
-// TestAdmission gives who may connect, and how.
-func TestAdmission(t *testing.T) {
+// TestAuthentication checks which callers may connect.
+func TestAuthentication(t *testing.T) {
 	hash, err := NewPasswordHash("regatta")
 	if err != nil {
 		t.Fatal(err)
 	}
 	users := Users{"officer": hash}
-	secured := certificate(t)
+	secured := newCertificate(t)
 	cases := []struct {
 		name    string
 		options Options
@@ -57,17 +58,17 @@
 		mode    string
 		want    string
 	}{
-		{"trusted", Options{Trust: true}, "anybody", "disable", ""},
+		{"no password needed", Options{Trust: true}, "anybody", "disable", ""},
 		{"no users", Options{}, "officer:regatta", "disable", "28000"},
 		{"password", Options{Users: users}, "officer:regatta", "disable", ""},
 		{"wrong password", Options{Users: users}, "officer:dinghy", "disable", "28P01"},
 		{"unknown user", Options{Users: users}, "sailor:regatta", "disable", "28P01"},
 		{"password over TLS", Options{Users: users, TLS: secured}, "officer:regatta", "require", ""},
 		{"TLS required", Options{Users: users, TLS: secured, RequireTLS: true}, "officer:regatta", "disable", "28000"},
-		{"TLS required and given", Options{Users: users, TLS: secured, RequireTLS: true}, "officer:regatta", "require", ""},
-		{"no TLS to give", Options{Trust: true}, "officer", "require", "broken"},
-		{"own parameter", Options{Trust: true}, "officer", "disable&eelgrassfold.kind=post", ""},
-		{"unknown own parameter", Options{Trust: true}, "officer", "disable&eelgrassfold.rank=1", "22023"},
+		{"TLS required and used", Options{Users: users, TLS: secured, RequireTLS: true}, "officer:regatta", "require", ""},
+		{"TLS not configured", Options{Trust: true}, "officer", "require", "broken"},
+		{"proxy parameter", Options{Trust: true}, "officer", "disable&eelgrassfold.kind=post", ""},
+		{"unknown proxy parameter", Options{Trust: true}, "officer", "disable&eelgrassfold.rank=1", "22023"},
 		{"setting", Options{Trust: true}, "officer", "disable&search_path=a'b", ""},
 		{"not a setting", Options{Trust: true}, "officer", "disable&search+path=a", "22023"},
 		{"options", Options{Trust: true}, "officer", "disable&options=-c+a%3Db", "0A000"},
@@ -75,13 +76,13 @@
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			b := newBench(t, func(_ *bench, options *Options) {
+			setup := newTestSetup(t, func(_ *testSetup, options *Options) {
 				test.options.ListenAddress, test.options.IdempotencyKeyPrefix = options.ListenAddress, options.IdempotencyKeyPrefix
 				*options = test.options
 			})
-			url := "postgres://" + test.user + "@" + b.edge.Address().String() + "/ratings?sslmode=" + test.mode
+			url := "postgres://" + test.user + "@" + setup.server.Address().String() + "/ratings?sslmode=" + test.mode
 			conn, err := pgx.Connect(context.Background(), url)
-			if diff := cmp.Diff(test.want, stateOf(err)); diff != "" {
+			if diff := cmp.Diff(test.want, sqlStateOf(err)); diff != "" {
 				t.Fatal(diff, err)
 			}
 			if err == nil {
@@ -95,65 +96,67 @@
 	}
 }
 
-// TestSettingsRefused gives settings that don't go together.
-func TestSettingsRefused(t *testing.T) {
+// TestInvalidOptions starts servers with invalid options.
+func TestInvalidOptions(t *testing.T) {
 	for name, options := range map[string]Options{
-		"TLS without certificate": {IdempotencyKeyPrefix: "i1", RequireTLS: true},
-		"no key":                  {},
+		"TLS without certificate":   {IdempotencyKeyPrefix: "i1", RequireTLS: true},
+		"no idempotency key prefix": {},
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := NewServer(options, nil, nil, logr.Discard()).Start(context.Background())
-			var fault *OptionsError
-			if !errors.As(err, &fault) {
+			var optionsErr *OptionsError
+			if !errors.As(err, &optionsErr) {
 				t.Errorf("got %v", err)
 			}
 		})
 	}
 }
 
-// TestPasswordHash reads what it writes, and refuses what it does not.
+// TestPasswordHash checks that String and ParsePasswordHash are inverse, and
+// that malformed hashes are rejected.
 func TestPasswordHash(t *testing.T) {
 	hash, err := NewPasswordHash("regatta")
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := ParsePasswordHash(hash.String())
-	if err != nil || !again.matches("regatta") || again.matches("Regatta") {
+	parsed, err := ParsePasswordHash(hash.String())
+	if err != nil || !parsed.matches("regatta") || parsed.matches("Regatta") {
 		t.Error("the hash is not the same after String and ParsePasswordHash")
 	}
 	for _, text := range []string{"", "regatta", "pbkdf2-sha256$0$AA$AA", "pbkdf2-sha256$1$AA$AA", "md5$1$AAAAAAAAAAAAAAAAAAAAAA$AA"} {
 		_, err = ParsePasswordHash(text)
-		var fault *PasswordHashError
-		if !errors.As(err, &fault) {
-			t.Errorf("%q is taken", text)
+		var hashErr *PasswordHashError
+		if !errors.As(err, &hashErr) {
+			t.Errorf("%q is accepted", text)
 		}
 	}
 }
 
-// garbage lists first packets that are not the protocol's.
-var garbage = map[string][]byte{
-	"nothing":            {},
-	"http":               []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"),
-	"zero length":        {0, 0, 0, 0, 0, 0, 0, 0},
-	"huge length":        {0x7f, 0xff, 0xff, 0xff, 0, 3, 0, 0},
-	"negative length":    {0xff, 0xff, 0xff, 0xff, 0, 3, 0, 0},
-	"protocol 2":         startupPacket(0x20000, "user\x00a\x00\x00"),
-	"no end":             startupPacket(0x30000, "user\x00a"),
-	"no user":            startupPacket(0x30000, "\x00"),
-	"short cancel":       startupPacket(codeCancel, "\x00\x00"),
-	"cancel of nobody":   startupPacket(codeCancel, "\x00\x00\x00\x01abcd"),
-	"TLS twice":          append(startupPacket(codeTLS, ""), startupPacket(codeTLS, "")...),
-	"encryption":         startupPacket(codeEncrypted, ""),
-	"valid, then rubish": append(startupPacket(0x30000, "user\x00a\x00\x00"), "\xff\xff\xff\xff\xff\xff"...),
+// invalidStartups lists initial data that violates the protocol or ends the
+// connection.
+var invalidStartups = map[string][]byte{
+	"nothing":                      {},
+	"http":                         []byte("GET / HTTP/1.1\r\nHost: a\r\n\r\n"),
+	"zero length":                  {0, 0, 0, 0, 0, 0, 0, 0},
+	"huge length":                  {0x7f, 0xff, 0xff, 0xff, 0, 3, 0, 0},
+	"negative length":              {0xff, 0xff, 0xff, 0xff, 0, 3, 0, 0},
+	"protocol 2":                   startupPacket(0x20000, "user\x00a\x00\x00"),
+	"no terminator":                startupPacket(0x30000, "user\x00a"),
+	"no user":                      startupPacket(0x30000, "\x00"),
+	"short cancel":                 startupPacket(codeCancel, "\x00\x00"),
+	"cancel of an unknown session": startupPacket(codeCancel, "\x00\x00\x00\x01abcd"),
+	"TLS twice":                    append(startupPacket(codeTLS, ""), startupPacket(codeTLS, "")...),
+	"encryption":                   startupPacket(codeEncrypted, ""),
+	"valid, then invalid":          append(startupPacket(0x30000, "user\x00a\x00\x00"), "\xff\xff\xff\xff\xff\xff"...),
 }
 
-// TestGarbage sends first packets that are not the protocol's: each connection
-// ends, and the edge goes on.
-func TestGarbage(t *testing.T) {
-	b := newBench(t)
-	for name, packet := range garbage {
+// TestInvalidStartup sends initial data that is not a valid session. Each
+// connection must end, and the server must continue.
+func TestInvalidStartup(t *testing.T) {
+	setup := newTestSetup(t)
+	for name, packet := range invalidStartups {
 		t.Run(name, func(t *testing.T) {
-			caller := dialRaw(t, b)
+			caller := dialRaw(t, setup)
 			caller.conn.Write(packet)
 			caller.conn.(*net.TCPConn).CloseWrite()
 			_, err := io.Copy(io.Discard, caller.conn)
@@ -162,11 +165,11 @@
 			}
 		})
 	}
-	startRaw(t, b).query("select a")
+	startRaw(t, setup).query("select a")
 }
 
-// FuzzCaller feeds bytes to a connection from its first on. Whatever they are,
-// the session has to end with the connection.
+// FuzzCaller sends arbitrary data from the start of a connection. The session
+// must end with the connection.
 func FuzzCaller(f *testing.F) {
 	start := startupPacket(0x30000, "user\x00a\x00database\x00ratings\x00\x00")
 	encode := func(messages ...pgproto3.FrontendMessage) []byte {
@@ -176,7 +179,7 @@
 		}
 		return raw
 	}
-	for _, packet := range garbage {
+	for _, packet := range invalidStartups {
 		f.Add(packet)
 	}
 	f.Add(encode(&pgproto3.Query{String: "SHOW eelgrassfold.token"}))
@@ -185,22 +188,22 @@
 	f.Add(encode(&pgproto3.Close{ObjectType: 'S', Name: "s"}, &pgproto3.Describe{ObjectType: 'P'}, &pgproto3.Flush{}, &pgproto3.Terminate{}))
 	f.Add(append(encode(), 'B', 0, 0, 0, 5, 'x'))
 	f.Add(append(encode(), 'Q', 0, 0, 0, 5, 'x'))
-	core := &fakeCore{keys: map[model.RequestID]string{}, quiet: true}
-	edge := NewServer(Options{ListenAddress: netip.AddrPort{}, IdempotencyKeyPrefix: "i1", Trust: true, MaxMessageSize: 1 << 16}, nil, refusingCore{core}, logr.Discard())
-	core.edge = edge
+	core := &fakeCore{keys: map[model.RequestID]string{}, discardEvents: true}
+	server := NewServer(Options{ListenAddress: netip.AddrPort{}, IdempotencyKeyPrefix: "i1", Trust: true, MaxMessageSize: 1 << 16}, nil, rejectingCore{core}, logr.Discard())
+	core.server = server
 	f.Fuzz(func(_ *testing.T, raw []byte) {
-		near, far := net.Pipe()
+		callerEnd, serverEnd := net.Pipe()
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			edge.serve(ctx, far)
+			server.serve(ctx, serverEnd)
 		}()
-		go io.Copy(io.Discard, near)
-		near.SetWriteDeadline(time.Now().Add(rawTimeout))
-		near.Write(raw)
-		near.Close()
+		go io.Copy(io.Discard, callerEnd)
+		callerEnd.SetWriteDeadline(time.Now().Add(rawTimeout))
+		callerEnd.Write(raw)
+		callerEnd.Close()
 		<-ended
 	})
 }
--- a/internal/edge/caller/statement.go
+++ b/internal/edge/caller/statement.go
@@ -8,48 +8,52 @@
 )
 
 const (
-	// statementCount bounds the named prepared statements of a session.
-	statementCount = 1024
-	// statementBytes bounds the text of all of them, in bytes.
-	statementBytes = 1 << 20
-	// preparedLimit bounds the prepared statements on one backend
-	// connection; above it the connection is reset.
-	preparedLimit = 512
-	// digestBytes is the part of a digest that names a statement.
+	// maxStatements is the maximum number of named prepared statements of a
+	// session.
+	maxStatements = 1024
+	// maxStatementBytes is the maximum size of all of them together, in bytes.
+	maxStatementBytes = 1 << 20
+	// maxBackendStatements is the number of prepared statements on one backend
+	// connection above which the connection is reset.
+	maxBackendStatements = 512
+	// digestBytes is the length of the part of a digest that names a statement.
 	digestBytes = 16
 )
 
-// statement is a prepared statement of a session. At the databases it has a
-// name made of a digest of its text, so that sessions that prepare the same
-// share it on a connection, and no session can reach what another prepared
-// under a name of its own.
+// statement is a prepared statement of a session. Its name at the databases is
+// a digest of its text. Sessions that prepare the same text thus share the
+// statement on a connection, and no session can use a statement that another
+// one prepared under the same name.
 type statement struct {
-	// name is the caller's own name; empty for the unnamed statement.
+	// name is the caller's name for it; empty for the unnamed statement.
 	name string
-	// backend is the name at the databases; empty for the unnamed statement.
-	backend string
-	// parse is the Parse message with the name at the databases.
-	parse  []byte
-	traits traits
-	hint   hint
-	// command is the command of the session that the statement is, or nil.
+	// backendName is the name at the databases; empty for the unnamed
+	// statement.
+	backendName string
+	// parseMessage is the Parse message with the name at the databases.
+	parseMessage []byte
+	traits       traits
+	hint         hint
+	// command is the session command in the statement, or nil if it is another
+	// statement.
 	command *command
 }
 
-// newStatement reads what a Parse message says. Its error is a *HintError.
+// newStatement creates a statement from a Parse message. Its error is a
+// *HintError.
 func newStatement(parse *pgproto3.Parse) (*statement, error) {
 	h, err := parseHint(parse.Query)
 	if err != nil {
 		return nil, err
 	}
-	s := &statement{name: parse.Name, traits: scan(parse.Query), hint: h}
+	s := &statement{name: parse.Name, traits: scanTraits(parse.Query), hint: h}
 	s.command = parseCommand(parse.Query, s.traits)
 	renamed := *parse
 	if parse.Name != "" {
 		renamed.Name = "e" + digest(parse)
 	}
-	s.backend = renamed.Name
-	s.parse, err = renamed.Encode(nil)
+	s.backendName = renamed.Name
+	s.parseMessage, err = renamed.Encode(nil)
 	return s, err
 }
 
@@ -75,22 +79,22 @@
 	return s.named[string(name)]
 }
 
-// hasRoom reports whether one more statement may be kept.
-func (s *statements) hasRoom(one *statement) bool {
-	return len(s.named) < statementCount && s.bytes+len(one.parse) <= statementBytes
+// hasRoom reports whether one more statement can be stored.
+func (s *statements) hasRoom(stmt *statement) bool {
+	return len(s.named) < maxStatements && s.bytes+len(stmt.parseMessage) <= maxStatementBytes
 }
 
-func (s *statements) put(one *statement) {
-	if one.name == "" {
-		s.unnamed = one
+func (s *statements) put(stmt *statement) {
+	if stmt.name == "" {
+		s.unnamed = stmt
 		return
 	}
 	if s.named == nil {
 		s.named = map[string]*statement{}
 	}
-	s.drop(one.name)
-	s.named[one.name] = one
-	s.bytes += len(one.parse)
+	s.drop(stmt.name)
+	s.named[stmt.name] = stmt
+	s.bytes += len(stmt.parseMessage)
 }
 
 func (s *statements) drop(name string) {
@@ -98,9 +102,9 @@
 		s.unnamed = nil
 		return
 	}
-	one, found := s.named[name]
+	stmt, found := s.named[name]
 	if found {
-		s.bytes -= len(one.parse)
+		s.bytes -= len(stmt.parseMessage)
 		delete(s.named, name)
 	}
 }
--- a/internal/edge/caller/watch.go
+++ b/internal/edge/caller/watch.go
@@ -2,43 +2,44 @@
 
 import "time"
 
-// watchLimit bounds what is read ahead of a caller whose request is running,
-// in bytes.
-const watchLimit = 64 << 10
+// maxReadAhead is how much is read ahead from a caller whose request is
+// running, in bytes.
+const maxReadAhead = 64 << 10
 
-// callerGone tells a session that its caller's connection has ended.
-type callerGone struct{}
+// callerDisconnected is posted to a session when the connection of its caller
+// has ended.
+type callerDisconnected struct{}
 
-// startWatch reads ahead from the caller until stopWatch, to find out whether
-// its connection has ended. Short requests end before it is started.
+// startWatch reads ahead from the caller until stopWatch is called, to detect
+// whether its connection has ended. Short requests end before it is started.
 func (s *session) startWatch() {
-	if s.watch != nil {
+	if s.watchDone != nil {
 		return
 	}
 	done := make(chan struct{})
-	s.watch = done
+	s.watchDone = done
 	go func() {
 		defer close(done)
-		for s.reader.Buffered() < watchLimit {
+		for s.reader.Buffered() < maxReadAhead {
 			err := s.reader.Fill()
 			if err == nil {
 				continue
 			}
 			if !isTimeout(err) {
-				s.mailbox.post(callerGone{})
+				s.mailbox.post(callerDisconnected{})
 			}
 			return
 		}
 	}()
 }
 
-// stopWatch ends the watch; what it has read stays in the reader.
+// stopWatch ends the watch. The data that it has read stays in the reader.
 func (s *session) stopWatch() {
-	if s.watch == nil {
+	if s.watchDone == nil {
 		return
 	}
 	_ = s.conn.SetReadDeadline(aLongTimeAgo)
-	<-s.watch
+	<-s.watchDone
 	_ = s.conn.SetReadDeadline(time.Time{})
-	s.watch = nil
+	s.watchDone = nil
 }
