--- a/internal/edge/database/check.go
+++ b/internal/edge/database/check.go
@@ -11,114 +11,123 @@
 )
 
 const (
-	// statusColumns is the number of columns of a status row, and busyColumn
-	// the place of the number of running statements in it.
-	statusColumns = 11
-	busyColumn    = 10
-	// checkSamples is how often a check looks for a moment in which nothing
-	// runs, and checkPause the time between two looks.
-	checkSamples = 10
-	checkPause   = 10 * time.Millisecond
+	// statusColumnCount is the number of columns of a status row, and
+	// runningStatementsColumn the index of the number of running statements
+	// in it.
+	statusColumnCount       = 11
+	runningStatementsColumn = 10
+	// checkSamples is the number of status queries in one check, which looks
+	// for a moment at which no statement runs. checkSampleInterval is the
+	// pause between two of them.
+	checkSamples        = 10
+	checkSampleInterval = 10 * time.Millisecond
 )
 
-// check is one check of a database, which several may wait for.
-type check struct {
-	begun time.Time
-	done  chan struct{}
-	busy  int
-	err   error
+// activityCheck is one check whether a database is running statements. Several
+// callers may wait for the same check.
+type activityCheck struct {
+	startedAt         time.Time
+	done              chan struct{}
+	runningStatements int
+	err               error
 }
 
-// RunningStatements asks a database on a new connection how many statements it is running,
-// several times, and returns the least. The question takes no slot: a database
-// that is merely busy answers it. Where it returns zero, a statement that was
-// sent before since was not running at that moment. Checks of one database at
-// the same time are one. Its error is a *UnresponsiveError: the database does not
-// answer at all.
-func (p *Pool) RunningStatements(ctx context.Context, database model.DatabaseID, since time.Time, timeout time.Duration) (int, error) {
+// RunningStatements opens a new connection to a database, queries several times
+// how many statements it is running, and returns the lowest number. The queries
+// take no slot, so a database answers them also when all its slots are in use.
+// If the result is zero, a statement that was sent before sentBefore was not
+// running at the time of that query. Concurrent calls for one database share one
+// check, unless it started before sentBefore: such a check is waited for, and
+// then another one is run. The error is an *UnresponsiveError: the database gave
+// no readable answer on a new connection within timeout.
+func (p *Pool) RunningStatements(ctx context.Context, database model.DatabaseID, sentBefore time.Time, timeout time.Duration) (int, error) {
 	s := p.subpool(database)
 	if s == nil {
-		return 0, &UnresponsiveError{Database: database, Cause: &StatusDecodeError{Detail: "not known"}}
+		return 0, &UnresponsiveError{Database: database, Cause: &StatusDecodeError{Detail: "the database is not in the list of databases"}}
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
-		running, mine := s.joinCheck()
-		if mine {
-			s.runCheck(ctx, running)
-			return running.busy, running.err
+		current, created := s.joinCheck()
+		if created {
+			s.runCheck(ctx, current)
+			return current.runningStatements, current.err
 		}
 		select {
-		case <-running.done:
+		case <-current.done:
 		case <-ctx.Done():
 			return 0, &UnresponsiveError{Database: database, Cause: ctx.Err()}
 		}
-		if !running.begun.Before(since) {
-			return running.busy, running.err
+		if !current.startedAt.Before(sentBefore) {
+			return current.runningStatements, current.err
 		}
 	}
 }
 
-// joinCheck returns the check that is running, or a new one that the caller has
-// to run.
-func (s *subpool) joinCheck() (*check, bool) {
+// joinCheck returns the check that is running and false, or a new check and
+// true; the caller must run a new check by runCheck.
+func (s *subpool) joinCheck() (*activityCheck, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.checking != nil {
-		return s.checking, false
+	if s.activeCheck != nil {
+		return s.activeCheck, false
 	}
-	s.checking = &check{begun: time.Now(), done: make(chan struct{})}
-	return s.checking, true
+	s.activeCheck = &activityCheck{startedAt: time.Now(), done: make(chan struct{})}
+	return s.activeCheck, true
 }
 
-func (s *subpool) runCheck(ctx context.Context, c *check) {
+// runCheck runs c, then wakes all that wait for it.
+func (s *subpool) runCheck(ctx context.Context, c *activityCheck) {
 	var err error
-	c.busy, err = s.askBusy(ctx)
+	c.runningStatements, err = s.leastRunningStatements(ctx)
 	if err != nil {
 		c.err = &UnresponsiveError{Database: s.database, Cause: err}
 	}
 	s.mu.Lock()
-	s.checking = nil
+	s.activeCheck = nil
 	s.mu.Unlock()
 	close(c.done)
 }
 
-// askBusy returns the least number of running statements in several looks.
-func (s *subpool) askBusy(ctx context.Context) (int, error) {
-	opened, err := s.pool.open(ctx, s.target(), map[string]string{"group_control": "on"})
+// leastRunningStatements returns the lowest number of running statements that
+// was found in checkSamples queries. It stops at the first zero.
+func (s *subpool) leastRunningStatements(ctx context.Context) (int, error) {
+	hijacked, err := s.pool.open(ctx, s.target(), map[string]string{"group_control": "on"})
 	if err != nil {
 		return 0, err
 	}
-	conn, err := pgconn.Construct(opened)
+	conn, err := pgconn.Construct(hijacked)
 	if err != nil {
-		_ = opened.Conn.Close()
+		_ = hijacked.Conn.Close()
 		return 0, err
 	}
 	defer func() { _ = conn.Close(ctx) }()
-	least, err := lookBusy(ctx, conn)
+	least, err := queryRunningStatements(ctx, conn)
 	for range checkSamples - 1 {
 		if err != nil || least == 0 {
 			return least, err
 		}
 		select {
-		case <-time.After(checkPause):
+		case <-time.After(checkSampleInterval):
 		case <-ctx.Done():
 			return least, ctx.Err()
 		}
-		var busy int
-		busy, err = lookBusy(ctx, conn)
-		least = min(least, busy)
+		var running int
+		running, err = queryRunningStatements(ctx, conn)
+		least = min(least, running)
 	}
 	return least, err
 }
 
-func lookBusy(ctx context.Context, conn *pgconn.PgConn) (int, error) {
+// queryRunningStatements returns the number of running statements of one status
+// row.
+func queryRunningStatements(ctx context.Context, conn *pgconn.PgConn) (int, error) {
 	results, err := conn.Exec(ctx, "CALL group_status()").ReadAll()
 	if err != nil {
 		return 0, err
 	}
-	if len(results) != 1 || len(results[0].Rows) != 1 || len(results[0].Rows[0]) < statusColumns {
-		return 0, &StatusDecodeError{Detail: "not one row of its columns"}
+	if len(results) != 1 || len(results[0].Rows) != 1 || len(results[0].Rows[0]) < statusColumnCount {
+		return 0, &StatusDecodeError{Detail: "expected one row with all status columns"}
 	}
-	return strconv.Atoi(string(results[0].Rows[0][busyColumn]))
+	return strconv.Atoi(string(results[0].Rows[0][runningStatementsColumn]))
 }
--- a/internal/edge/database/conn.go
+++ b/internal/edge/database/conn.go
@@ -18,108 +18,111 @@
 type Conn struct {
 	// Database is the database at the other end.
 	Database model.DatabaseID
-	// Reader cuts the database's answers into frames.
+	// Reader splits the database's answers into protocol frames.
 	Reader *postgres.Reader
-	// State tells what the connection's server side remembers.
+	// State is the session state at the database's end of the connection.
 	State SessionState
 
-	net     net.Conn
-	subpool *subpool
-	address netip.AddrPort
-	process uint32
-	secret  []byte
-	idle    time.Time
-	tainted bool
-	// writeUntil is the deadline of writes. It is moved on now and then only,
-	// which is cheaper than with each write.
-	writeUntil time.Time
-
-	// raw, peek, peeked and peekBuffer serve isQuiet; raw is nil where the
-	// connection is no plain socket.
-	raw        syscall.RawConn
-	peek       func(fd uintptr)
-	peeked     error
+	netConn   net.Conn
+	subpool   *subpool
+	address   netip.AddrPort
+	processID uint32
+	secretKey []byte
+	idleSince time.Time
+	tainted   bool
+	// writeDeadline is the write deadline that is set on netConn. It is extended
+	// only when too little of it remains, which is cheaper than setting a
+	// deadline for each write.
+	writeDeadline time.Time
+
+	// rawConn, peekSocket, peekErr and peekBuffer are used by isSocketIdle;
+	// rawConn is nil if the connection is not a plain socket (such as TLS).
+	rawConn    syscall.RawConn
+	peekSocket func(fd uintptr)
+	peekErr    error
 	peekBuffer [1]byte
 }
 
-// SessionState is what the server side of a connection remembers. Its holder keeps it
-// up to date; the pool only carries it.
+// SessionState is the session state at the database's end of a connection. The
+// holder of the connection keeps it up to date; the pool does not read it.
 type SessionState struct {
 	// GroupWork is the value of the setting group_work.
 	GroupWork string
-	// GroupRead says that the setting group_read is on.
+	// GroupRead is true if the setting group_read is on.
 	GroupRead bool
-	// GroupSettingsUncertain says that Work and Reads may not be in force: the transaction
-	// that set them has failed.
+	// GroupSettingsUncertain is true if GroupWork and GroupRead may not be in
+	// force, because the transaction that set them has failed.
 	GroupSettingsUncertain bool
 	// PreparedStatements holds the names of the prepared statements.
 	PreparedStatements map[string]struct{}
-	// CallerSettings is the text of the callers' settings that are in force; empty
-	// where there are none. Sessions with the same settings share the
+	// CallerSettings is the text of the callers' session variables that are in
+	// force, or empty if there are none. Sessions with equal settings share the
 	// connection.
 	CallerSettings string
-	// NeedsReset says that the connection has to be reset before its next use.
+	// NeedsReset is true if the connection has to be reset before its next use.
 	NeedsReset bool
 }
 
-// Write sends b whole, or fails within once to twice the timeout. It returns how
-// many bytes the system has taken: with none, nothing was sent.
+// Write sends all of b, or fails after between one and two times the timeout. It
+// returns how many bytes the operating system has accepted; if that is zero,
+// nothing was sent.
 func (c *Conn) Write(b []byte, timeout time.Duration) (int, error) {
 	now := time.Now()
-	left := c.writeUntil.Sub(now)
-	if left < timeout || left > 2*timeout {
-		c.writeUntil = now.Add(2 * timeout)
-		err := c.net.SetWriteDeadline(c.writeUntil)
+	remaining := c.writeDeadline.Sub(now)
+	if remaining < timeout || remaining > 2*timeout {
+		c.writeDeadline = now.Add(2 * timeout)
+		err := c.netConn.SetWriteDeadline(c.writeDeadline)
 		if err != nil {
 			return 0, err
 		}
 	}
-	return c.net.Write(b)
+	return c.netConn.Write(b)
 }
 
-// SetReadDeadline bounds the reads of Reader. It may be called from any
-// goroutine and takes effect on a read that is waiting.
-func (c *Conn) SetReadDeadline(t time.Time) error { return c.net.SetReadDeadline(t) }
+// SetReadDeadline sets the deadline for reads by Reader. It may be called from
+// any goroutine and also applies to a read that is already blocked.
+func (c *Conn) SetReadDeadline(t time.Time) error { return c.netConn.SetReadDeadline(t) }
 
-// Taint marks the connection as one that must not be used again after its
-// present statement, such as one that a cancel request was sent for: the
-// request might arrive late and hit the next statement.
+// Taint marks the connection as not to be reused after its current statement.
+// It is needed for a connection for which a cancel request was sent: the request
+// might arrive late and cancel the next statement.
 func (c *Conn) Taint() { c.tainted = true }
 
 // IsTainted reports whether Taint was called.
 func (c *Conn) IsTainted() bool { return c.tainted }
 
-// Close closes the connection without a word.
+// close closes the connection without sending a Terminate message.
 func (c *Conn) close() {
-	_ = c.net.Close()
+	_ = c.netConn.Close()
 	c.Reader.Close()
 }
 
-// terminate closes the connection as the protocol asks for.
+// terminate sends a Terminate message, as the protocol requires, and closes the
+// connection.
 func (c *Conn) terminate() {
 	message, _ := (&pgproto3.Terminate{}).Encode(nil)
-	_ = c.net.SetWriteDeadline(time.Now().Add(terminateTimeout))
-	_, _ = c.net.Write(message)
+	_ = c.netConn.SetWriteDeadline(time.Now().Add(terminateTimeout))
+	_, _ = c.netConn.Write(message)
 	c.close()
 }
 
-// isQuiet reports whether the connection is open and the database has sent
-// nothing unasked, as far as this end of it knows. It costs one system call.
-func (c *Conn) isQuiet() bool {
+// isSocketIdle reports whether, as far as this end can tell, the connection is
+// open and there is no unread data from the database. It costs one system call.
+func (c *Conn) isSocketIdle() bool {
 	if c.Reader.Buffered() > 0 {
 		return false
 	}
-	if c.raw == nil {
+	if c.rawConn == nil {
 		return true
 	}
-	err := c.raw.Control(c.peek)
-	return err == nil && errors.Is(c.peeked, syscall.EAGAIN)
+	err := c.rawConn.Control(c.peekSocket)
+	return err == nil && errors.Is(c.peekErr, syscall.EAGAIN)
 }
 
-// watchSocket prepares isQuiet. A connection that is no plain socket can't be
-// looked at.
-func (c *Conn) watchSocket() {
-	socket, ok := c.net.(syscall.Conn)
+// preparePeek prepares isSocketIdle. A connection that is not a plain socket is
+// left without it, since its socket can't be peeked at.
+func (c *Conn) preparePeek() {
+	socket, ok := c.netConn.(syscall.Conn)
 	if !ok {
 		return
 	}
@@ -127,15 +130,15 @@
 	if err != nil {
 		return
 	}
-	c.raw = raw
-	c.peek = func(fd uintptr) {
-		_, _, c.peeked = syscall.Recvfrom(int(fd), c.peekBuffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	c.rawConn = raw
+	c.peekSocket = func(fd uintptr) {
+		_, _, c.peekErr = syscall.Recvfrom(int(fd), c.peekBuffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	}
 }
 
-// answers reports whether the connection answers an empty query within
-// timeout.
-func (c *Conn) answers(timeout time.Duration) bool {
+// answersEmptyQuery reports whether the database answers an empty query on the
+// connection within timeout.
+func (c *Conn) answersEmptyQuery(timeout time.Duration) bool {
 	message, _ := (&pgproto3.Query{}).Encode(nil)
 	_, err := c.Write(message, timeout)
 	if err != nil {
--- a/internal/edge/database/counters.go
+++ b/internal/edge/database/counters.go
@@ -2,9 +2,10 @@
 
 import "expvar"
 
-// The counters of the pool.
+// Metrics of the pool: connections opened, failures to open one, and idle
+// connections that were found broken.
 var (
-	opens        = expvar.NewInt("database_opens")
-	openFailures = expvar.NewInt("database_open_failures")
-	staleFound   = expvar.NewInt("database_stale_found")
+	openedConnections = expvar.NewInt("database_opens")
+	openFailures      = expvar.NewInt("database_open_failures")
+	staleConnections  = expvar.NewInt("database_stale_found")
 )
--- a/internal/edge/database/errors.go
+++ b/internal/edge/database/errors.go
@@ -7,11 +7,12 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// AcquireError reports that no connection could be had. Nothing was sent.
+// AcquireError reports that no connection to a database could be obtained.
+// Nothing was sent to the database.
 type AcquireError struct {
 	Database model.DatabaseID
 	Reason   message.NotStartedReason
-	// Cause is the failure below, or nil.
+	// Cause is the underlying error, or nil.
 	Cause error
 }
 
@@ -23,10 +24,11 @@
 	return fmt.Sprintf("no connection to database %s: %s: %v", e.Database, e.Reason, e.Cause)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *AcquireError) Unwrap() error { return e.Cause }
 
-// UnresponsiveError reports that a database did not answer on a new connection.
+// UnresponsiveError reports that a database gave no readable answer on a new
+// connection.
 type UnresponsiveError struct {
 	Database model.DatabaseID
 	Cause    error
@@ -37,11 +39,11 @@
 	return fmt.Sprintf("database %s does not answer on a new connection: %v", e.Database, e.Cause)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *UnresponsiveError) Unwrap() error { return e.Cause }
 
-// StatusDecodeError reports an answer to a status question that can't be read.
+// StatusDecodeError reports that a database's status could not be read.
 type StatusDecodeError struct{ Detail string }
 
 // Error implements error.
-func (e *StatusDecodeError) Error() string { return "status of the database: " + e.Detail }
+func (e *StatusDecodeError) Error() string { return "reading the database's status: " + e.Detail }
--- a/internal/edge/database/open.go
+++ b/internal/edge/database/open.go
@@ -13,23 +13,25 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/edge/socket"
 )
 
-// SQLSTATEs of a database that refuses a connection.
+// SQLSTATEs with which a database rejects a connection.
 const (
-	stateTooMany       = "53300"
-	stateShutdown      = "57P01"
-	stateCrashShutdown = "57P02"
-	stateCannotConnect = "57P03"
+	sqlStateTooManyConnections = "53300"
+	sqlStateAdminShutdown      = "57P01"
+	sqlStateCrashShutdown      = "57P02"
+	sqlStateCannotConnectNow   = "57P03"
 )
 
-// settings are what pgconn reads before it is told the address. The files are
-// named so that nothing on the instance has a say in it.
-const settings = "host=127.0.0.1 port=5432 user=eelgrassfold sslmode=disable" +
+// baseConnString is the configuration that pgconn parses before open sets the
+// address and the credentials. It names password and service files that do not
+// exist, so that no file of the host affects the connection.
+const baseConnString = "host=127.0.0.1 port=5432 user=eelgrassfold sslmode=disable" +
 	" passfile=/nonexistent servicefile=/nonexistent"
 
-// open connects to a target and goes through the startup. The connection and
-// its authentication are pgconn's; from there on frames are read as they are.
+// open connects to a target and completes the startup phase. It uses pgconn for
+// connecting and for authentication, then takes the connection over from pgconn,
+// so that the caller reads and writes raw frames.
 func (p *Pool) open(ctx context.Context, target message.DatabaseTarget, parameters map[string]string) (*pgconn.HijackedConn, error) {
-	config, err := pgconn.ParseConfig(settings)
+	config, err := pgconn.ParseConfig(baseConnString)
 	if err != nil {
 		return nil, err
 	}
@@ -43,58 +45,59 @@
 	config.RuntimeParams = parameters
 	config.DialFunc = socket.Dial
 	config.LookupFunc = func(_ context.Context, host string) ([]string, error) { return []string{host}, nil }
-	connected, err := pgconn.ConnectConfig(ctx, config)
+	pgConn, err := pgconn.ConnectConfig(ctx, config)
 	if err != nil {
 		return nil, err
 	}
-	return connected.Hijack()
+	return pgConn.Hijack()
 }
 
-// connect opens a data connection for the pool.
+// connect opens a data connection to the database. It fails after openTimeout or
+// at expires, whichever is first.
 func (s *subpool) connect(ctx context.Context, expires time.Time) (*Conn, error) {
-	limit := time.Now().Add(openTimeout)
-	if expires.Before(limit) {
-		limit = expires
+	deadline := time.Now().Add(openTimeout)
+	if expires.Before(deadline) {
+		deadline = expires
 	}
-	ctx, cancel := context.WithDeadline(ctx, limit)
+	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	target := s.target()
-	opened, err := s.pool.open(ctx, target, map[string]string{"application_name": "eelgrassfold"})
+	hijacked, err := s.pool.open(ctx, target, map[string]string{"application_name": "eelgrassfold"})
 	if err != nil {
 		return nil, err
 	}
 	conn := &Conn{
-		Database: s.database,
-		Reader:   postgres.NewRetainingReader(opened.Conn, s.pool.options.MaxMessageBytes),
-		State:    SessionState{PreparedStatements: map[string]struct{}{}},
-		net:      opened.Conn,
-		subpool:  s,
-		address:  target.Address,
-		process:  opened.PID,
-		secret:   opened.SecretKey,
+		Database:  s.database,
+		Reader:    postgres.NewRetainingReader(hijacked.Conn, s.pool.options.MaxMessageBytes),
+		State:     SessionState{PreparedStatements: map[string]struct{}{}},
+		netConn:   hijacked.Conn,
+		subpool:   s,
+		address:   target.Address,
+		processID: hijacked.PID,
+		secretKey: hijacked.SecretKey,
 	}
-	conn.watchSocket()
+	conn.preparePeek()
 	return conn, nil
 }
 
-// refusedWhy tells what a failed connect means.
-func refusedWhy(err error) message.NotStartedReason {
-	var answer *pgconn.PgError
-	if !errors.As(err, &answer) {
+// notStartedReason maps an error of connect to the reason that is reported.
+func notStartedReason(err error) message.NotStartedReason {
+	var pgErr *pgconn.PgError
+	if !errors.As(err, &pgErr) {
 		return message.NotStartedUnreachable
 	}
-	switch answer.Code {
-	case stateTooMany:
+	switch pgErr.Code {
+	case sqlStateTooManyConnections:
 		return message.NotStartedTooManyConnections
-	case stateShutdown, stateCrashShutdown, stateCannotConnect:
+	case sqlStateAdminShutdown, sqlStateCrashShutdown, sqlStateCannotConnectNow:
 		return message.NotStartedShuttingDown
 	}
 	return message.NotStartedUnreachable
 }
 
-// Cancel asks the database to cancel the statement that runs on c, on a
-// connection of its own, and waits until the database has taken the request.
-// The caller must have marked c with Taint before.
+// Cancel sends a cancel request for the statement that is running on c, over a
+// separate connection, and waits until the database has read the request. Taint
+// must have been called on c before.
 func (p *Pool) Cancel(ctx context.Context, c *Conn) error {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
@@ -103,7 +106,7 @@
 		return err
 	}
 	defer func() { _ = conn.Close() }()
-	request := pgproto3.CancelRequest{ProcessID: c.process, SecretKey: c.secret}
+	request := pgproto3.CancelRequest{ProcessID: c.processID, SecretKey: c.secretKey}
 	packet, err := request.Encode(nil)
 	if err != nil {
 		return err
@@ -113,7 +116,7 @@
 	if err != nil {
 		return err
 	}
-	// The database closes the connection once it has taken the request.
+	// The database closes the connection once it has read the request.
 	_, _ = conn.Read(make([]byte, 1))
 	return nil
 }
--- a/internal/edge/database/pool.go
+++ b/internal/edge/database/pool.go
@@ -1,29 +1,30 @@
-// Package database keeps the data connections towards the databases.
+// Package database keeps the pool of data connections to the databases.
 //
 // # What flows in and out
 //
-// SetDatabases flows in from the core: which databases exist and how many
-// connections this instance may open to each. The caller edge takes
-// connections out by Acquire and gives them back by Release or Discard. What
-// travels on them is the business of whoever holds them.
+// The core sends SetDatabases: which databases exist and how many connections
+// this instance may open to each. The caller edge takes connections out of the
+// pool by Acquire and returns them by Release or Discard. The pool does not
+// interpret the statements that a holder sends on them.
 //
-// Opening takes about 12 ms, so idle connections are kept, the one used last
-// goes out first, and a holder that finds none idle waits for one where the
-// limit is reached. The limit counts open connections, also those being opened
-// or closed, so that it holds at every moment.
+// Opening a connection takes about 12 ms, so idle connections are kept. The one
+// used last is handed out first. If none is idle and the limit is reached,
+// Acquire waits for one. The limit counts all open connections, including those
+// that are being opened or closed, so it is never exceeded, not even briefly.
 //
-// A connection is looked at before it goes out: it costs one system call to see
-// that the database has closed it. One that was idle for more than a few
-// seconds answers an empty query first, since a path that has lost track of it
-// shows nothing to this end. What is found broken here was never used for the
-// work, which is the proof that the work did not run.
+// An idle connection is checked before it is handed out: one system call shows
+// whether the database has closed it. A connection that was idle for more than a
+// few seconds must also answer an empty query, since a network path that has
+// lost the connection's state shows no sign of that at this end. A connection
+// that fails these checks has not carried any part of the new statement, which
+// proves that the statement did not run.
 //
 // # Usage
 //
 //	pool := database.NewPool(database.PoolOptions{User: "eelgrassfold"}, log)
-//	ended, err := pool.Start(ctx)
+//	done, err := pool.Start(ctx)
 //	pool.HandleAction(message.SetDatabases{Databases: targets})
-//	conn, err := pool.Acquire(ctx, "ratings-a", expires)
+//	conn, openTime, err := pool.Acquire(ctx, "ratings-a", expires)
 //	...
 //	pool.Release(conn)
 package database
@@ -41,34 +42,34 @@
 )
 
 const (
-	// openTimeout bounds the opening of a connection.
+	// openTimeout is the maximum time for opening a connection.
 	openTimeout = 2 * time.Second
-	// cancelTimeout bounds a cancel request.
+	// cancelTimeout is the maximum time for a cancel request.
 	cancelTimeout = 2 * time.Second
-	// terminateTimeout bounds the last word on a connection.
+	// terminateTimeout is the maximum time for writing the Terminate message.
 	terminateTimeout = 100 * time.Millisecond
-	// idleCheck is the idle time after which a connection is checked before
-	// it is used.
-	idleCheck = 3 * time.Second
-	// idleAnswer bounds that check.
-	idleAnswer = 500 * time.Millisecond
-	// idleLimit is the idle time after which a connection is closed.
-	idleLimit = 5 * time.Minute
-	// sweepInterval is the time between two looks for such connections.
+	// idleCheckThreshold is the idle time after which a connection must answer
+	// an empty query before it is used.
+	idleCheckThreshold = 3 * time.Second
+	// idleCheckTimeout is the maximum time for that answer.
+	idleCheckTimeout = 500 * time.Millisecond
+	// maxIdleTime is the idle time after which a connection is closed.
+	maxIdleTime = 5 * time.Minute
+	// sweepInterval is the interval at which such connections are looked for.
 	sweepInterval = 10 * time.Second
-	// messageLimit is the default of PoolOptions.Message, in bytes.
-	messageLimit = 64 << 20
+	// defaultMaxMessageBytes is the default of PoolOptions.MaxMessageBytes.
+	defaultMaxMessageBytes = 64 << 20
 )
 
 // PoolOptions are the settings of a pool.
 type PoolOptions struct {
-	// User and Password are what the databases ask for.
+	// User and Password are the credentials for the databases.
 	User     string
 	Password string
-	// TLS is the setting for the connections; nil for none.
+	// TLS is the TLS configuration of the connections, or nil for plain TCP.
 	TLS *tls.Config
-	// MaxMessageBytes is the greatest message that is taken from a database, in
-	// bytes; zero for 64 MiB.
+	// MaxMessageBytes is the size limit of a message from a database, in bytes.
+	// Zero means 64 MiB.
 	MaxMessageBytes int
 }
 
@@ -81,38 +82,39 @@
 	subpools map[model.DatabaseID]*subpool
 }
 
-// NewPool returns a pool that knows no database yet.
+// NewPool returns a pool without databases; SetDatabases adds them.
 func NewPool(options PoolOptions, log logr.Logger) *Pool {
 	if options.MaxMessageBytes == 0 {
-		options.MaxMessageBytes = messageLimit
+		options.MaxMessageBytes = defaultMaxMessageBytes
 	}
 	return &Pool{options: options, log: log, subpools: map[model.DatabaseID]*subpool{}}
 }
 
-// Start closes connections that were idle for long until ctx ends, then all
-// idle ones. It closes the channel at the end.
+// Start starts a goroutine that closes connections that are idle for longer than
+// maxIdleTime. When ctx ends, it removes all databases, closes all idle
+// connections and then the returned channel. Start never fails.
 func (p *Pool) Start(ctx context.Context) (<-chan error, error) {
-	ended := make(chan error)
+	done := make(chan error)
 	go func() {
-		defer close(ended)
+		defer close(done)
 		p.sweep(ctx)
 	}()
-	return ended, nil
+	return done, nil
 }
 
-// HandleAction takes SetDatabases, and reports whether action was that.
+// HandleAction handles SetDatabases. It reports whether action is of that type.
 func (p *Pool) HandleAction(action message.Action) bool {
-	set, ok := action.(message.SetDatabases)
+	update, ok := action.(message.SetDatabases)
 	if !ok {
 		return false
 	}
-	p.setDatabases(set.Databases)
+	p.setDatabases(update.Databases)
 	return true
 }
 
-// Acquire returns a connection that is fit for use, idle or new, and the time
-// that opening it took. It waits for a free one until expires. Its error is an
-// *AcquireError.
+// Acquire returns a usable connection, idle or new, and the time that opening it
+// took, which is zero for an idle one. If the limit is reached, it waits for a
+// connection until expires. Its error is an *AcquireError.
 func (p *Pool) Acquire(ctx context.Context, database model.DatabaseID, expires time.Time) (*Conn, time.Duration, error) {
 	s := p.subpool(database)
 	if s == nil {
@@ -121,27 +123,29 @@
 	return s.acquire(ctx, expires)
 }
 
-// Release gives a connection back whose last answer was read to its end, with
-// no transaction open. A tainted one is closed.
+// Release returns a connection to the pool. The last answer on it must have been
+// read completely, and no transaction may be open. A tainted connection is
+// closed.
 func (p *Pool) Release(c *Conn) {
 	if c.tainted || c.Reader.Buffered() > 0 {
 		p.Discard(c)
 		return
 	}
-	c.idle = time.Now()
+	c.idleSince = time.Now()
 	c.subpool.put(c)
 }
 
-// Discard closes a connection that must not be used again.
+// Discard closes an acquired connection that must not be reused.
 func (p *Pool) Discard(c *Conn) {
 	c.close()
-	c.subpool.forget()
+	c.subpool.countClosed()
 }
 
-// CloseIdle closes the idle connections to the database of c that were not used
-// after since: c was found silent, and whatever has lost track of it has most
-// likely lost track of those as well. The ones used later are spared.
-func (p *Pool) CloseIdle(c *Conn, since time.Time) { c.subpool.closeIdle(since) }
+// CloseIdle closes the idle connections to the database of c that were last used
+// at or before cutoff. It is called after c became unresponsive: whatever lost
+// the state of c has probably lost the state of these connections too.
+// Connections that were used after cutoff are kept.
+func (p *Pool) CloseIdle(c *Conn, cutoff time.Time) { c.subpool.closeIdle(cutoff) }
 
 func (p *Pool) subpool(database model.DatabaseID) *subpool {
 	p.mu.Lock()
@@ -149,26 +153,29 @@
 	return p.subpools[database]
 }
 
+// setDatabases creates or updates the subpool of each target and retires the
+// subpools of all other databases.
 func (p *Pool) setDatabases(targets []message.DatabaseTarget) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := map[model.DatabaseID]bool{}
+	listed := map[model.DatabaseID]bool{}
 	for _, target := range targets {
-		known[target.Database] = true
+		listed[target.Database] = true
 		s := p.subpools[target.Database]
 		if s == nil {
 			s = newSubpool(p, target.Database)
 			p.subpools[target.Database] = s
 		}
-		s.set(target)
+		s.setTarget(target)
 	}
 	for database, s := range p.subpools {
-		if !known[database] {
+		if !listed[database] {
 			s.retire()
 		}
 	}
 }
 
+// sweep calls closeIdle periodically until ctx ends, then removes all databases.
 func (p *Pool) sweep(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
@@ -178,17 +185,19 @@
 			p.setDatabases(nil)
 			return
 		case now := <-ticker.C:
-			p.closeIdle(now.Add(-idleLimit))
+			p.closeIdle(now.Add(-maxIdleTime))
 		}
 	}
 }
 
-func (p *Pool) closeIdle(before time.Time) {
+// closeIdle closes the connections that have been idle since cutoff or longer,
+// and deletes the subpools of removed databases that have no connection left.
+func (p *Pool) closeIdle(cutoff time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for database, s := range p.subpools {
-		s.closeIdle(before)
-		if s.isGone() {
+		s.closeIdle(cutoff)
+		if s.isDrained() {
 			delete(p.subpools, database)
 		}
 	}
--- a/internal/edge/database/pool_test.go
+++ b/internal/edge/database/pool_test.go
@@ -16,26 +16,29 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/message"
 )
 
-// server is the little of a database that a pool needs.
-type server struct {
+// testServer implements the part of the database protocol that the pool uses: the
+// startup phase and empty answers to all queries.
+type testServer struct {
 	listener net.Listener
 
-	mu     sync.Mutex
-	conns  []net.Conn
-	opened int
-	// refuse is the SQLSTATE given to each new connection, where it is set.
-	refuse string
-	// mute lets queries go unanswered.
-	mute bool
+	mu    sync.Mutex
+	conns []net.Conn
+	// startedSessions is the number of connections that completed the startup.
+	startedSessions int
+	// startupErrorCode is the SQLSTATE with which each new connection is
+	// rejected, if it is not empty.
+	startupErrorCode string
+	// unresponsive makes the server leave queries unanswered.
+	unresponsive bool
 }
 
-func newServer(t *testing.T) *server {
+func newTestServer(t *testing.T) *testServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &server{listener: listener}
+	s := &testServer{listener: listener}
 	var running sync.WaitGroup
 	running.Add(1)
 	go func() {
@@ -58,14 +61,14 @@
 	}()
 	t.Cleanup(func() {
 		listener.Close()
-		s.cut()
+		s.closeConnections()
 		running.Wait()
 	})
 	return s
 }
 
-// cut closes all connections.
-func (s *server) cut() {
+// closeConnections closes all connections that were accepted so far.
+func (s *testServer) closeConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, conn := range s.conns {
@@ -74,37 +77,37 @@
 	s.conns = nil
 }
 
-func (s *server) setMute(mute bool) {
+func (s *testServer) setUnresponsive(unresponsive bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.mute = mute
+	s.unresponsive = unresponsive
 }
 
-func (s *server) isMute() bool {
+func (s *testServer) isUnresponsive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.mute
+	return s.unresponsive
 }
 
-func (s *server) count() int {
+func (s *testServer) sessionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.opened
+	return s.startedSessions
 }
 
-func (s *server) serve(conn net.Conn) {
+func (s *testServer) serve(conn net.Conn) {
 	backend := pgproto3.NewBackend(conn, conn)
 	_, err := backend.ReceiveStartupMessage()
 	if err != nil {
 		return
 	}
-	if s.refuse != "" {
-		backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: s.refuse})
+	if s.startupErrorCode != "" {
+		backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: s.startupErrorCode})
 		backend.Flush()
 		return
 	}
 	s.mu.Lock()
-	s.opened++
+	s.startedSessions++
 	s.mu.Unlock()
 	backend.Send(&pgproto3.AuthenticationOk{})
 	backend.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
@@ -113,38 +116,42 @@
 		if err != nil {
 			return
 		}
-		if !s.isMute() {
+		if !s.isUnresponsive() {
 			backend.Send(&pgproto3.ReadyForQuery{TxStatus: 'I'})
 		}
 	}
 }
 
-// newPool returns a pool of two connections before a server.
-func newPool(t *testing.T, s *server) *Pool {
+// newPool returns a running pool that may open two connections to s, which has
+// the name "a".
+func newPool(t *testing.T, s *testServer) *Pool {
 	t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
 	pool := NewPool(PoolOptions{User: "eelgrassfold"}, logr.Discard())
-	ended, err := pool.Start(ctx)
+	done, err := pool.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		stop()
-		<-ended
+		<-done
 	})
-	set(pool, s.address(), 2, false)
+	setDatabase(pool, s.address(), 2, false)
 	return pool
 }
 
-func (s *server) address() netip.AddrPort { return s.listener.Addr().(*net.TCPAddr).AddrPort() }
+func (s *testServer) address() netip.AddrPort { return s.listener.Addr().(*net.TCPAddr).AddrPort() }
 
-func set(pool *Pool, address netip.AddrPort, connections int, leaving bool) {
+// setDatabase makes the server at address the only database of the pool, under
+// the name "a".
+func setDatabase(pool *Pool, address netip.AddrPort, connections int, draining bool) {
 	pool.HandleAction(message.SetDatabases{Databases: []message.DatabaseTarget{
-		{Database: "a", Group: "ratings", Address: address, Connections: connections, Leaving: leaving},
+		{Database: "a", Group: "ratings", Address: address, Connections: connections, Leaving: draining},
 	}})
 }
 
-func take(t *testing.T, pool *Pool) *Conn {
+// acquire returns a connection to database "a".
+func acquire(t *testing.T, pool *Pool) *Conn {
 	t.Helper()
 	conn, _, err := pool.Acquire(context.Background(), "a", time.Now().Add(time.Minute))
 	if err != nil {
@@ -153,87 +160,89 @@
 	return conn
 }
 
-// whyOf returns the reason of an *AcquireError, or -1.
-func whyOf(err error) message.NotStartedReason {
-	var refused *AcquireError
-	if errors.As(err, &refused) {
-		return refused.Reason
+// reasonOf returns the reason of an *AcquireError, or -1 for any other error.
+func reasonOf(err error) message.NotStartedReason {
+	var acquireErr *AcquireError
+	if errors.As(err, &acquireErr) {
+		return acquireErr.Reason
 	}
 	return -1
 }
 
-// TestReuse gives connections back in every state: only a whole one is used
-// again.
-func TestReuse(t *testing.T) {
+// TestReuseOfReturnedConnections returns a connection and acquires one again. The
+// number of sessions shows whether the returned one was reused, which must happen
+// only if it is intact and still allowed.
+func TestReuseOfReturnedConnections(t *testing.T) {
 	cases := []struct {
-		name string
-		back func(s *server, pool *Pool, conn *Conn)
-		want int
+		name         string
+		giveBack     func(s *testServer, pool *Pool, conn *Conn)
+		wantSessions int
 	}{
-		{"released", func(_ *server, pool *Pool, conn *Conn) { pool.Release(conn) }, 1},
-		{"discarded", func(_ *server, pool *Pool, conn *Conn) { pool.Discard(conn) }, 2},
-		{"tainted", func(_ *server, pool *Pool, conn *Conn) { conn.Taint(); pool.Release(conn) }, 2},
-		{"idle for long", func(_ *server, pool *Pool, conn *Conn) {
+		{"released", func(_ *testServer, pool *Pool, conn *Conn) { pool.Release(conn) }, 1},
+		{"discarded", func(_ *testServer, pool *Pool, conn *Conn) { pool.Discard(conn) }, 2},
+		{"tainted", func(_ *testServer, pool *Pool, conn *Conn) { conn.Taint(); pool.Release(conn) }, 2},
+		{"idle for long", func(_ *testServer, pool *Pool, conn *Conn) {
 			pool.Release(conn)
-			conn.idle = time.Now().Add(-time.Minute)
+			conn.idleSince = time.Now().Add(-time.Minute)
 		}, 1},
-		{"idle for long and mute", func(s *server, pool *Pool, conn *Conn) {
+		{"idle for long and unresponsive", func(s *testServer, pool *Pool, conn *Conn) {
 			pool.Release(conn)
-			conn.idle = time.Now().Add(-time.Minute)
-			s.setMute(true)
+			conn.idleSince = time.Now().Add(-time.Minute)
+			s.setUnresponsive(true)
 		}, 2},
-		{"address moved", func(s *server, pool *Pool, conn *Conn) {
-			set(pool, netip.MustParseAddrPort("127.0.0.1:1"), 2, false)
+		{"address changed", func(s *testServer, pool *Pool, conn *Conn) {
+			setDatabase(pool, netip.MustParseAddrPort("127.0.0.1:1"), 2, false)
 			pool.Release(conn)
-			set(pool, s.address(), 2, false)
+			setDatabase(pool, s.address(), 2, false)
 		}, 2},
-		{"limit lowered", func(s *server, pool *Pool, conn *Conn) {
-			set(pool, s.address(), 0, false)
+		{"limit lowered", func(s *testServer, pool *Pool, conn *Conn) {
+			setDatabase(pool, s.address(), 0, false)
 			pool.Release(conn)
-			set(pool, s.address(), 2, false)
+			setDatabase(pool, s.address(), 2, false)
 		}, 2},
-		{"taken away and named again", func(s *server, pool *Pool, conn *Conn) {
+		{"removed and added again", func(s *testServer, pool *Pool, conn *Conn) {
 			pool.HandleAction(message.SetDatabases{})
 			pool.Release(conn)
-			set(pool, s.address(), 2, false)
+			setDatabase(pool, s.address(), 2, false)
 		}, 2},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			s := newServer(t)
+			s := newTestServer(t)
 			pool := newPool(t, s)
-			test.back(s, pool, take(t, pool))
-			pool.Release(take(t, pool))
-			if diff := cmp.Diff(test.want, s.count()); diff != "" {
+			test.giveBack(s, pool, acquire(t, pool))
+			pool.Release(acquire(t, pool))
+			if diff := cmp.Diff(test.wantSessions, s.sessionCount()); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-// TestRefusals gives databases that let nobody in.
+// TestRefusals checks the reason that Acquire reports when no connection to a
+// database can be opened.
 func TestRefusals(t *testing.T) {
 	cases := []struct {
-		name   string
-		change func(s *server, pool *Pool)
-		want   message.NotStartedReason
+		name    string
+		prepare func(s *testServer, pool *Pool)
+		want    message.NotStartedReason
 	}{
-		{"full", func(s *server, _ *Pool) { s.refuse = "53300" }, message.NotStartedTooManyConnections},
-		{"shutting down", func(s *server, _ *Pool) { s.refuse = "57P01" }, message.NotStartedShuttingDown},
-		{"starting", func(s *server, _ *Pool) { s.refuse = "57P03" }, message.NotStartedShuttingDown},
-		{"another error", func(s *server, _ *Pool) { s.refuse = "28000" }, message.NotStartedUnreachable},
-		{"gone", func(s *server, _ *Pool) { s.listener.Close() }, message.NotStartedUnreachable},
-		{"leaving", func(s *server, pool *Pool) { set(pool, s.address(), 2, true) }, message.NotStartedShuttingDown},
-		{"taken away", func(_ *server, pool *Pool) { pool.HandleAction(message.SetDatabases{}) }, message.NotStartedShuttingDown},
+		{"too many connections", func(s *testServer, _ *Pool) { s.startupErrorCode = "53300" }, message.NotStartedTooManyConnections},
+		{"shutting down", func(s *testServer, _ *Pool) { s.startupErrorCode = "57P01" }, message.NotStartedShuttingDown},
+		{"starting", func(s *testServer, _ *Pool) { s.startupErrorCode = "57P03" }, message.NotStartedShuttingDown},
+		{"another error", func(s *testServer, _ *Pool) { s.startupErrorCode = "28000" }, message.NotStartedUnreachable},
+		{"no listener", func(s *testServer, _ *Pool) { s.listener.Close() }, message.NotStartedUnreachable},
+		{"draining", func(s *testServer, pool *Pool) { setDatabase(pool, s.address(), 2, true) }, message.NotStartedShuttingDown},
+		{"removed", func(_ *testServer, pool *Pool) { pool.HandleAction(message.SetDatabases{}) }, message.NotStartedShuttingDown},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			s := newServer(t)
+			s := newTestServer(t)
 			pool := newPool(t, s)
-			test.change(s, pool)
+			test.prepare(s, pool)
 			for range 3 {
 				_, _, err := pool.Acquire(context.Background(), "a", time.Now().Add(time.Minute))
-				if diff := cmp.Diff(test.want, whyOf(err)); diff != "" {
+				if diff := cmp.Diff(test.want, reasonOf(err)); diff != "" {
 					t.Error(diff)
 				}
 			}
@@ -241,40 +250,42 @@
 	}
 }
 
-// TestUnknownDatabase asks for a database that nobody has named.
-func TestUnknownDatabase(t *testing.T) {
-	pool := newPool(t, newServer(t))
+// TestAcquireFromUnknownDatabase acquires a connection to a database that is not
+// in SetDatabases.
+func TestAcquireFromUnknownDatabase(t *testing.T) {
+	pool := newPool(t, newTestServer(t))
 	_, _, err := pool.Acquire(context.Background(), "b", time.Now().Add(time.Minute))
-	if diff := cmp.Diff(message.NotStartedUnreachable, whyOf(err)); diff != "" {
+	if diff := cmp.Diff(message.NotStartedUnreachable, reasonOf(err)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// TestLimit takes more connections than there may be: who waits gets the next
-// that comes free, or an error at the deadline.
-func TestLimit(t *testing.T) {
-	for name, free := range map[string]func(pool *Pool, conn *Conn){
+// TestConnectionLimit acquires one connection more than the limit allows. The
+// waiting call must fail at its deadline, or succeed as soon as another holder
+// releases or discards its connection.
+func TestConnectionLimit(t *testing.T) {
+	for name, giveBack := range map[string]func(pool *Pool, conn *Conn){
 		"released":  func(pool *Pool, conn *Conn) { pool.Release(conn) },
 		"discarded": func(pool *Pool, conn *Conn) { pool.Discard(conn) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newServer(t)
+			s := newTestServer(t)
 			pool := newPool(t, s)
-			first, second := take(t, pool), take(t, pool)
+			first, second := acquire(t, pool), acquire(t, pool)
 			_, _, err := pool.Acquire(context.Background(), "a", time.Now())
-			if diff := cmp.Diff(message.NotStartedTooManyConnections, whyOf(err)); diff != "" {
+			if diff := cmp.Diff(message.NotStartedTooManyConnections, reasonOf(err)); diff != "" {
 				t.Error(diff)
 			}
-			got := make(chan error, 1)
+			waiterResult := make(chan error, 1)
 			go func() {
 				conn, _, err := pool.Acquire(context.Background(), "a", time.Now().Add(time.Minute))
 				if err == nil {
 					pool.Release(conn)
 				}
-				got <- err
+				waiterResult <- err
 			}()
-			free(pool, first)
-			if err := <-got; err != nil {
+			giveBack(pool, first)
+			if err := <-waiterResult; err != nil {
 				t.Error(err)
 			}
 			pool.Release(second)
@@ -282,41 +293,41 @@
 	}
 }
 
-// TestBrokenWhileIdle has the database close an idle connection: the next to
-// ask gets another, and nothing was sent on the broken one.
-func TestBrokenWhileIdle(t *testing.T) {
-	s := newServer(t)
+// TestConnectionBrokenWhileIdle closes a connection at the database's end before it
+// is released. The next Acquire must return another connection.
+func TestConnectionBrokenWhileIdle(t *testing.T) {
+	s := newTestServer(t)
 	pool := newPool(t, s)
-	conn := take(t, pool)
-	s.cut()
-	// The end has arrived once a read sees it.
+	conn := acquire(t, pool)
+	s.closeConnections()
+	// A failed read shows that the close has arrived at this end.
 	_, err := conn.Reader.Next()
 	if err == nil {
 		t.Fatal("the connection is still open")
 	}
 	pool.Release(conn)
-	again := take(t, pool)
-	if again == conn {
-		t.Error("a broken connection was used again")
+	replacement := acquire(t, pool)
+	if replacement == conn {
+		t.Error("a broken connection was reused")
 	}
-	pool.Release(again)
+	pool.Release(replacement)
 }
 
-// TestDistrust gives two connections back, one of them after the time that the
-// silence began: that one alone is used again.
-func TestDistrust(t *testing.T) {
-	s := newServer(t)
+// TestCloseIdleKeepsConnectionsUsedLater releases one connection before and one
+// after the cutoff of CloseIdle. Only the second may be reused.
+func TestCloseIdleKeepsConnectionsUsedLater(t *testing.T) {
+	s := newTestServer(t)
 	pool := newPool(t, s)
-	before, after := take(t, pool), take(t, pool)
-	pool.Release(before)
-	since := time.Now()
-	pool.Release(after)
-	pool.CloseIdle(after, since)
-	first, second := take(t, pool), take(t, pool)
-	if first != after || second == before {
-		t.Errorf("used again: the later one %v, the earlier one %v", first == after, second == before)
+	earlier, later := acquire(t, pool), acquire(t, pool)
+	pool.Release(earlier)
+	cutoff := time.Now()
+	pool.Release(later)
+	pool.CloseIdle(later, cutoff)
+	first, second := acquire(t, pool), acquire(t, pool)
+	if first != later || second == earlier {
+		t.Errorf("reused: connection used later %v, connection used earlier %v", first == later, second == earlier)
 	}
-	if diff := cmp.Diff(3, s.count()); diff != "" {
+	if diff := cmp.Diff(3, s.sessionCount()); diff != "" {
 		t.Error(diff)
 	}
 	pool.Release(first)
--- a/internal/edge/database/subpool.go
+++ b/internal/edge/database/subpool.go
@@ -17,14 +17,17 @@
 	mu      sync.Mutex
 	current message.DatabaseTarget
 	retired bool
-	// open counts the connections that exist, those being opened included.
-	open int
-	// idle holds the free ones, the one used last at the end.
+	// openCount is the number of connections, including those that are being
+	// opened or closed.
+	openCount int
+	// idle holds the idle connections, with the one used last at the end.
 	idle []*Conn
-	// waiting holds those who wait for a connection, in order of arrival.
-	waiting []chan *Conn
-	// checking is the check that is running, or nil.
-	checking *check
+	// waiters holds one channel for each waiting call of acquire, in order of
+	// arrival. The waiter receives a connection, or nil when it should try
+	// again.
+	waiters []chan *Conn
+	// activeCheck is the check that is running, or nil.
+	activeCheck *activityCheck
 }
 
 func newSubpool(pool *Pool, database model.DatabaseID) *subpool {
@@ -32,17 +35,17 @@
 }
 
 // -----------------------------------------------------------------------------
-// Taking and giving back.
+// Acquiring and releasing.
 
-// acquire returns a connection that is fit for use.
+// acquire implements Pool.Acquire.
 func (s *subpool) acquire(ctx context.Context, expires time.Time) (*Conn, time.Duration, error) {
 	for {
-		conn, mayOpen, why := s.take()
-		if why != nil {
-			return nil, 0, why
+		conn, mayOpen, acquireErr := s.takeOrReserve()
+		if acquireErr != nil {
+			return nil, 0, acquireErr
 		}
 		if mayOpen {
-			return s.openOne(ctx, expires)
+			return s.openReserved(ctx, expires)
 		}
 		if conn == nil {
 			var err error
@@ -51,15 +54,19 @@
 				return nil, 0, err
 			}
 		}
-		// A nil connection from wait says that room came free.
-		if conn != nil && s.isFit(conn) {
+		// A nil connection from wait means that the loop has to try again: a
+		// connection may be opened, or the target has changed.
+		if conn != nil && s.isUsable(conn) {
 			return conn, 0, nil
 		}
 	}
 }
 
-// take returns an idle connection, or the right to open one, or neither.
-func (s *subpool) take() (*Conn, bool, *AcquireError) {
+// takeOrReserve returns an idle connection if there is one. Otherwise, if the
+// limit allows another connection, it counts one as open and returns true; the
+// caller must then open it. If neither is possible, it returns nil and false.
+// The error reports that the database is draining or was removed.
+func (s *subpool) takeOrReserve() (*Conn, bool, *AcquireError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.retired || s.current.Leaving {
@@ -71,133 +78,140 @@
 		s.idle = s.idle[:n-1]
 		return conn, false, nil
 	}
-	if s.open < s.current.Connections {
-		s.open++
+	if s.openCount < s.current.Connections {
+		s.openCount++
 		return nil, true, nil
 	}
 	return nil, false, nil
 }
 
-func (s *subpool) openOne(ctx context.Context, expires time.Time) (*Conn, time.Duration, error) {
-	begun := time.Now()
+// openReserved opens a connection that takeOrReserve has counted. It returns the
+// time that opening took, also with an error.
+func (s *subpool) openReserved(ctx context.Context, expires time.Time) (*Conn, time.Duration, error) {
+	startedAt := time.Now()
 	conn, err := s.connect(ctx, expires)
-	opened := time.Since(begun)
+	openTime := time.Since(startedAt)
 	if err != nil {
-		s.forget()
+		s.countClosed()
 		openFailures.Add(1)
-		return nil, opened, &AcquireError{Database: s.database, Reason: refusedWhy(err), Cause: err}
+		return nil, openTime, &AcquireError{Database: s.database, Reason: notStartedReason(err), Cause: err}
 	}
-	opens.Add(1)
-	return conn, opened, nil
+	openedConnections.Add(1)
+	return conn, openTime, nil
 }
 
-// wait returns what comes free first. A nil connection says that there is room
-// for a new one.
+// wait waits for a connection that another holder returns. A nil connection
+// without an error means that the caller should try again.
 func (s *subpool) wait(ctx context.Context, expires time.Time) (*Conn, error) {
-	turn := make(chan *Conn, 1)
+	waiter := make(chan *Conn, 1)
 	s.mu.Lock()
-	if len(s.idle) > 0 || s.open < s.current.Connections {
+	if len(s.idle) > 0 || s.openCount < s.current.Connections {
 		s.mu.Unlock()
 		return nil, nil
 	}
-	s.waiting = append(s.waiting, turn)
+	s.waiters = append(s.waiters, waiter)
 	s.mu.Unlock()
 	timer := time.NewTimer(time.Until(expires))
 	defer timer.Stop()
 	var cause error
 	select {
-	case conn := <-turn:
+	case conn := <-waiter:
 		return conn, nil
 	case <-timer.C:
 	case <-ctx.Done():
 		cause = ctx.Err()
 	}
-	s.withdraw(turn)
+	s.cancelWait(waiter)
 	return nil, &AcquireError{Database: s.database, Reason: message.NotStartedTooManyConnections, Cause: cause}
 }
 
-// withdraw gives up a turn; what has come with it meanwhile goes on.
-func (s *subpool) withdraw(turn chan *Conn) {
+// cancelWait removes a waiter. If something was sent to the waiter meanwhile, it
+// passes that on: a connection to the pool, a nil to the next waiter.
+func (s *subpool) cancelWait(waiter chan *Conn) {
 	s.mu.Lock()
-	for i, other := range s.waiting {
-		if other == turn {
-			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
+	for i, other := range s.waiters {
+		if other == waiter {
+			s.waiters = append(s.waiters[:i], s.waiters[i+1:]...)
 			s.mu.Unlock()
 			return
 		}
 	}
 	s.mu.Unlock()
-	conn := <-turn
+	conn := <-waiter
 	if conn != nil {
 		s.put(conn)
 		return
 	}
-	s.callNext()
+	s.wakeNextWaiter()
 }
 
-// put gives an idle connection to the first who waits, or keeps it.
+// put passes a connection to the first waiter, or keeps it as idle. It closes
+// the connection if the database has been removed, is draining or has another
+// address, or if the limit is exceeded.
 func (s *subpool) put(conn *Conn) {
 	s.mu.Lock()
 	moved := conn.address != s.current.Address
-	if s.retired || s.current.Leaving || moved || s.open > s.current.Connections {
+	if s.retired || s.current.Leaving || moved || s.openCount > s.current.Connections {
 		s.mu.Unlock()
 		conn.terminate()
-		s.forget()
+		s.countClosed()
 		return
 	}
-	if len(s.waiting) > 0 {
-		turn := s.waiting[0]
-		s.waiting = s.waiting[1:]
+	if len(s.waiters) > 0 {
+		waiter := s.waiters[0]
+		s.waiters = s.waiters[1:]
 		s.mu.Unlock()
-		turn <- conn
+		waiter <- conn
 		return
 	}
 	s.idle = append(s.idle, conn)
 	s.mu.Unlock()
 }
 
-// forget counts a connection as closed and calls the next who waits.
-func (s *subpool) forget() {
+// countClosed counts a connection as closed and wakes the next waiter.
+func (s *subpool) countClosed() {
 	s.mu.Lock()
-	s.open--
+	s.openCount--
 	s.mu.Unlock()
-	s.callNext()
+	s.wakeNextWaiter()
 }
 
-// callNext tells the first who waits that there is room.
-func (s *subpool) callNext() {
+// wakeNextWaiter wakes the first waiter if a connection may be opened, or if the
+// waiter has to fail because the database is draining or was removed.
+func (s *subpool) wakeNextWaiter() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.waiting) == 0 {
+	if len(s.waiters) == 0 {
 		return
 	}
-	if s.open >= s.current.Connections && !s.retired && !s.current.Leaving {
+	if s.openCount >= s.current.Connections && !s.retired && !s.current.Leaving {
 		return
 	}
-	turn := s.waiting[0]
-	s.waiting = s.waiting[1:]
-	turn <- nil
+	waiter := s.waiters[0]
+	s.waiters = s.waiters[1:]
+	waiter <- nil
 }
 
-// isFit looks at an idle connection and closes it where it is broken.
-func (s *subpool) isFit(conn *Conn) bool {
-	if !conn.isQuiet() {
-		staleFound.Add(1)
+// isUsable checks an idle connection, and closes it if it is broken.
+func (s *subpool) isUsable(conn *Conn) bool {
+	if !conn.isSocketIdle() {
+		staleConnections.Add(1)
 		conn.close()
-		s.forget()
+		s.countClosed()
 		return false
 	}
-	if time.Since(conn.idle) < idleCheck {
+	if time.Since(conn.idleSince) < idleCheckThreshold {
 		return true
 	}
-	if conn.answers(idleAnswer) {
+	if conn.answersEmptyQuery(idleCheckTimeout) {
 		return true
 	}
-	staleFound.Add(1)
+	staleConnections.Add(1)
 	conn.close()
-	s.forget()
-	// Others that were idle as long are most likely lost by the same cause.
-	s.closeIdle(conn.idle)
+	s.countClosed()
+	// Connections that were idle for as long are probably lost for the same
+	// reason.
+	s.closeIdle(conn.idleSince)
 	return false
 }
 
@@ -210,7 +224,9 @@
 	return s.current
 }
 
-func (s *subpool) set(target message.DatabaseTarget) {
+// setTarget replaces the target. It closes idle connections that the new target
+// does not allow, and wakes all waiters.
+func (s *subpool) setTarget(target message.DatabaseTarget) {
 	s.mu.Lock()
 	moved := s.current.Address.IsValid() && s.current.Address != target.Address
 	s.current = target
@@ -220,14 +236,14 @@
 		s.closeIdle(time.Now())
 	}
 	s.trim()
-	s.callAll()
+	s.wakeAllWaiters()
 }
 
-// trim closes idle connections above the limit.
+// trim closes idle connections while the limit is exceeded.
 func (s *subpool) trim() {
 	for {
 		s.mu.Lock()
-		if s.open <= s.current.Connections || len(s.idle) == 0 {
+		if s.openCount <= s.current.Connections || len(s.idle) == 0 {
 			s.mu.Unlock()
 			return
 		}
@@ -235,54 +251,56 @@
 		s.idle = s.idle[1:]
 		s.mu.Unlock()
 		conn.terminate()
-		s.forget()
+		s.countClosed()
 	}
 }
 
-// isGone reports whether nothing is left of a database that was taken away.
-func (s *subpool) isGone() bool {
+// isDrained reports whether the database was removed and all its connections are
+// closed.
+func (s *subpool) isDrained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.retired && s.open == 0
+	return s.retired && s.openCount == 0
 }
 
-// retire closes what is idle and refuses everything else.
+// retire marks the database as removed: it closes the idle connections and lets
+// all waiting and later calls of acquire fail.
 func (s *subpool) retire() {
 	s.mu.Lock()
 	s.retired = true
 	s.mu.Unlock()
 	s.closeIdle(time.Now())
-	s.callAll()
+	s.wakeAllWaiters()
 }
 
-// callAll lets those who wait look again.
-func (s *subpool) callAll() {
+// wakeAllWaiters lets all waiters try again.
+func (s *subpool) wakeAllWaiters() {
 	s.mu.Lock()
-	waiting := s.waiting
-	s.waiting = nil
+	waiters := s.waiters
+	s.waiters = nil
 	s.mu.Unlock()
-	for _, turn := range waiting {
-		turn <- nil
+	for _, waiter := range waiters {
+		waiter <- nil
 	}
 }
 
-// closeIdle closes the connections that are idle since before that time.
-func (s *subpool) closeIdle(before time.Time) {
+// closeIdle closes the connections that have been idle since cutoff or longer.
+func (s *subpool) closeIdle(cutoff time.Time) {
 	s.mu.Lock()
 	kept := s.idle[:0]
-	var gone []*Conn
+	var expired []*Conn
 	for _, conn := range s.idle {
-		if conn.idle.After(before) {
+		if conn.idleSince.After(cutoff) {
 			kept = append(kept, conn)
 			continue
 		}
-		gone = append(gone, conn)
+		expired = append(expired, conn)
 	}
 	clear(s.idle[len(kept):])
 	s.idle = kept
 	s.mu.Unlock()
-	for _, conn := range gone {
+	for _, conn := range expired {
 		conn.terminate()
-		s.forget()
+		s.countClosed()
 	}
 }
