--- a/internal/edge/group/connection.go
+++ b/internal/edge/group/connection.go
@@ -13,60 +13,61 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// maxAnswer bounds one message of a database on a control connection, in
-// bytes.
-const maxAnswer = 1 << 20
+// maxMessageBytes is the size limit of one message from a database on a control
+// connection, in bytes.
+const maxMessageBytes = 1 << 20
 
 // -----------------------------------------------------------------------------
 // Control connections.
 
-// connection is one open control connection. One goroutine uses it.
+// connection is one open control connection. Only one goroutine uses it.
 type connection struct {
 	conn     net.Conn
 	frontend *pgproto3.Frontend
-	// used says that a statement was answered on it before.
-	used bool
-	// release takes away the hook that closes conn when the context ends.
-	release func() bool
+	// hasAnswered is true if a statement has been answered on the connection.
+	hasAnswered bool
+	// stopCloseOnCancel removes the hook that closes conn when the context ends.
+	stopCloseOnCancel func() bool
 }
 
-// countedConn counts the bytes of all control connections.
-type countedConn struct{ net.Conn }
+// countingConn adds the bytes that it receives and sends to the metrics of all
+// control connections.
+type countingConn struct{ net.Conn }
 
 // Read implements net.Conn.
-func (c countedConn) Read(body []byte) (int, error) {
-	n, err := c.Conn.Read(body)
+func (c countingConn) Read(buffer []byte) (int, error) {
+	n, err := c.Conn.Read(buffer)
 	counters.Add("received.bytes", int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c countedConn) Write(body []byte) (int, error) {
-	n, err := c.Conn.Write(body)
+func (c countingConn) Write(buffer []byte) (int, error) {
+	n, err := c.Conn.Write(buffer)
 	counters.Add("sent.bytes", int64(n))
 	return n, err
 }
 
-// target is where a database's control connections go.
+// target is a database to which control connections are opened.
 type target struct {
 	database model.DatabaseID
 	group    model.GroupID
 	address  netip.AddrPort
 }
 
-// open connects to a database and logs in until expires. The connection
-// closes itself when ctx ends.
-func open(ctx context.Context, to target, options Options, expires time.Time) (*connection, error) {
+// open connects to a database and completes the startup phase, or fails at
+// expires. The connection is closed when ctx ends.
+func open(ctx context.Context, destination target, options Options, expires time.Time) (*connection, error) {
 	dialer := net.Dialer{Deadline: expires}
-	dialed, err := dialer.DialContext(ctx, "tcp", to.address.String())
+	netConn, err := dialer.DialContext(ctx, "tcp", destination.address.String())
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	conn := countedConn{dialed}
+	conn := countingConn{netConn}
 	c := &connection{conn: conn, frontend: pgproto3.NewFrontend(conn, conn)}
-	c.release = context.AfterFunc(ctx, func() { _ = conn.Close() })
-	c.frontend.SetMaxBodyLen(maxAnswer)
-	if err := c.login(to, options, expires); err != nil {
+	c.stopCloseOnCancel = context.AfterFunc(ctx, func() { _ = conn.Close() })
+	c.frontend.SetMaxBodyLen(maxMessageBytes)
+	if err := c.login(destination, options, expires); err != nil {
 		c.close()
 		return nil, err
 	}
@@ -74,11 +75,11 @@
 }
 
 func (c *connection) close() {
-	c.release()
+	c.stopCloseOnCancel()
 	_ = c.conn.Close()
 }
 
-func (c *connection) login(to target, options Options, expires time.Time) error {
+func (c *connection) login(destination target, options Options, expires time.Time) error {
 	if err := c.conn.SetDeadline(expires); err != nil {
 		return errors.WithStack(err)
 	}
@@ -86,7 +87,7 @@
 		ProtocolVersion: pgproto3.ProtocolVersion30,
 		Parameters: map[string]string{
 			"user":             options.User,
-			"database":         string(to.group),
+			"database":         string(destination.group),
 			"application_name": "eelgrassfold",
 			"group_control":    "on",
 		},
@@ -97,14 +98,16 @@
 	return c.awaitReady(options.Password)
 }
 
-// awaitReady answers what the database asks of the startup message.
+// awaitReady reads messages until the database is ready for a query, and sends the
+// password if the database asks for it. It returns a *StatementError if the
+// database rejects the connection.
 func (c *connection) awaitReady(password string) error {
 	for {
-		answer, err := c.frontend.Receive()
+		msg, err := c.frontend.Receive()
 		if err != nil {
 			return errors.WithStack(err)
 		}
-		switch answer := answer.(type) {
+		switch msg := msg.(type) {
 		case *pgproto3.ReadyForQuery:
 			return nil
 		case *pgproto3.AuthenticationOk, *pgproto3.ParameterStatus, *pgproto3.BackendKeyData,
@@ -116,14 +119,14 @@
 				return errors.WithStack(err)
 			}
 		case *pgproto3.ErrorResponse:
-			return &StatementError{SQLState: answer.Code, Message: answer.Message}
+			return &StatementError{SQLState: msg.Code, Message: msg.Message}
 		default:
-			return &ProtocolError{Step: "startup", MessageType: fmt.Sprintf("%T", answer)}
+			return &ProtocolError{Step: "startup", MessageType: fmt.Sprintf("%T", msg)}
 		}
 	}
 }
 
-// send writes a statement.
+// send sends a statement. It also sets the deadline for its answer.
 func (c *connection) send(statement string, expires time.Time) error {
 	if err := c.conn.SetDeadline(expires); err != nil {
 		return errors.WithStack(err)
@@ -132,46 +135,48 @@
 	return errors.WithStack(c.frontend.Flush())
 }
 
-// receive reads the whole answer to one statement. A *StatementError leaves
-// the connection usable; any other error does not.
+// receive reads the complete answer to one statement, which must be one row. After
+// a *StatementError the connection is still usable; after an I/O error or an
+// unexpected message it is not.
 func (c *connection) receive() (*row, error) {
 	var names []string
-	var found *row
-	var refusal error
+	var result *row
+	var statementErr error
 	for {
-		answer, err := c.frontend.Receive()
+		msg, err := c.frontend.Receive()
 		if err != nil {
 			return nil, errors.WithStack(err)
 		}
-		switch answer := answer.(type) {
+		switch msg := msg.(type) {
 		case *pgproto3.RowDescription:
-			names = columnNames(answer)
+			names = columnNames(msg)
 		case *pgproto3.DataRow:
-			if found != nil || len(answer.Values) != len(names) {
-				return nil, &ProtocolError{Step: "answer", MessageType: "a row too many or of another length"}
+			if result != nil || len(msg.Values) != len(names) {
+				return nil, &ProtocolError{Step: "answer", MessageType: "second row, or row with another number of columns,"}
 			}
-			found = newRow(names, answer.Values)
+			result = newRow(names, msg.Values)
 		case *pgproto3.ErrorResponse:
-			refusal = &StatementError{SQLState: answer.Code, Message: answer.Message}
+			statementErr = &StatementError{SQLState: msg.Code, Message: msg.Message}
 		case *pgproto3.ReadyForQuery:
-			return c.finish(found, refusal)
+			return c.finishAnswer(result, statementErr)
 		case *pgproto3.CommandComplete, *pgproto3.ParameterStatus, *pgproto3.NoticeResponse:
 			continue
 		default:
-			return nil, &ProtocolError{Step: "answer", MessageType: fmt.Sprintf("%T", answer)}
+			return nil, &ProtocolError{Step: "answer", MessageType: fmt.Sprintf("%T", msg)}
 		}
 	}
 }
 
-func (c *connection) finish(found *row, refusal error) (*row, error) {
-	c.used = true
-	if refusal != nil {
-		return nil, refusal
+// finishAnswer returns the result of an answer that was read to its end.
+func (c *connection) finishAnswer(result *row, statementErr error) (*row, error) {
+	c.hasAnswered = true
+	if statementErr != nil {
+		return nil, statementErr
 	}
-	if found == nil {
+	if result == nil {
 		return nil, &ProtocolError{Step: "answer", MessageType: "no row"}
 	}
-	return found, nil
+	return result, nil
 }
 
 func columnNames(description *pgproto3.RowDescription) []string {
@@ -182,6 +187,7 @@
 	return names
 }
 
+// newRow returns the row whose columns have these names and values.
 func newRow(names []string, values [][]byte) *row {
 	r := &row{values: map[string]string{}}
 	for i, value := range values {
--- a/internal/edge/group/edge.go
+++ b/internal/edge/group/edge.go
@@ -1,37 +1,42 @@
-// Package group asks databases the control questions by which a group's
-// primary, terms and positions are known and changed.
+// Package group sends control requests to databases. By these requests the core
+// reads and changes a group's primary, terms and positions.
 //
 // # What flows in and out
 //
-// Probe, Await, Fence, Promote, Follow and Settle flow in, and SetDatabases
-// tells where the databases are. Each question is one statement of the
-// PostgreSQL protocol on a control connection (docs/design/
-// database-protocol.md). For each question exactly one ControlAnswered or
-// InDoubtResolved flows out: the database's answer, or ControlTimeout when the
-// question's time is over, or ControlUnreachable when there is no connection.
+// The core sends Probe, AwaitPosition, Fence, Promote, Follow and ResolveInDoubt,
+// and SetDatabases with the databases' addresses. Each request is one statement of
+// the PostgreSQL protocol on a control connection
+// (docs/design/database-protocol.md). Exactly one ControlAnswered or
+// InDoubtResolved is posted for each request. It carries the database's answer, or
+// ControlTimeout if the request expired, or ControlUnreachable if there is no
+// connection.
 //
-// Each database has two lanes with a connection each, opened with the first
-// question: one for questions that are answered at once, and one for Await,
-// which may block, so that no probe ever waits behind it. Inside a lane the
-// questions go one after the other. Probes that wait together are answered by
-// one statement that is sent after the last of them arrived, so that each
-// answer tells the database's state at a time after its question. Waits for
-// positions are shared in the same way: the statement names the lowest
-// position, and its answer serves each wait whose position has been reached.
+// Each database has two request queues with a connection each, which is opened
+// for the first request: one for requests that are answered immediately, and one
+// for AwaitPosition, which may block, so that no Probe ever waits behind it. The
+// requests of one queue are sent one after the other. Probes that are queued
+// together are answered by one statement, which is sent after the last of them
+// was queued, so each answer shows the database's state at a time after its
+// request. AwaitPosition requests are combined in the same way: the statement
+// names the lowest position, and its answer serves each request whose position
+// has been reached.
 //
-// A question whose time is over closes its connection. A late answer then
-// can't be taken for the next question's, and a connection that has gone
-// silent is replaced by the next question. A connection left over from before
-// may have broken unnoticed; the question is then sent once more on a new one,
-// since all control statements are idempotent. Tries to connect are spaced by
-// exponential backoff with full jitter.
+// When a request that was sent expires, its connection is closed. A late answer
+// can therefore not be taken for the answer to the next request, and the next
+// request replaces an unresponsive connection by a new one. A connection that was
+// used before may have broken unnoticed. In that case the request is sent once
+// more on a new connection, which is safe because all control statements are
+// idempotent. Attempts to connect are spaced by exponential backoff with full
+// jitter.
 //
 // # Usage
 //
-//	edge := group.NewEdge(group.Options{User: "eelgrassfold"}, sink, log)
-//	ended, err := edge.Start(ctx)
-//	edge.HandleAction(message.SetDatabases{Databases: targets})
-//	edge.HandleAction(message.Probe{Database: "ratings-a", Ask: 1, Timeout: time.Second})
+//	client := group.NewClient(group.Options{User: "eelgrassfold"}, sink, log)
+//	done, err := client.Start(ctx)
+//	client.HandleAction(message.SetDatabases{Databases: targets})
+//	client.HandleAction(message.Probe{
+//		Database: "ratings-a", CorrelationID: 1, Timeout: time.Second,
+//	})
 package group
 
 import (
@@ -51,40 +56,41 @@
 
 // The defaults of Options.
 const (
-	defaultUser       = "eelgrassfold"
-	defaultConnect    = time.Second
-	defaultBackoff    = 20 * time.Millisecond
-	defaultBackoffMax = 500 * time.Millisecond
+	defaultUser           = "eelgrassfold"
+	defaultConnectTimeout = time.Second
+	defaultInitialBackoff = 20 * time.Millisecond
+	defaultMaxBackoff     = 500 * time.Millisecond
 )
 
-// Options are the settings of an Edge. A zero value has the defaults.
+// Options are the options of a Client. Each zero value stands for its default.
 type Options struct {
 	// User is the user name of the control connections.
 	User string
-	// Password is sent in clear text to a database that asks for it so. Other
-	// ways to authenticate are not offered.
+	// Password is sent in clear text to a database that requests a clear-text
+	// password. Other authentication methods are not supported.
 	Password string
-	// ConnectTimeout is the longest time for opening a connection.
+	// ConnectTimeout is the maximum time for opening a connection.
 	ConnectTimeout time.Duration
-	// InitialBackoff is the longest pause after the first failure to connect. It
-	// doubles with each failure up to MaxBackoff.
+	// InitialBackoff is the maximum pause after the first failure to connect. The
+	// maximum doubles with each further failure, up to MaxBackoff.
 	InitialBackoff, MaxBackoff time.Duration
-	// Now is the clock.
+	// Now returns the current time; the default is time.Now.
 	Now func() time.Time
 }
 
+// withDefaults returns the options with each zero value replaced by its default.
 func (o Options) withDefaults() Options {
 	if o.User == "" {
 		o.User = defaultUser
 	}
 	if o.ConnectTimeout == 0 {
-		o.ConnectTimeout = defaultConnect
+		o.ConnectTimeout = defaultConnectTimeout
 	}
 	if o.InitialBackoff == 0 {
-		o.InitialBackoff = defaultBackoff
+		o.InitialBackoff = defaultInitialBackoff
 	}
 	if o.MaxBackoff == 0 {
-		o.MaxBackoff = defaultBackoffMax
+		o.MaxBackoff = defaultMaxBackoff
 	}
 	if o.Now == nil {
 		o.Now = time.Now
@@ -93,157 +99,166 @@
 }
 
 // -----------------------------------------------------------------------------
-// The edge.
+// The client.
 
-// Client asks control questions. NewEdge makes one.
+// Client sends control requests to databases. It is created by NewClient.
 type Client struct {
 	options Options
 	sink    message.Sink
 	log     *eventlog.Writer
-	// ended gets a value from each lane's goroutine when it ends.
-	ended chan struct{}
+	// queueEnded receives a value from each queue's goroutine when it ends.
+	queueEnded chan struct{}
 
-	mu    sync.Mutex
-	lanes map[model.DatabaseID]lanes
-	// ctx is nil before Start.
+	mu     sync.Mutex
+	queues map[model.DatabaseID]databaseQueues
+	// ctx is the context given to Start, or nil before Start.
 	ctx context.Context
-	// running counts the lanes' goroutines.
-	running int
+	// runningQueues is the number of queues whose goroutine is running.
+	runningQueues int
 }
 
-// lanes are the two lanes of one database.
-type lanes struct {
+// databaseQueues are the two request queues of one database: await for
+// AwaitPosition, control for all other requests.
+type databaseQueues struct {
 	target  target
-	control *lane
-	await   *lane
+	control *requestQueue
+	await   *requestQueue
 }
 
-// NewClient returns an edge that posts its answers to sink.
+// NewClient returns a Client that posts its answers to sink.
 func NewClient(options Options, sink message.Sink, log logr.Logger) *Client {
 	return &Client{
-		options: options.withDefaults(),
-		sink:    sink,
-		log:     eventlog.NewWriter(log, eventlog.DefaultLinesPerSecond),
-		ended:   make(chan struct{}),
-		lanes:   map[model.DatabaseID]lanes{},
+		options:    options.withDefaults(),
+		sink:       sink,
+		log:        eventlog.NewWriter(log, eventlog.DefaultLinesPerSecond),
+		queueEnded: make(chan struct{}),
+		queues:     map[model.DatabaseID]databaseQueues{},
 	}
 }
 
-// Start lets questions be sent until ctx ends. The channel is closed when all
-// connections are closed and all questions are answered. It never fails.
-func (e *Client) Start(ctx context.Context) (<-chan error, error) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.ctx = ctx
-	for _, pair := range e.lanes {
-		e.launch(pair)
-	}
-	over := make(chan error)
-	go e.supervise(ctx, over)
-	return over, nil
+// Start starts sending requests, which continues until ctx ends. The returned
+// channel is closed when all connections are closed and all requests are answered.
+// Start never fails.
+func (c *Client) Start(ctx context.Context) (<-chan error, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.ctx = ctx
+	for _, queues := range c.queues {
+		c.startQueues(queues)
+	}
+	done := make(chan error)
+	go c.supervise(ctx, done)
+	return done, nil
 }
 
-// HandleAction takes an action and reports whether it is one of this edge. It never
-// blocks.
-func (e *Client) HandleAction(action message.Action) bool {
-	if set, found := action.(message.SetDatabases); found {
-		e.setDatabases(set.Databases)
+// HandleAction handles SetDatabases and the control requests. It reports whether
+// action is one of these. It never blocks.
+func (c *Client) HandleAction(action message.Action) bool {
+	if update, found := action.(message.SetDatabases); found {
+		c.setDatabases(update.Databases)
 		return true
 	}
-	q, found := newQuestion(action)
+	req, found := newRequest(action)
 	if !found {
 		return false
 	}
-	q.expires = e.options.Now().Add(q.timeout)
-	e.ask(q)
+	req.expires = c.options.Now().Add(req.timeout)
+	c.dispatch(req)
 	return true
 }
 
-func (e *Client) ask(q *question) {
-	e.mu.Lock()
-	pair, known := e.lanes[q.database]
-	e.mu.Unlock()
-	if !known {
-		e.sink.Post(q.failed(message.ControlUnreachable))
+// dispatch puts a request into its queue, or answers ControlUnreachable if the
+// database is unknown.
+func (c *Client) dispatch(req *request) {
+	c.mu.Lock()
+	queues, found := c.queues[req.database]
+	c.mu.Unlock()
+	if !found {
+		c.sink.Post(req.failureEvent(message.ControlUnreachable))
 		return
 	}
-	if _, blocks := q.action.(message.AwaitPosition); blocks {
-		pair.await.push(q)
+	if _, blocks := req.action.(message.AwaitPosition); blocks {
+		queues.await.enqueue(req)
 		return
 	}
-	pair.control.push(q)
+	queues.control.enqueue(req)
 }
 
 // -----------------------------------------------------------------------------
-// The lanes' lives.
+// Starting and stopping of queues.
 
-func (e *Client) setDatabases(databases []message.DatabaseTarget) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.ctx != nil && e.ctx.Err() != nil {
+// setDatabases retires the queues of databases that were removed or whose target
+// changed, and adds queues for new targets. After the end of ctx it removes all.
+func (c *Client) setDatabases(databases []message.DatabaseTarget) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.ctx != nil && c.ctx.Err() != nil {
 		databases = nil
 	}
-	wanted := map[model.DatabaseID]target{}
+	targets := map[model.DatabaseID]target{}
 	for _, d := range databases {
-		wanted[d.Database] = target{database: d.Database, group: d.Group, address: d.Address}
+		targets[d.Database] = target{database: d.Database, group: d.Group, address: d.Address}
 	}
-	for id, pair := range e.lanes {
-		if pair.target != wanted[id] {
-			pair.retire()
-			delete(e.lanes, id)
+	for id, queues := range c.queues {
+		if queues.target != targets[id] {
+			queues.retire()
+			delete(c.queues, id)
 		}
 	}
-	for id, to := range wanted {
-		if _, known := e.lanes[id]; !known {
-			e.add(to)
+	for id, destination := range targets {
+		if _, found := c.queues[id]; !found {
+			c.addQueues(destination)
 		}
 	}
 }
 
-func (e *Client) add(to target) {
-	pair := lanes{
-		target:  to,
-		control: newLane("control", to, e.options, e.sink, e.log),
-		await:   newLane("await", to, e.options, e.sink, e.log),
+// addQueues adds the queues of one database, and starts them if Start was called.
+func (c *Client) addQueues(destination target) {
+	queues := databaseQueues{
+		target:  destination,
+		control: newRequestQueue("control", destination, c.options, c.sink, c.log),
+		await:   newRequestQueue("await", destination, c.options, c.sink, c.log),
 	}
-	e.lanes[to.database] = pair
-	if e.ctx != nil {
-		e.launch(pair)
+	c.queues[destination.database] = queues
+	if c.ctx != nil {
+		c.startQueues(queues)
 	}
 }
 
-func (e *Client) launch(pair lanes) {
-	for _, l := range []*lane{pair.control, pair.await} {
-		e.running++
+// startQueues starts a goroutine for each of the two queues.
+func (c *Client) startQueues(queues databaseQueues) {
+	for _, queue := range []*requestQueue{queues.control, queues.await} {
+		c.runningQueues++
 		go func() {
-			l.run(e.ctx)
-			e.ended <- struct{}{}
+			queue.run(c.ctx)
+			c.queueEnded <- struct{}{}
 		}()
 	}
 }
 
-func (p lanes) retire() {
-	p.control.retire()
-	p.await.retire()
+func (q databaseQueues) retire() {
+	q.control.retire()
+	q.await.retire()
 }
 
-// supervise reads the ends of the lanes until ctx is over and all have ended.
-func (e *Client) supervise(ctx context.Context, over chan<- error) {
-	defer close(over)
+// supervise counts the queues that end. When ctx ends, it retires all queues, and
+// when the last of them has ended, it closes allEnded.
+func (c *Client) supervise(ctx context.Context, allEnded chan<- error) {
+	defer close(allEnded)
 	done := ctx.Done()
 	for {
 		select {
 		case <-done:
 			done = nil
-			e.setDatabases(nil)
-		case <-e.ended:
-			e.mu.Lock()
-			e.running--
-			e.mu.Unlock()
+			c.setDatabases(nil)
+		case <-c.queueEnded:
+			c.mu.Lock()
+			c.runningQueues--
+			c.mu.Unlock()
 		}
-		e.mu.Lock()
-		running := e.running
-		e.mu.Unlock()
+		c.mu.Lock()
+		running := c.runningQueues
+		c.mu.Unlock()
 		if done == nil && running == 0 {
 			return
 		}
--- a/internal/edge/group/edge_test.go
+++ b/internal/edge/group/edge_test.go
@@ -22,25 +22,26 @@
 // -----------------------------------------------------------------------------
 // A scripted database.
 
-// reply is what the scripted database does with one statement.
+// reply is the scripted database's reaction to one statement.
 type reply struct {
-	// columns and values are the answered row.
+	// columns and values are the names and the values of the result row,
+	// separated by spaces; "-" stands for an empty value.
 	columns, values string
-	// state is the SQLSTATE of an error in place of a row.
-	state string
-	// hold delays the answer until the channel is closed.
-	hold <-chan struct{}
-	// hangUp closes the connection in place of an answer.
-	hangUp bool
-	// hangUpAfter closes the connection after the answer.
-	hangUpAfter bool
+	// errorCode is the SQLSTATE of an error that is sent instead of a row.
+	errorCode string
+	// releaseAnswer delays the answer until the channel is closed.
+	releaseAnswer <-chan struct{}
+	// closeInstead closes the connection instead of answering.
+	closeInstead bool
+	// closeAfter closes the connection after the answer.
+	closeAfter bool
 }
 
-const statusColumns = "database role term nonce received applied source streaming leaving slots busy"
+const statusColumnNames = "database role term nonce received applied source streaming leaving slots busy"
 
-func row(values string) reply { return reply{columns: statusColumns, values: values} }
+func statusReply(values string) reply { return reply{columns: statusColumnNames, values: values} }
 
-func healthy() reply { return row("a replica 4 n4 4:120 4:118 b t f 3 1") }
+func healthyReply() reply { return statusReply("a replica 4 n4 4:120 4:118 b t f 3 1") }
 
 func healthyStatus() message.DatabaseStatus {
 	return message.DatabaseStatus{
@@ -50,27 +51,28 @@
 	}
 }
 
-// scripted is a database that answers by a function.
-type scripted struct {
+// scriptedDatabase is a server that computes its replies by a function.
+type scriptedDatabase struct {
 	listener net.Listener
 	answer   func(statement string) reply
-	// login is the SQLSTATE with which connections are refused, or empty.
-	login string
-
-	mu         sync.Mutex
-	statements []string
-	startups   []map[string]string
-	open       int
-	most       int
+	// loginErrorCode is the SQLSTATE with which connections are rejected, or
+	// empty.
+	loginErrorCode string
+
+	mu                 sync.Mutex
+	statements         []string
+	startups           []map[string]string
+	openConnections    int
+	maxOpenConnections int
 }
 
-func newScripted(t *testing.T, answer func(statement string) reply) *scripted {
+func newScriptedDatabase(t *testing.T, answer func(statement string) reply) *scriptedDatabase {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scripted{listener: listener, answer: answer}
+	s := &scriptedDatabase{listener: listener, answer: answer}
 	t.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -84,17 +86,17 @@
 	return s
 }
 
-func (s *scripted) address() netip.AddrPort {
+func (s *scriptedDatabase) address() netip.AddrPort {
 	return s.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func (s *scripted) asked() []string {
+func (s *scriptedDatabase) receivedStatements() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]string(nil), s.statements...)
 }
 
-func (s *scripted) serve(conn net.Conn) {
+func (s *scriptedDatabase) serve(conn net.Conn) {
 	defer func() { _ = conn.Close() }()
 	backend := pgproto3.NewBackend(conn, conn)
 	startup, err := backend.ReceiveStartupMessage()
@@ -103,12 +105,12 @@
 	}
 	s.mu.Lock()
 	s.startups = append(s.startups, startup.(*pgproto3.StartupMessage).Parameters)
-	s.open++
-	s.most = max(s.most, s.open)
+	s.openConnections++
+	s.maxOpenConnections = max(s.maxOpenConnections, s.openConnections)
 	s.mu.Unlock()
-	defer func() { s.mu.Lock(); s.open--; s.mu.Unlock() }()
-	if s.login != "" {
-		backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: s.login})
+	defer func() { s.mu.Lock(); s.openConnections--; s.mu.Unlock() }()
+	if s.loginErrorCode != "" {
+		backend.Send(&pgproto3.ErrorResponse{Severity: "FATAL", Code: s.loginErrorCode})
 		_ = backend.Flush()
 		return
 	}
@@ -119,33 +121,33 @@
 	}
 }
 
-func (s *scripted) serveStatement(backend *pgproto3.Backend) bool {
+func (s *scriptedDatabase) serveStatement(backend *pgproto3.Backend) bool {
 	received, err := backend.Receive()
 	if err != nil {
 		return false
 	}
-	query, found := received.(*pgproto3.Query)
-	if !found {
+	query, isQuery := received.(*pgproto3.Query)
+	if !isQuery {
 		return false
 	}
 	s.mu.Lock()
 	s.statements = append(s.statements, query.String)
 	s.mu.Unlock()
 	reply := s.answer(query.String)
-	if reply.hold != nil {
-		<-reply.hold
+	if reply.releaseAnswer != nil {
+		<-reply.releaseAnswer
 	}
-	if reply.hangUp {
+	if reply.closeInstead {
 		return false
 	}
 	sendReply(backend, reply)
-	return backend.Flush() == nil && !reply.hangUpAfter
+	return backend.Flush() == nil && !reply.closeAfter
 }
 
 func sendReply(backend *pgproto3.Backend, reply reply) {
 	switch {
-	case reply.state != "":
-		backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: reply.state, Message: "no"})
+	case reply.errorCode != "":
+		backend.Send(&pgproto3.ErrorResponse{Severity: "ERROR", Code: reply.errorCode, Message: "no"})
 	case reply.columns != "":
 		description := &pgproto3.RowDescription{}
 		for _, name := range strings.Fields(reply.columns) {
@@ -166,57 +168,59 @@
 }
 
 // -----------------------------------------------------------------------------
-// The edge under test.
+// The client under test.
 
 type sink chan message.Event
 
 func (s sink) Post(event message.Event) { s <- event }
 
-// long is a time that no passing test waits for.
-const long = time.Minute
+// longTimeout is a timeout that never passes in a test that succeeds.
+const longTimeout = time.Minute
 
-// brief is a time that tests of timeouts wait for.
-const brief = 40 * time.Millisecond
+// shortTimeout is the timeout of requests that are expected to time out.
+const shortTimeout = 40 * time.Millisecond
 
-func startEdge(t *testing.T, addresses map[model.DatabaseID]netip.AddrPort) (*group.Client, sink) {
+func startClient(t *testing.T, addresses map[model.DatabaseID]netip.AddrPort) (*group.Client, sink) {
 	t.Helper()
-	return startEdgeWith(t, group.Options{ConnectTimeout: long, MaxBackoff: time.Millisecond}, addresses)
+	return startClientWithOptions(t, group.Options{ConnectTimeout: longTimeout, MaxBackoff: time.Millisecond}, addresses)
 }
 
-func startEdgeWith(
+func startClientWithOptions(
 	t *testing.T, options group.Options, addresses map[model.DatabaseID]netip.AddrPort,
 ) (*group.Client, sink) {
 	t.Helper()
 	events := make(sink, 100)
-	edge := group.NewClient(options, events, logr.Discard())
+	client := group.NewClient(options, events, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
-	over, err := edge.Start(ctx)
+	done, err := client.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { cancel(); <-over })
-	edge.HandleAction(targets(addresses))
-	return edge, events
+	t.Cleanup(func() { cancel(); <-done })
+	client.HandleAction(setDatabases(addresses))
+	return client, events
 }
 
-func targets(addresses map[model.DatabaseID]netip.AddrPort) message.SetDatabases {
-	var set message.SetDatabases
+func setDatabases(addresses map[model.DatabaseID]netip.AddrPort) message.SetDatabases {
+	var action message.SetDatabases
 	for id, address := range addresses {
-		set.Databases = append(set.Databases, message.DatabaseTarget{Database: id, Group: "ratings", Address: address})
+		action.Databases = append(action.Databases, message.DatabaseTarget{Database: id, Group: "ratings", Address: address})
 	}
-	return set
+	return action
 }
 
-var ignoreAsked = cmpopts.IgnoreFields(message.ControlAnswered{}, "SentAt")
+var ignoreSentAt = cmpopts.IgnoreFields(message.ControlAnswered{}, "SentAt")
 
+// expectEvent checks the next event, except its SentAt.
 func expectEvent(t *testing.T, events sink, want message.Event) {
 	t.Helper()
-	if diff := cmp.Diff(want, <-events, ignoreAsked); diff != "" {
+	if diff := cmp.Diff(want, <-events, ignoreSentAt); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func closedAddress(t *testing.T) netip.AddrPort {
+// addressWithoutListener returns an address at which nothing listens.
+func addressWithoutListener(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -227,162 +231,165 @@
 }
 
 // -----------------------------------------------------------------------------
-// Questions and faults.
+// Requests and failures.
 
-func TestQuestionsAndFaults(t *testing.T) {
+// TestRequestsAndFailures checks, for each kind of request and each failure, the
+// statements that the database receives and the event that answers the request.
+func TestRequestsAndFailures(t *testing.T) {
 	status := healthyStatus()
-	always := func(r reply) func(string) reply { return func(string) reply { return r } }
-	conflict := func(statement string) reply {
+	alwaysReply := func(r reply) func(string) reply { return func(string) reply { return r } }
+	conflictThenStatus := func(statement string) reply {
 		if statement == "CALL group_status()" {
-			return healthy()
+			return healthyReply()
 		}
-		return reply{state: "EG001"}
+		return reply{errorCode: "EG001"}
 	}
-	settle := message.ResolveInDoubt{Database: "a", CorrelationID: 7, IdempotencyKey: "k'1", Term: 4, Timeout: long}
-	fence := message.Fence{Database: "a", CorrelationID: 7, Term: 5, Nonce: "n'5", Timeout: long}
-	probe := message.Probe{Database: "a", CorrelationID: 7, Timeout: long}
-	answered := func(err message.ControlErr) message.Event {
+	resolve := message.ResolveInDoubt{Database: "a", CorrelationID: 7, IdempotencyKey: "k'1", Term: 4, Timeout: longTimeout}
+	fence := message.Fence{Database: "a", CorrelationID: 7, Term: 5, Nonce: "n'5", Timeout: longTimeout}
+	probe := message.Probe{Database: "a", CorrelationID: 7, Timeout: longTimeout}
+	answeredEvent := func(err message.ControlErr) message.Event {
 		event := message.ControlAnswered{Database: "a", CorrelationID: 7, Err: err}
 		if err == message.ControlOK || err == message.ControlConflict {
 			event.Status = status
 		}
 		return event
 	}
-	settled := func(committed bool, position model.Position, err message.ControlErr) message.Event {
+	resolvedEvent := func(committed bool, position model.Position, err message.ControlErr) message.Event {
 		return message.InDoubtResolved{Database: "a", CorrelationID: 7, IdempotencyKey: "k'1", Committed: committed, Position: position, Err: err}
 	}
 	cases := []struct {
-		name     string
-		action   message.Action
-		answer   func(string) reply
-		login    string
-		absent   bool
-		want     message.Event
-		sentWant []string
+		name           string
+		action         message.Action
+		answer         func(string) reply
+		loginErrorCode string
+		noListener     bool
+		want           message.Event
+		wantStatements []string
 	}{
 		{
-			name: "probe", action: probe, answer: always(healthy()), want: answered(message.ControlOK),
-			sentWant: []string{"CALL group_status()"},
+			name: "probe", action: probe, answer: alwaysReply(healthyReply()), want: answeredEvent(message.ControlOK),
+			wantStatements: []string{"CALL group_status()"},
 		},
 		{
-			name: "fence", action: fence, answer: always(healthy()), want: answered(message.ControlOK),
-			sentWant: []string{"CALL group_fence(5, 'n''5')"},
+			name: "fence", action: fence, answer: alwaysReply(healthyReply()), want: answeredEvent(message.ControlOK),
+			wantStatements: []string{"CALL group_fence(5, 'n''5')"},
 		},
 		{
 			name:   "promote",
-			action: message.Promote{Database: "a", CorrelationID: 7, Term: 5, Nonce: "n5", Timeout: long},
-			answer: always(healthy()), want: answered(message.ControlOK),
-			sentWant: []string{"CALL group_promote(5, 'n5')"},
+			action: message.Promote{Database: "a", CorrelationID: 7, Term: 5, Nonce: "n5", Timeout: longTimeout},
+			answer: alwaysReply(healthyReply()), want: answeredEvent(message.ControlOK),
+			wantStatements: []string{"CALL group_promote(5, 'n5')"},
 		},
 		{
 			name: "follow",
 			action: message.Follow{
 				Database: "a", CorrelationID: 7, Term: 5, Source: "b",
-				Address: netip.MustParseAddrPort("127.0.0.1:99"), Timeout: long,
+				Address: netip.MustParseAddrPort("127.0.0.1:99"), Timeout: longTimeout,
 			},
-			answer: always(healthy()), want: answered(message.ControlOK),
-			sentWant: []string{"CALL group_follow(5, 'b', '127.0.0.1:99')"},
+			answer: alwaysReply(healthyReply()), want: answeredEvent(message.ControlOK),
+			wantStatements: []string{"CALL group_follow(5, 'b', '127.0.0.1:99')"},
 		},
 		{
-			name: "settle committed", action: settle,
-			answer: always(reply{columns: "committed position", values: "t 4:99"}),
-			want:   settled(true, model.Position{Term: 4, Offset: 99}, message.ControlOK), sentWant: []string{"CALL group_settle(4, 'k''1')"},
+			name: "settle committed", action: resolve,
+			answer: alwaysReply(reply{columns: "committed position", values: "t 4:99"}),
+			want:   resolvedEvent(true, model.Position{Term: 4, Offset: 99}, message.ControlOK), wantStatements: []string{"CALL group_settle(4, 'k''1')"},
 		},
 		{
-			name: "settle never", action: settle,
-			answer: always(reply{columns: "committed position", values: "f 4:121"}),
-			want:   settled(false, model.Position{Term: 4, Offset: 121}, message.ControlOK), sentWant: []string{"CALL group_settle(4, 'k''1')"},
+			name: "settle not committed", action: resolve,
+			answer: alwaysReply(reply{columns: "committed position", values: "f 4:121"}),
+			want:   resolvedEvent(false, model.Position{Term: 4, Offset: 121}, message.ControlOK), wantStatements: []string{"CALL group_settle(4, 'k''1')"},
 		},
 		{
-			name: "settle conflict", action: settle, answer: always(reply{state: "EG001"}),
-			want: settled(false, model.Position{}, message.ControlConflict), sentWant: []string{"CALL group_settle(4, 'k''1')"},
+			name: "settle conflict", action: resolve, answer: alwaysReply(reply{errorCode: "EG001"}),
+			want: resolvedEvent(false, model.Position{}, message.ControlConflict), wantStatements: []string{"CALL group_settle(4, 'k''1')"},
 		},
 		{
-			name: "settle row unreadable", action: settle,
-			answer: always(reply{columns: "committed position", values: "yes 4:121"}),
-			want:   settled(false, model.Position{}, message.ControlUnreachable), sentWant: []string{"CALL group_settle(4, 'k''1')"},
+			name: "settle row unreadable", action: resolve,
+			answer: alwaysReply(reply{columns: "committed position", values: "yes 4:121"}),
+			want:   resolvedEvent(false, model.Position{}, message.ControlUnreachable), wantStatements: []string{"CALL group_settle(4, 'k''1')"},
 		},
 		{
-			name: "conflict with status", action: fence, answer: conflict, want: answered(message.ControlConflict),
-			sentWant: []string{"CALL group_fence(5, 'n''5')", "CALL group_status()"},
+			name: "conflict with status", action: fence, answer: conflictThenStatus, want: answeredEvent(message.ControlConflict),
+			wantStatements: []string{"CALL group_fence(5, 'n''5')", "CALL group_status()"},
 		},
 		{
-			name: "conflict without status", action: fence, answer: always(reply{state: "EG001"}), want: answered(message.ControlRefused),
-			sentWant: []string{"CALL group_fence(5, 'n''5')", "CALL group_status()"},
+			name: "conflict without status", action: fence, answer: alwaysReply(reply{errorCode: "EG001"}), want: answeredEvent(message.ControlRefused),
+			wantStatements: []string{"CALL group_fence(5, 'n''5')", "CALL group_status()"},
 		},
 		{
-			name: "other error", action: probe, answer: always(reply{state: "42501"}), want: answered(message.ControlRefused),
-			sentWant: []string{"CALL group_status()"},
+			name: "other error", action: probe, answer: alwaysReply(reply{errorCode: "42501"}), want: answeredEvent(message.ControlRefused),
+			wantStatements: []string{"CALL group_status()"},
 		},
 		{
-			name: "no listener", action: probe, absent: true, answer: always(healthy()), want: answered(message.ControlUnreachable),
+			name: "no listener", action: probe, noListener: true, answer: alwaysReply(healthyReply()), want: answeredEvent(message.ControlUnreachable),
 		},
 		{
-			name: "too many connections", action: probe, login: "53300", answer: always(healthy()), want: answered(message.ControlUnreachable),
+			name: "too many connections", action: probe, loginErrorCode: "53300", answer: alwaysReply(healthyReply()), want: answeredEvent(message.ControlUnreachable),
 		},
 		{
-			name: "connection broken", action: fence, answer: always(reply{hangUp: true}), want: answered(message.ControlUnreachable),
-			sentWant: []string{"CALL group_fence(5, 'n''5')"},
+			name: "connection broken", action: fence, answer: alwaysReply(reply{closeInstead: true}), want: answeredEvent(message.ControlUnreachable),
+			wantStatements: []string{"CALL group_fence(5, 'n''5')"},
 		},
 		{
 			name: "other database at the address", action: probe,
-			answer: always(row("c replica 4 n4 4:120 4:118 b t f 3 1")), want: answered(message.ControlUnreachable),
-			sentWant: []string{"CALL group_status()"},
+			answer: alwaysReply(statusReply("c replica 4 n4 4:120 4:118 b t f 3 1")), want: answeredEvent(message.ControlUnreachable),
+			wantStatements: []string{"CALL group_status()"},
 		},
 		{
 			name: "position unreadable", action: probe,
-			answer: always(row("a replica 4 n4 4-120 4:118 b t f 3 1")), want: answered(message.ControlUnreachable),
-			sentWant: []string{"CALL group_status()"},
+			answer: alwaysReply(statusReply("a replica 4 n4 4-120 4:118 b t f 3 1")), want: answeredEvent(message.ControlUnreachable),
+			wantStatements: []string{"CALL group_status()"},
 		},
 		{
 			name: "role unreadable", action: probe,
-			answer: always(row("a leader 4 n4 4:120 4:118 b t f 3 1")), want: answered(message.ControlUnreachable),
-			sentWant: []string{"CALL group_status()"},
+			answer: alwaysReply(statusReply("a leader 4 n4 4:120 4:118 b t f 3 1")), want: answeredEvent(message.ControlUnreachable),
+			wantStatements: []string{"CALL group_status()"},
 		},
 		{
-			name: "column absent", action: probe,
-			answer: always(reply{columns: "database role", values: "a replica"}), want: answered(message.ControlUnreachable),
-			sentWant: []string{"CALL group_status()"},
+			name: "column missing", action: probe,
+			answer: alwaysReply(reply{columns: "database role", values: "a replica"}), want: answeredEvent(message.ControlUnreachable),
+			wantStatements: []string{"CALL group_status()"},
 		},
 		{
-			name: "no row", action: probe, answer: always(reply{}), want: answered(message.ControlUnreachable),
-			sentWant: []string{"CALL group_status()"},
+			name: "no row", action: probe, answer: alwaysReply(reply{}), want: answeredEvent(message.ControlUnreachable),
+			wantStatements: []string{"CALL group_status()"},
 		},
 		{
 			name:   "zero byte in a key",
-			action: message.ResolveInDoubt{Database: "a", CorrelationID: 7, IdempotencyKey: "k\x00", Term: 4, Timeout: long},
-			answer: always(healthy()),
+			action: message.ResolveInDoubt{Database: "a", CorrelationID: 7, IdempotencyKey: "k\x00", Term: 4, Timeout: longTimeout},
+			answer: alwaysReply(healthyReply()),
 			want:   message.InDoubtResolved{Database: "a", CorrelationID: 7, IdempotencyKey: "k\x00", Err: message.ControlRefused},
 		},
 		{
-			name: "unknown database", action: message.Probe{Database: "z", CorrelationID: 7, Timeout: long}, answer: always(healthy()),
+			name: "unknown database", action: message.Probe{Database: "z", CorrelationID: 7, Timeout: longTimeout}, answer: alwaysReply(healthyReply()),
 			want: message.ControlAnswered{Database: "z", CorrelationID: 7, Err: message.ControlUnreachable},
 		},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			database := newScripted(t, c.answer)
-			database.login = c.login
+			database := newScriptedDatabase(t, c.answer)
+			database.loginErrorCode = c.loginErrorCode
 			address := database.address()
-			if c.absent {
-				address = closedAddress(t)
+			if c.noListener {
+				address = addressWithoutListener(t)
 			}
-			edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": address})
-			if !edge.HandleAction(c.action) {
-				t.Fatal("the action was not taken")
+			client, events := startClient(t, map[model.DatabaseID]netip.AddrPort{"a": address})
+			if !client.HandleAction(c.action) {
+				t.Fatal("the action was not handled")
 			}
 			expectEvent(t, events, c.want)
-			if diff := cmp.Diff(c.sentWant, database.asked()); diff != "" {
+			if diff := cmp.Diff(c.wantStatements, database.receivedStatements()); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-func TestStartupAsksForControl(t *testing.T) {
-	database := newScripted(t, func(string) reply { return healthy() })
-	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
-	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: long})
+// TestStartupRequestsControlConnection checks the parameters of the startup message.
+func TestStartupRequestsControlConnection(t *testing.T) {
+	database := newScriptedDatabase(t, func(string) reply { return healthyReply() })
+	client, events := startClient(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
+	client.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: longTimeout})
 	<-events
 	want := []map[string]string{{
 		"user": "eelgrassfold", "database": "ratings",
@@ -394,88 +401,96 @@
 }
 
 // -----------------------------------------------------------------------------
-// Order, silence and time.
+// Order, unresponsive databases and timeouts.
 
+// TestProbeDoesNotWaitBehindAwait guards against a Probe that is queued behind a
+// blocked AwaitPosition: the two must use separate connections.
 func TestProbeDoesNotWaitBehindAwait(t *testing.T) {
-	released := make(chan struct{})
-	database := newScripted(t, func(statement string) reply {
-		answer := healthy()
+	release := make(chan struct{})
+	database := newScriptedDatabase(t, func(statement string) reply {
+		answer := healthyReply()
 		if strings.HasPrefix(statement, "CALL group_wait('4:200', ") {
-			answer.hold = released
+			answer.releaseAnswer = release
 		}
 		return answer
 	})
-	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
-	edge.HandleAction(message.AwaitPosition{Database: "a", CorrelationID: 1, Position: model.Position{Term: 4, Offset: 200}, Timeout: long})
-	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 2, Timeout: long})
+	client, events := startClient(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
+	client.HandleAction(message.AwaitPosition{Database: "a", CorrelationID: 1, Position: model.Position{Term: 4, Offset: 200}, Timeout: longTimeout})
+	client.HandleAction(message.Probe{Database: "a", CorrelationID: 2, Timeout: longTimeout})
 	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 2, Status: healthyStatus()})
-	close(released)
+	close(release)
 	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 1, Status: healthyStatus()})
-	if diff := cmp.Diff(2, database.most); diff != "" {
+	if diff := cmp.Diff(2, database.maxOpenConnections); diff != "" {
 		t.Errorf("connections: %s", diff)
 	}
 }
 
+// TestWaitingProbesShareALaterAnswer queues several Probes while another one is
+// being answered. One statement must answer them, and it must have been sent after
+// they were queued, since an earlier one may show an outdated status.
 func TestWaitingProbesShareALaterAnswer(t *testing.T) {
-	first, reached := make(chan struct{}), make(chan struct{})
+	releaseFirst, firstReceived := make(chan struct{}), make(chan struct{})
 	var once sync.Once
-	database := newScripted(t, func(string) reply {
-		answer := healthy()
-		once.Do(func() { close(reached); answer.hold = first })
+	database := newScriptedDatabase(t, func(string) reply {
+		answer := healthyReply()
+		once.Do(func() { close(firstReceived); answer.releaseAnswer = releaseFirst })
 		return answer
 	})
-	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
-	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: long})
-	<-reached
-	for ask := uint64(2); ask <= 4; ask++ {
-		edge.HandleAction(message.Probe{Database: "a", CorrelationID: ask, Timeout: long})
-	}
-	edge.HandleAction(message.Fence{Database: "a", CorrelationID: 5, Term: 5, Nonce: "n5", Timeout: long})
-	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 6, Timeout: long})
-	arrived := time.Now()
-	close(first)
-	for ask := uint64(1); ask <= 6; ask++ {
+	client, events := startClient(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
+	client.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: longTimeout})
+	<-firstReceived
+	for id := uint64(2); id <= 4; id++ {
+		client.HandleAction(message.Probe{Database: "a", CorrelationID: id, Timeout: longTimeout})
+	}
+	client.HandleAction(message.Fence{Database: "a", CorrelationID: 5, Term: 5, Nonce: "n5", Timeout: longTimeout})
+	client.HandleAction(message.Probe{Database: "a", CorrelationID: 6, Timeout: longTimeout})
+	enqueuedAt := time.Now()
+	close(releaseFirst)
+	for id := uint64(1); id <= 6; id++ {
 		answered := (<-events).(message.ControlAnswered)
-		if diff := cmp.Diff(ask, answered.CorrelationID); diff != "" {
+		if diff := cmp.Diff(id, answered.CorrelationID); diff != "" {
 			t.Errorf("order: %s", diff)
 		}
-		if ask > 1 && answered.SentAt.Before(arrived) {
-			t.Errorf("question %d is answered by a statement sent before it arrived", ask)
+		if id > 1 && answered.SentAt.Before(enqueuedAt) {
+			t.Errorf("request %d is answered by a statement sent before the request was queued", id)
 		}
 	}
 	want := []string{
 		"CALL group_status()", "CALL group_status()", "CALL group_fence(5, 'n5')", "CALL group_status()",
 	}
-	if diff := cmp.Diff(want, database.asked()); diff != "" {
+	if diff := cmp.Diff(want, database.receivedStatements()); diff != "" {
 		t.Error(diff)
 	}
 }
 
+// TestWaitsForPositionsShareAnswers queues AwaitPosition requests out of order. They
+// must be sent in order of their positions, and one answer must serve all requests
+// whose position has been reached.
 func TestWaitsForPositionsShareAnswers(t *testing.T) {
-	first, reached := make(chan struct{}), make(chan struct{})
-	database := newScripted(t, func(statement string) reply {
+	releaseFirst, firstReceived := make(chan struct{}), make(chan struct{})
+	database := newScriptedDatabase(t, func(statement string) reply {
 		switch {
 		case strings.HasPrefix(statement, "CALL group_wait('4:100', "):
-			close(reached)
-			answer := healthy()
-			answer.hold = first
+			close(firstReceived)
+			answer := healthyReply()
+			answer.releaseAnswer = releaseFirst
 			return answer
 		case strings.HasPrefix(statement, "CALL group_wait('4:110', "):
-			return healthy()
+			return healthyReply()
 		default:
-			return row("a replica 4 n4 4:300 4:118 b t f 3 1")
+			return statusReply("a replica 4 n4 4:300 4:118 b t f 3 1")
 		}
 	})
-	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
-	await := func(ask, offset uint64) {
-		edge.HandleAction(message.AwaitPosition{Database: "a", CorrelationID: ask, Position: model.Position{Term: 4, Offset: offset}, Timeout: long})
+	client, events := startClient(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
+	await := func(id, offset uint64) {
+		client.HandleAction(message.AwaitPosition{Database: "a", CorrelationID: id, Position: model.Position{Term: 4, Offset: offset}, Timeout: longTimeout})
 	}
 	await(1, 100)
-	<-reached
+	<-firstReceived
 	await(2, 300)
 	await(3, 120)
 	await(4, 110)
-	close(first)
+	close(releaseFirst)
 	var order []uint64
 	for range 4 {
 		order = append(order, (<-events).(message.ControlAnswered).CorrelationID)
@@ -483,95 +498,105 @@
 	if diff := cmp.Diff([]uint64{1, 4, 3, 2}, order); diff != "" {
 		t.Errorf("order: %s", diff)
 	}
-	if diff := cmp.Diff(3, len(database.asked())); diff != "" {
+	if diff := cmp.Diff(3, len(database.receivedStatements())); diff != "" {
 		t.Errorf("statements: %s", diff)
 	}
 }
 
+// TestSilentConnectionIsReplacedAndItsLateAnswerDropped guards against taking the
+// late answer to an expired request for the answer to the next one.
 func TestSilentConnectionIsReplacedAndItsLateAnswerDropped(t *testing.T) {
-	late := make(chan struct{})
-	database := newScripted(t, func(statement string) reply {
+	releaseLateAnswer := make(chan struct{})
+	database := newScriptedDatabase(t, func(statement string) reply {
 		if strings.HasPrefix(statement, "CALL group_fence") {
-			answer := row("a primary 9 late 9:1 9:1 - f f 3 0")
-			answer.hold = late
+			answer := statusReply("a primary 9 late 9:1 9:1 - f f 3 0")
+			answer.releaseAnswer = releaseLateAnswer
 			return answer
 		}
-		return healthy()
+		return healthyReply()
 	})
-	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
-	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: long})
+	client, events := startClient(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
+	client.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: longTimeout})
 	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 1, Status: healthyStatus()})
-	edge.HandleAction(message.Fence{Database: "a", CorrelationID: 2, Term: 5, Nonce: "n5", Timeout: brief})
+	client.HandleAction(message.Fence{Database: "a", CorrelationID: 2, Term: 5, Nonce: "n5", Timeout: shortTimeout})
 	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 2, Err: message.ControlTimeout})
-	close(late)
-	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 3, Timeout: long})
+	close(releaseLateAnswer)
+	client.HandleAction(message.Probe{Database: "a", CorrelationID: 3, Timeout: longTimeout})
 	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 3, Status: healthyStatus()})
 }
 
-func TestQuestionBehindABlockedOneTimesOut(t *testing.T) {
-	released := make(chan struct{})
-	defer close(released)
-	database := newScripted(t, func(statement string) reply {
-		answer := healthy()
+// TestRequestQueuedBehindBlockedOneTimesOut checks that a request expires also while
+// it has not been sent.
+func TestRequestQueuedBehindBlockedOneTimesOut(t *testing.T) {
+	release := make(chan struct{})
+	defer close(release)
+	database := newScriptedDatabase(t, func(statement string) reply {
+		answer := healthyReply()
 		if strings.HasPrefix(statement, "CALL group_fence") {
-			answer.hold = released
+			answer.releaseAnswer = release
 		}
 		return answer
 	})
-	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
-	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: long})
+	client, events := startClient(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
+	client.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: longTimeout})
 	<-events
-	edge.HandleAction(message.Fence{Database: "a", CorrelationID: 2, Term: 5, Nonce: "n5", Timeout: long})
-	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 3, Timeout: brief})
+	client.HandleAction(message.Fence{Database: "a", CorrelationID: 2, Term: 5, Nonce: "n5", Timeout: longTimeout})
+	client.HandleAction(message.Probe{Database: "a", CorrelationID: 3, Timeout: shortTimeout})
 	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 3, Err: message.ControlTimeout})
 }
 
-func TestBrokenIdleConnectionIsReplacedUnseen(t *testing.T) {
-	database := newScripted(t, func(string) reply {
-		answer := healthy()
-		answer.hangUpAfter = true
+// TestBrokenIdleConnectionIsReplacedWithoutError closes the connection after each
+// answer. Each request must be sent again on a new connection and succeed.
+func TestBrokenIdleConnectionIsReplacedWithoutError(t *testing.T) {
+	database := newScriptedDatabase(t, func(string) reply {
+		answer := healthyReply()
+		answer.closeAfter = true
 		return answer
 	})
-	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
-	for ask := uint64(1); ask <= 3; ask++ {
-		edge.HandleAction(message.Probe{Database: "a", CorrelationID: ask, Timeout: long})
-		expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: ask, Status: healthyStatus()})
+	client, events := startClient(t, map[model.DatabaseID]netip.AddrPort{"a": database.address()})
+	for id := uint64(1); id <= 3; id++ {
+		client.HandleAction(message.Probe{Database: "a", CorrelationID: id, Timeout: longTimeout})
+		expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: id, Status: healthyStatus()})
 	}
 }
 
-func TestDatabaseComesBack(t *testing.T) {
-	database := newScripted(t, func(string) reply { return healthy() })
-	edge, events := startEdge(t, map[model.DatabaseID]netip.AddrPort{"a": closedAddress(t)})
-	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: long})
+// TestDatabaseReachableAtNewAddress changes the address of an unreachable database to
+// one that answers.
+func TestDatabaseReachableAtNewAddress(t *testing.T) {
+	database := newScriptedDatabase(t, func(string) reply { return healthyReply() })
+	client, events := startClient(t, map[model.DatabaseID]netip.AddrPort{"a": addressWithoutListener(t)})
+	client.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: longTimeout})
 	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 1, Err: message.ControlUnreachable})
-	edge.HandleAction(targets(map[model.DatabaseID]netip.AddrPort{"a": database.address()}))
-	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 2, Timeout: long})
+	client.HandleAction(setDatabases(map[model.DatabaseID]netip.AddrPort{"a": database.address()}))
+	client.HandleAction(message.Probe{Database: "a", CorrelationID: 2, Timeout: longTimeout})
 	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 2, Status: healthyStatus()})
 }
 
-func TestEndAnswersAllQuestions(t *testing.T) {
-	released, reached := make(chan struct{}), make(chan struct{})
-	defer close(released)
-	database := newScripted(t, func(string) reply {
-		close(reached)
-		answer := healthy()
-		answer.hold = released
+// TestShutdownAnswersAllRequests checks that the end of the context answers the
+// request that was sent, the one that is queued, and one that is made afterwards.
+func TestShutdownAnswersAllRequests(t *testing.T) {
+	release, firstReceived := make(chan struct{}), make(chan struct{})
+	defer close(release)
+	database := newScriptedDatabase(t, func(string) reply {
+		close(firstReceived)
+		answer := healthyReply()
+		answer.releaseAnswer = release
 		return answer
 	})
 	events := make(sink, 10)
-	edge := group.NewClient(group.Options{ConnectTimeout: long}, events, logr.Discard())
+	client := group.NewClient(group.Options{ConnectTimeout: longTimeout}, events, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
-	over, err := edge.Start(ctx)
+	done, err := client.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	edge.HandleAction(targets(map[model.DatabaseID]netip.AddrPort{"a": database.address()}))
-	edge.HandleAction(message.Fence{Database: "a", CorrelationID: 1, Term: 5, Nonce: "n5", Timeout: long})
-	<-reached
-	edge.HandleAction(message.Fence{Database: "a", CorrelationID: 2, Term: 5, Nonce: "n5", Timeout: long})
+	client.HandleAction(setDatabases(map[model.DatabaseID]netip.AddrPort{"a": database.address()}))
+	client.HandleAction(message.Fence{Database: "a", CorrelationID: 1, Term: 5, Nonce: "n5", Timeout: longTimeout})
+	<-firstReceived
+	client.HandleAction(message.Fence{Database: "a", CorrelationID: 2, Term: 5, Nonce: "n5", Timeout: longTimeout})
 	cancel()
-	<-over
-	edge.HandleAction(message.Probe{Database: "a", CorrelationID: 3, Timeout: long})
+	<-done
+	client.HandleAction(message.Probe{Database: "a", CorrelationID: 3, Timeout: longTimeout})
 	answered := map[uint64]message.ControlErr{}
 	for range 3 {
 		event := (<-events).(message.ControlAnswered)
@@ -583,9 +608,10 @@
 	}
 }
 
-func TestOtherActionsAreLeft(t *testing.T) {
-	edge := group.NewClient(group.Options{}, make(sink), logr.Discard())
-	if edge.HandleAction(message.Terminate{}) {
-		t.Error("took an action of another edge")
+// TestOtherActionsAreNotHandled passes an action that belongs to another edge.
+func TestOtherActionsAreNotHandled(t *testing.T) {
+	client := group.NewClient(group.Options{}, make(sink), logr.Discard())
+	if client.HandleAction(message.Terminate{}) {
+		t.Error("an action of another edge was handled")
 	}
 }
--- a/internal/edge/group/errors.go
+++ b/internal/edge/group/errors.go
@@ -7,26 +7,26 @@
 )
 
 // -----------------------------------------------------------------------------
-// Failures of control connections.
+// Errors of control connections.
 
-// StatementError is an ErrorResponse of a database.
+// StatementError reports an ErrorResponse that a database sent.
 type StatementError struct {
-	// SQLState is the SQLSTATE.
+	// SQLState is the SQLSTATE of the response.
 	SQLState string
-	// Message is the database's own text.
+	// Message is the database's message text.
 	Message string
 }
 
 // Error implements error.
 func (e *StatementError) Error() string {
-	return fmt.Sprintf("the database answered %s: %s", e.SQLState, e.Message)
+	return fmt.Sprintf("the database returned error %s: %s", e.SQLState, e.Message)
 }
 
-// ProtocolError reports a message that does not belong where it came.
+// ProtocolError reports a message that the protocol does not allow at that step.
 type ProtocolError struct {
-	// Step names the step, such as "startup".
+	// Step is the step of the protocol, such as "startup".
 	Step string
-	// MessageType names the message.
+	// MessageType describes the message.
 	MessageType string
 }
 
@@ -35,25 +35,26 @@
 	return fmt.Sprintf("unexpected %s during %s", e.MessageType, e.Step)
 }
 
-// UnexpectedDatabaseError reports that another database than expected answers at an
-// address.
+// UnexpectedDatabaseError reports that a database other than the expected one
+// answers at an address.
 type UnexpectedDatabaseError struct {
 	Expected, Got model.DatabaseID
 }
 
 // Error implements error.
 func (e *UnexpectedDatabaseError) Error() string {
-	return fmt.Sprintf("database %s answers in place of %s", e.Got, e.Expected)
+	return fmt.Sprintf("database %s answered at the address of database %s", e.Got, e.Expected)
 }
 
-// ColumnError reports a column of an answer that is absent or can't be read.
+// ColumnError reports a column of an answer that is missing or has an invalid
+// value.
 type ColumnError struct {
 	Column string
-	// Value is the value, empty where the column is absent.
+	// Value is the column's value, or empty if the column is missing.
 	Value string
 }
 
 // Error implements error.
 func (e *ColumnError) Error() string {
-	return fmt.Sprintf("column %s of the answer can't be read: %q", e.Column, e.Value)
+	return fmt.Sprintf("column %s of the answer is missing or invalid: %q", e.Column, e.Value)
 }
--- a/internal/edge/group/lane.go
+++ b/internal/edge/group/lane.go
@@ -16,49 +16,50 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/eventlog"
 )
 
-// conflictState is the SQLSTATE of a question refused because of the term or
-// the nonce.
-const conflictState = "EG001"
+// sqlStateConflict is the SQLSTATE with which a database rejects a request because
+// of its term or nonce.
+const sqlStateConflict = "EG001"
 
-// counters holds what happened on control connections, by name.
+// counters are the metrics of all control connections, by the name of the event.
 var counters = expvar.NewMap("control")
 
 // -----------------------------------------------------------------------------
-// Lanes.
+// Request queues.
 
-// lane is a queue of questions for one control connection. Its goroutine
-// sends one at a time.
-type lane struct {
+// requestQueue is a queue of requests with a control connection of its own, which
+// is opened as needed. Its goroutine sends one statement at a time.
+type requestQueue struct {
 	name    string
 	target  target
 	options Options
 	sink    message.Sink
 	log     *eventlog.Writer
 
-	// wake has room for one value: something changed below.
+	// wake has a buffer of one value. It wakes the goroutine after a change of
+	// the fields below.
 	wake chan struct{}
 
 	mu sync.Mutex
-	// queue holds the questions not sent yet, the oldest first.
-	queue []*question
-	// retired says that the lane takes no further question.
+	// pending holds the requests that have not been sent yet, the oldest first.
+	pending []*request
+	// retired is true if the queue accepts no further request.
 	retired bool
-	// connected says that the lane has a connection.
+	// connected is true if conn is set.
 	connected bool
 
-	// What follows belongs to the goroutine.
+	// The fields below are used by the goroutine only.
 	conn    *connection
 	backoff backoff.ExponentialBackOff
-	// again is the earliest time for the next try to connect.
-	again time.Time
+	// reconnectAt is the earliest time for the next attempt to connect.
+	reconnectAt time.Time
 }
 
-func newLane(name string, to target, options Options, sink message.Sink, log *eventlog.Writer) *lane {
-	return &lane{
-		name: name, target: to, options: options, sink: sink, log: log,
+func newRequestQueue(name string, destination target, options Options, sink message.Sink, log *eventlog.Writer) *requestQueue {
+	return &requestQueue{
+		name: name, target: destination, options: options, sink: sink, log: log,
 		wake: make(chan struct{}, 1),
-		// With a factor of 1 around half the interval, the pause is uniform
-		// between 0 and the whole interval: full jitter.
+		// A randomization factor of 1 around half of the interval gives a pause
+		// that is uniform between 0 and the whole interval: full jitter.
 		backoff: backoff.ExponentialBackOff{
 			InitialInterval:     options.InitialBackoff / 2,
 			MaxInterval:         options.MaxBackoff / 2,
@@ -68,393 +69,409 @@
 	}
 }
 
-// push queues a question. It never blocks.
-func (l *lane) push(q *question) {
-	l.mu.Lock()
-	q.timer = time.AfterFunc(q.timeout, func() { l.expire(q) })
-	retired := l.retired
+// enqueue adds a request to the queue, or answers it with ControlUnreachable if the
+// queue is retired. It never blocks.
+func (q *requestQueue) enqueue(req *request) {
+	q.mu.Lock()
+	req.timer = time.AfterFunc(req.timeout, func() { q.expire(req) })
+	retired := q.retired
 	if !retired {
-		l.queue = append(l.queue, q)
+		q.pending = append(q.pending, req)
 	}
-	l.mu.Unlock()
+	q.mu.Unlock()
 	if retired {
-		l.answer(q, q.failed(message.ControlUnreachable))
+		q.answer(req, req.failureEvent(message.ControlUnreachable))
 		return
 	}
-	l.stir()
+	q.wakeUp()
 }
 
-// retire answers all that waits and lets the goroutine end after the question
-// that it is at.
-func (l *lane) retire() {
-	l.mu.Lock()
-	l.retired = true
-	waiting := slices.Clone(l.queue)
-	l.mu.Unlock()
-	l.fail(waiting, message.ControlUnreachable)
-	l.stir()
+// retire answers all pending requests with ControlUnreachable, and lets the
+// goroutine end after the batch that it is serving.
+func (q *requestQueue) retire() {
+	q.mu.Lock()
+	q.retired = true
+	waiting := slices.Clone(q.pending)
+	q.mu.Unlock()
+	q.failAll(waiting, message.ControlUnreachable)
+	q.wakeUp()
 }
 
-func (l *lane) stir() {
+// wakeUp makes the goroutine check the queue again.
+func (q *requestQueue) wakeUp() {
 	select {
-	case l.wake <- struct{}{}:
+	case q.wake <- struct{}{}:
 	default:
 	}
 }
 
-// expire answers a question whose time is over.
-func (l *lane) expire(q *question) {
-	l.mu.Lock()
-	why := message.ControlUnreachable
-	if l.connected {
-		why = message.ControlTimeout
-	}
-	event := q.failed(why)
-	l.mu.Unlock()
-	l.answer(q, event)
+// expire answers a request that has expired: with ControlTimeout if there is a
+// connection, with ControlUnreachable if there is none.
+func (q *requestQueue) expire(req *request) {
+	q.mu.Lock()
+	controlErr := message.ControlUnreachable
+	if q.connected {
+		controlErr = message.ControlTimeout
+	}
+	event := req.failureEvent(controlErr)
+	q.mu.Unlock()
+	q.answer(req, event)
 }
 
-// answer posts the answer to a question, unless it has one.
-func (l *lane) answer(q *question, event message.Event) {
-	l.mu.Lock()
-	done := q.done
-	q.done = true
-	l.queue = slices.DeleteFunc(l.queue, func(other *question) bool { return other == q })
-	l.mu.Unlock()
-	if done {
+// answer posts the answer to a request, unless the request has been answered
+// already, and removes the request from the queue.
+func (q *requestQueue) answer(req *request, event message.Event) {
+	q.mu.Lock()
+	alreadyAnswered := req.answered
+	req.answered = true
+	q.pending = slices.DeleteFunc(q.pending, func(other *request) bool { return other == req })
+	q.mu.Unlock()
+	if alreadyAnswered {
 		return
 	}
-	q.timer.Stop()
-	l.sink.Post(event)
+	req.timer.Stop()
+	q.sink.Post(event)
 }
 
-func (l *lane) fail(questions []*question, why message.ControlErr) {
-	for _, q := range questions {
-		l.mu.Lock()
-		event := q.failed(why)
-		l.mu.Unlock()
-		l.answer(q, event)
+// failAll answers all requests with the same error.
+func (q *requestQueue) failAll(requests []*request, controlErr message.ControlErr) {
+	for _, req := range requests {
+		q.mu.Lock()
+		event := req.failureEvent(controlErr)
+		q.mu.Unlock()
+		q.answer(req, event)
 	}
 }
 
 // -----------------------------------------------------------------------------
-// The goroutine of a lane.
-
-// run serves the lane until ctx ends or the lane is retired.
-func (l *lane) run(ctx context.Context) {
-	defer l.drop()
-	defer l.retire()
-	for l.awaitQuestion(ctx) {
-		if !l.connect(ctx) {
+// The goroutine of a request queue.
+
+// run serves the queue until ctx ends or the queue is retired.
+func (q *requestQueue) run(ctx context.Context) {
+	defer q.closeConnection()
+	defer q.retire()
+	for q.awaitRequest(ctx) {
+		if !q.ensureConnected(ctx) {
 			continue
 		}
-		if batch := l.take(); len(batch) > 0 {
-			l.serve(batch)
+		if batch := q.takeBatch(); len(batch) > 0 {
+			q.serveBatch(batch)
 		}
 	}
 }
 
-// awaitQuestion waits until a question is queued and a try to connect is due.
-// It reports false when the lane shall end.
-func (l *lane) awaitQuestion(ctx context.Context) bool {
+// awaitRequest waits until a request is pending and there is a connection or an
+// attempt to connect is due. It returns false if ctx has ended or the queue is
+// retired.
+func (q *requestQueue) awaitRequest(ctx context.Context) bool {
 	for {
-		l.mu.Lock()
-		waiting, retired := len(l.queue), l.retired
-		l.mu.Unlock()
-		pause := l.again.Sub(l.options.Now())
+		q.mu.Lock()
+		waiting, retired := len(q.pending), q.retired
+		q.mu.Unlock()
+		pause := q.reconnectAt.Sub(q.options.Now())
 		switch {
 		case ctx.Err() != nil || retired:
 			return false
-		case waiting > 0 && (l.conn != nil || pause <= 0):
+		case waiting > 0 && (q.conn != nil || pause <= 0):
 			return true
 		case waiting > 0:
-			l.sleep(ctx, pause)
+			q.waitForChange(ctx, pause)
 		default:
-			l.sleep(ctx, 0)
+			q.waitForChange(ctx, 0)
 		}
 	}
 }
 
-// sleep waits for a change, and for no longer than pause where that is above
-// zero.
-func (l *lane) sleep(ctx context.Context, pause time.Duration) {
-	var over <-chan time.Time
+// waitForChange waits until the queue changes or ctx ends, and for at most pause
+// if pause is above zero.
+func (q *requestQueue) waitForChange(ctx context.Context, pause time.Duration) {
+	var timeout <-chan time.Time
 	if pause > 0 {
 		timer := time.NewTimer(pause)
 		defer timer.Stop()
-		over = timer.C
+		timeout = timer.C
 	}
 	select {
 	case <-ctx.Done():
-	case <-l.wake:
-	case <-over:
+	case <-q.wake:
+	case <-timeout:
 	}
 }
 
-// connect makes sure that the lane has a connection. Where that fails, all
-// questions that waited for it are answered.
-func (l *lane) connect(ctx context.Context) bool {
-	if l.conn != nil {
+// ensureConnected opens the connection unless it is open, and reports whether it is
+// open afterwards. If opening fails, it answers all requests that were pending when
+// it began.
+func (q *requestQueue) ensureConnected(ctx context.Context) bool {
+	if q.conn != nil {
 		return true
 	}
-	l.mu.Lock()
-	waiting := slices.Clone(l.queue)
-	l.mu.Unlock()
+	q.mu.Lock()
+	waiting := slices.Clone(q.pending)
+	q.mu.Unlock()
 	if len(waiting) == 0 {
 		return false
 	}
-	expires := l.options.Now().Add(l.options.ConnectTimeout)
-	if last := latest(waiting); last.Before(expires) {
-		expires = last
+	expires := q.options.Now().Add(q.options.ConnectTimeout)
+	if lastExpiry := latestExpiry(waiting); lastExpiry.Before(expires) {
+		expires = lastExpiry
 	}
-	conn, err := open(ctx, l.target, l.options, expires)
+	conn, err := open(ctx, q.target, q.options, expires)
 	if err != nil {
-		l.postpone(err)
-		l.fail(waiting, message.ControlUnreachable)
+		q.scheduleReconnect(err)
+		q.failAll(waiting, message.ControlUnreachable)
 		return false
 	}
-	l.conn = conn
-	l.setConnected(true)
+	q.conn = conn
+	q.setConnected(true)
 	counters.Add("opened", 1)
-	l.note(event.ControlOpened, event.F("address", l.target.address.String()))
+	q.logEvent(event.ControlOpened, event.F("address", q.target.address.String()))
 	return true
 }
 
-func (l *lane) postpone(err error) {
-	pause := l.backoff.NextBackOff()
-	l.again = l.options.Now().Add(pause)
+// scheduleReconnect sets the time of the next attempt after a failure to connect.
+func (q *requestQueue) scheduleReconnect(err error) {
+	pause := q.backoff.NextBackOff()
+	q.reconnectAt = q.options.Now().Add(pause)
 	counters.Add("unreachable", 1)
-	l.note(event.ControlUnreachable,
-		event.F("address", l.target.address.String()),
+	q.logEvent(event.ControlUnreachable,
+		event.F("address", q.target.address.String()),
 		event.F("error", err.Error()),
 		event.F("again", pause.String()))
 }
 
-// take removes from the queue what one statement may answer: the oldest
-// question and those right behind it that can share its answer. The statement
-// is that of the first in the batch.
-func (l *lane) take() []*question {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// takeBatch removes from the queue the requests that one statement can answer: the
+// oldest one and those directly behind it that can share its answer. The batch is
+// ordered by position; the statement to send is that of its first request.
+func (q *requestQueue) takeBatch() []*request {
+	q.mu.Lock()
+	defer q.mu.Unlock()
 	count := 0
-	for count < len(l.queue) && (count == 0 || l.queue[0].shares(l.queue[count])) {
+	for count < len(q.pending) && (count == 0 || q.pending[0].sharesAnswerWith(q.pending[count])) {
 		count++
 	}
-	batch := slices.Clone(l.queue[:count])
-	l.queue = slices.Delete(l.queue, 0, count)
+	batch := slices.Clone(q.pending[:count])
+	q.pending = slices.Delete(q.pending, 0, count)
 	slices.SortStableFunc(batch, comparePositions)
 	return batch
 }
 
-// serve sends the batch's statement and answers its questions.
-func (l *lane) serve(batch []*question) {
-	q := batch[0]
-	asked := l.options.Now()
-	statement := q.statement(asked)
+// serveBatch sends the batch's statement and answers its requests.
+func (q *requestQueue) serveBatch(batch []*request) {
+	req := batch[0]
+	sentAt := q.options.Now()
+	statement := req.statement(sentAt)
 	if !isSendable(statement) {
-		l.fail(batch, message.ControlRefused)
+		q.failAll(batch, message.ControlRefused)
 		return
 	}
-	l.mu.Lock()
-	for _, each := range batch {
-		each.asked = asked
+	q.mu.Lock()
+	for _, req := range batch {
+		req.sentAt = sentAt
 	}
-	l.mu.Unlock()
-	expires := batchExpires(batch)
-	reused := l.conn.used
-	answered, err := l.exchange(statement, expires)
+	q.mu.Unlock()
+	expires := batchDeadline(batch)
+	reused := q.conn.hasAnswered
+	result, err := q.exchange(statement, expires)
 	if err != nil {
-		l.serveFailure(batch, err, reused, expires)
+		q.handleFailure(batch, err, reused, expires)
 		return
 	}
-	l.backoff.Reset()
-	l.serveRow(batch, answered, message.ControlOK)
+	q.backoff.Reset()
+	q.answerFromRow(batch, result, message.ControlOK)
 }
 
-func (l *lane) exchange(statement string, expires time.Time) (*row, error) {
-	if err := l.conn.send(statement, expires); err != nil {
+// exchange sends a statement and returns its result. Both must end before expires.
+func (q *requestQueue) exchange(statement string, expires time.Time) (*row, error) {
+	if err := q.conn.send(statement, expires); err != nil {
 		return nil, err
 	}
-	return l.conn.receive()
+	return q.conn.receive()
 }
 
-// serveRow answers a batch from a row.
-func (l *lane) serveRow(batch []*question, answered *row, why message.ControlErr) {
-	if batch[0].isSettle() {
-		l.serveSettle(batch[0], answered)
+// answerFromRow answers a batch from the result of its statement. Requests for
+// positions that have not been reached are queued again, except the first: it has
+// the lowest position, and the database has waited for that one.
+func (q *requestQueue) answerFromRow(batch []*request, result *row, controlErr message.ControlErr) {
+	if batch[0].isResolveInDoubt() {
+		q.answerResolveInDoubt(batch[0], result)
 		return
 	}
-	status, err := answered.status(l.target.database)
+	status, err := result.status(q.target.database)
 	if err != nil {
-		l.breakOff(err)
-		l.fail(batch, message.ControlUnreachable)
+		q.closeBroken(err)
+		q.failAll(batch, message.ControlUnreachable)
 		return
 	}
-	var unmet []*question
-	for i, q := range batch {
-		if i > 0 && !q.isMet(status) {
-			unmet = append(unmet, q)
+	var unsatisfied []*request
+	for i, req := range batch {
+		if i > 0 && !req.isSatisfiedBy(status) {
+			unsatisfied = append(unsatisfied, req)
 			continue
 		}
-		l.answer(q, message.ControlAnswered{
-			Database: q.database, CorrelationID: q.ask, SentAt: q.asked, Status: status, Err: why,
+		q.answer(req, message.ControlAnswered{
+			Database: req.database, CorrelationID: req.correlationID, SentAt: req.sentAt, Status: status, Err: controlErr,
 		})
 	}
-	l.requeue(unmet)
+	q.requeue(unsatisfied)
 }
 
-func (l *lane) serveSettle(q *question, answered *row) {
+// answerResolveInDoubt answers a ResolveInDoubt from its result.
+func (q *requestQueue) answerResolveInDoubt(req *request, result *row) {
 	event := message.InDoubtResolved{
-		Database:       q.database,
-		CorrelationID:  q.ask,
-		IdempotencyKey: q.action.(message.ResolveInDoubt).IdempotencyKey,
-		Committed:      answered.bool("committed"),
-		Position:       answered.position("position"),
-	}
-	if answered.err != nil {
-		l.breakOff(answered.err)
-		l.fail([]*question{q}, message.ControlUnreachable)
+		Database:       req.database,
+		CorrelationID:  req.correlationID,
+		IdempotencyKey: req.action.(message.ResolveInDoubt).IdempotencyKey,
+		Committed:      result.bool("committed"),
+		Position:       result.position("position"),
+	}
+	if result.err != nil {
+		q.closeBroken(result.err)
+		q.failAll([]*request{req}, message.ControlUnreachable)
 		return
 	}
-	l.answer(q, event)
+	q.answer(req, event)
 }
 
-// serveFailure answers a batch whose statement failed, or queues it again
-// where only a connection left over from before was broken: every control
-// statement is idempotent.
-func (l *lane) serveFailure(batch []*question, err error, reused bool, expires time.Time) {
-	var refusal *StatementError
-	if errors.As(err, &refusal) {
-		l.serveRefusal(batch, refusal, expires)
+// handleFailure answers a batch whose statement failed. If a connection that was
+// used before turned out to be broken, it queues the batch again instead, which is
+// safe because every control statement is idempotent.
+func (q *requestQueue) handleFailure(batch []*request, err error, reused bool, expires time.Time) {
+	var statementErr *StatementError
+	if errors.As(err, &statementErr) {
+		q.handleRefusal(batch, statementErr, expires)
 		return
 	}
 	if isTimeout(err) {
-		l.serveSilence(batch, expires)
+		q.handleTimeout(batch, expires)
 		return
 	}
-	l.breakOff(err)
+	q.closeBroken(err)
 	if reused {
-		l.requeue(batch)
+		q.requeue(batch)
 		return
 	}
-	l.again = l.options.Now().Add(l.backoff.NextBackOff())
-	l.fail(batch, message.ControlUnreachable)
+	q.reconnectAt = q.options.Now().Add(q.backoff.NextBackOff())
+	q.failAll(batch, message.ControlUnreachable)
 }
 
-// serveSilence answers the questions of a batch whose time is over, and queues
-// the others again for a new connection.
-func (l *lane) serveSilence(batch []*question, expires time.Time) {
+// handleTimeout answers the requests of a batch that have expired, closes the
+// connection, and queues the other requests again for a new connection.
+func (q *requestQueue) handleTimeout(batch []*request, expires time.Time) {
 	counters.Add("silent", 1)
-	l.note(event.ControlSilent, event.F("statement", batch[0].name()))
-	over := slices.IndexFunc(batch, func(q *question) bool { return q.expires.After(expires) })
-	if over < 0 {
-		over = len(batch)
-	}
-	l.fail(batch[:over], message.ControlTimeout)
-	l.drop()
-	l.requeue(batch[over:])
+	q.logEvent(event.ControlSilent, event.F("statement", batch[0].statementName()))
+	expiredCount := slices.IndexFunc(batch, func(req *request) bool { return req.expires.After(expires) })
+	if expiredCount < 0 {
+		expiredCount = len(batch)
+	}
+	q.failAll(batch[:expiredCount], message.ControlTimeout)
+	q.closeConnection()
+	q.requeue(batch[expiredCount:])
 }
 
-// serveRefusal answers a batch that the database refused. A conflict's answer
-// carries the database's status, which has to be asked for.
-func (l *lane) serveRefusal(batch []*question, refusal *StatementError, expires time.Time) {
+// handleRefusal answers a batch whose statement the database rejected. The answer
+// to a conflict carries the database's status, which takes another statement,
+// except for ResolveInDoubt.
+func (q *requestQueue) handleRefusal(batch []*request, statementErr *StatementError, expires time.Time) {
 	counters.Add("refused", 1)
-	l.note(event.ControlRefused,
-		event.F("statement", batch[0].name()),
-		event.F("state", refusal.SQLState),
-		event.F("error", refusal.Message))
+	q.logEvent(event.ControlRefused,
+		event.F("statement", batch[0].statementName()),
+		event.F("state", statementErr.SQLState),
+		event.F("error", statementErr.Message))
 	switch {
-	case refusal.SQLState != conflictState:
-		l.fail(batch, message.ControlRefused)
-	case batch[0].isSettle():
-		l.fail(batch, message.ControlConflict)
+	case statementErr.SQLState != sqlStateConflict:
+		q.failAll(batch, message.ControlRefused)
+	case batch[0].isResolveInDoubt():
+		q.failAll(batch, message.ControlConflict)
 	default:
-		l.serveConflict(batch, expires)
+		q.handleConflict(batch, expires)
 	}
 }
 
-func (l *lane) serveConflict(batch []*question, expires time.Time) {
-	answered, err := l.exchange(call("group_status"), expires)
-	var refusal *StatementError
+// handleConflict reads the database's status and answers a batch with
+// ControlConflict and that status.
+func (q *requestQueue) handleConflict(batch []*request, expires time.Time) {
+	result, err := q.exchange(callStatement("group_status"), expires)
+	var statementErr *StatementError
 	switch {
-	case errors.As(err, &refusal):
-		l.fail(batch, message.ControlRefused)
+	case errors.As(err, &statementErr):
+		q.failAll(batch, message.ControlRefused)
 	case err != nil:
-		l.serveFailure(batch, err, false, expires)
+		q.handleFailure(batch, err, false, expires)
 	default:
-		l.serveRow(batch, answered, message.ControlConflict)
+		q.answerFromRow(batch, result, message.ControlConflict)
 	}
 }
 
-// requeue puts a batch back to the head of the queue, without the questions
-// that were answered meanwhile.
-func (l *lane) requeue(batch []*question) {
-	l.mu.Lock()
-	batch = slices.DeleteFunc(slices.Clone(batch), func(q *question) bool { return q.done })
-	retired := l.retired
+// requeue puts a batch back at the head of the queue, without the requests that
+// were answered meanwhile.
+func (q *requestQueue) requeue(batch []*request) {
+	q.mu.Lock()
+	batch = slices.DeleteFunc(slices.Clone(batch), func(req *request) bool { return req.answered })
+	retired := q.retired
 	if !retired {
-		l.queue = append(batch, l.queue...)
+		q.pending = append(batch, q.pending...)
 	}
-	l.mu.Unlock()
+	q.mu.Unlock()
 	if retired {
-		l.fail(batch, message.ControlUnreachable)
+		q.failAll(batch, message.ControlUnreachable)
 	}
 }
 
-// breakOff closes the connection after a failure.
-func (l *lane) breakOff(err error) {
+// closeBroken counts and logs a failure of the connection, and closes it.
+func (q *requestQueue) closeBroken(err error) {
 	counters.Add("broken", 1)
-	l.note(event.ControlBroken, event.F("error", err.Error()))
-	l.drop()
+	q.logEvent(event.ControlBroken, event.F("error", err.Error()))
+	q.closeConnection()
 }
 
-// drop closes the connection: an answer that is still on its way must never
-// be taken for that of the next question.
-func (l *lane) drop() {
-	if l.conn == nil {
+// closeConnection closes the connection, if there is one. An answer that arrives
+// late can then not be taken for the answer to the next request.
+func (q *requestQueue) closeConnection() {
+	if q.conn == nil {
 		return
 	}
-	l.conn.close()
-	l.conn = nil
-	l.setConnected(false)
+	q.conn.close()
+	q.conn = nil
+	q.setConnected(false)
 }
 
-func (l *lane) setConnected(connected bool) {
-	l.mu.Lock()
-	l.connected = connected
-	l.mu.Unlock()
+func (q *requestQueue) setConnected(connected bool) {
+	q.mu.Lock()
+	q.connected = connected
+	q.mu.Unlock()
 }
 
-func (l *lane) note(e event.Event, fields ...event.Field) {
-	head := []event.Field{event.F("database", l.target.database), event.F("lane", l.name)}
-	l.log.Write(l.options.Now(), e, append(head, fields...)...)
+// logEvent logs an event with the database and the name of the queue.
+func (q *requestQueue) logEvent(e event.Event, fields ...event.Field) {
+	common := []event.Field{event.F("database", q.target.database), event.F("lane", q.name)}
+	q.log.Write(q.options.Now(), e, append(common, fields...)...)
 }
 
 // -----------------------------------------------------------------------------
 // Helpers.
 
-// batchExpires is how long the answer to a batch is waited for. A wait for a
-// position ends with the first question's time, since the database was told to
-// answer before it.
-func batchExpires(batch []*question) time.Time {
+// batchDeadline returns the deadline for the answer to a batch: the time at which
+// the last request expires. For AwaitPosition it is the time at which the first
+// request expires, since the statement makes the database answer before that.
+func batchDeadline(batch []*request) time.Time {
 	if _, blocks := batch[0].action.(message.AwaitPosition); blocks {
 		return batch[0].expires
 	}
-	return latest(batch)
+	return latestExpiry(batch)
 }
 
-// latest is when the last of the questions expires.
-func latest(questions []*question) time.Time {
-	last := questions[0].expires
-	for _, q := range questions[1:] {
-		if q.expires.After(last) {
-			last = q.expires
+// latestExpiry returns the time at which the last of the requests expires.
+func latestExpiry(requests []*request) time.Time {
+	expiry := requests[0].expires
+	for _, req := range requests[1:] {
+		if req.expires.After(expiry) {
+			expiry = req.expires
 		}
 	}
-	return last
+	return expiry
 }
 
 func isTimeout(err error) bool {
-	var timeout net.Error
-	return errors.As(err, &timeout) && timeout.Timeout()
+	var netErr net.Error
+	return errors.As(err, &netErr) && netErr.Timeout()
 }
--- a/internal/edge/group/question.go
+++ b/internal/edge/group/question.go
@@ -10,48 +10,49 @@
 )
 
 // -----------------------------------------------------------------------------
-// Questions.
-
-// question is one control question that has not been answered yet.
-type question struct {
-	action   message.Action
-	database model.DatabaseID
-	ask      uint64
-	timeout  time.Duration
-	expires  time.Time
-
-	// asked is when the statement was last sent.
-	asked time.Time
-	// timer answers the question when its time is over.
+// Requests.
+
+// request is one control request that has not been answered yet.
+type request struct {
+	action        message.Action
+	database      model.DatabaseID
+	correlationID uint64
+	timeout       time.Duration
+	expires       time.Time
+
+	// sentAt is the time at which the statement was last sent.
+	sentAt time.Time
+	// timer answers the request when it expires.
 	timer *time.Timer
-	// done says that the question was answered. The lane's lock guards it.
-	done bool
+	// answered is true if the request was answered. The queue's lock guards it.
+	answered bool
 }
 
-// newQuestion makes a question of an action; false where the action is none.
-func newQuestion(action message.Action) (*question, bool) {
+// newRequest returns the request for an action. It returns false if the action is
+// not a control request.
+func newRequest(action message.Action) (*request, bool) {
 	switch a := action.(type) {
 	case message.Probe:
-		return &question{action: a, database: a.Database, ask: a.CorrelationID, timeout: a.Timeout}, true
+		return &request{action: a, database: a.Database, correlationID: a.CorrelationID, timeout: a.Timeout}, true
 	case message.AwaitPosition:
-		return &question{action: a, database: a.Database, ask: a.CorrelationID, timeout: a.Timeout}, true
+		return &request{action: a, database: a.Database, correlationID: a.CorrelationID, timeout: a.Timeout}, true
 	case message.Fence:
-		return &question{action: a, database: a.Database, ask: a.CorrelationID, timeout: a.Timeout}, true
+		return &request{action: a, database: a.Database, correlationID: a.CorrelationID, timeout: a.Timeout}, true
 	case message.Promote:
-		return &question{action: a, database: a.Database, ask: a.CorrelationID, timeout: a.Timeout}, true
+		return &request{action: a, database: a.Database, correlationID: a.CorrelationID, timeout: a.Timeout}, true
 	case message.Follow:
-		return &question{action: a, database: a.Database, ask: a.CorrelationID, timeout: a.Timeout}, true
+		return &request{action: a, database: a.Database, correlationID: a.CorrelationID, timeout: a.Timeout}, true
 	case message.ResolveInDoubt:
-		return &question{action: a, database: a.Database, ask: a.CorrelationID, timeout: a.Timeout}, true
+		return &request{action: a, database: a.Database, correlationID: a.CorrelationID, timeout: a.Timeout}, true
 	default:
 		return nil, false
 	}
 }
 
-// shares reports whether one answer may serve this question and the other: both
-// are probes, or both wait for a position.
-func (q *question) shares(other *question) bool {
-	switch q.action.(type) {
+// sharesAnswerWith reports whether one answer may serve r and other: both are a
+// Probe, or both are an AwaitPosition.
+func (r *request) sharesAnswerWith(other *request) bool {
+	switch r.action.(type) {
 	case message.Probe:
 		_, found := other.action.(message.Probe)
 		return found
@@ -63,18 +64,20 @@
 	}
 }
 
-// isMet reports whether status is what the question waits for.
-func (q *question) isMet(status message.DatabaseStatus) bool {
-	await, found := q.action.(message.AwaitPosition)
+// isSatisfiedBy reports whether status answers the request. It answers an
+// AwaitPosition if the position has been received, or if the database's term is
+// higher than the position's.
+func (r *request) isSatisfiedBy(status message.DatabaseStatus) bool {
+	await, found := r.action.(message.AwaitPosition)
 	if !found {
 		return true
 	}
 	return !status.Received.Less(await.Position) || status.Term > await.Position.Term
 }
 
-// comparePositions orders questions that wait for a position by the position.
-// All others are equal.
-func comparePositions(a, b *question) int {
+// comparePositions orders AwaitPosition requests by their position. All other
+// requests are equal.
+func comparePositions(a, b *request) int {
 	first, found := a.action.(message.AwaitPosition)
 	if !found {
 		return 0
@@ -90,72 +93,76 @@
 	}
 }
 
-// isSettle reports whether the question has an answer of its own form.
-func (q *question) isSettle() bool {
-	_, found := q.action.(message.ResolveInDoubt)
+// isResolveInDoubt reports whether the request is a ResolveInDoubt, whose answer
+// has other columns than that of all other requests.
+func (r *request) isResolveInDoubt() bool {
+	_, found := r.action.(message.ResolveInDoubt)
 	return found
 }
 
-// name is the statement's name for log lines.
-func (q *question) name() string {
-	head, _, _ := strings.Cut(q.statement(q.expires), "(")
-	return strings.TrimPrefix(head, "CALL ")
+// statementName returns the name of the called procedure, for log lines.
+func (r *request) statementName() string {
+	prefix, _, _ := strings.Cut(r.statement(r.expires), "(")
+	return strings.TrimPrefix(prefix, "CALL ")
 }
 
-// statement is the text to send at the time now.
-func (q *question) statement(now time.Time) string {
-	switch a := q.action.(type) {
+// statement returns the text of the statement if it is sent at the time now.
+func (r *request) statement(now time.Time) string {
+	switch a := r.action.(type) {
 	case message.AwaitPosition:
-		return call("group_wait", quote(a.Position.String()), milliseconds(awaitTime(q.expires.Sub(now))))
+		return callStatement("group_wait", quoteLiteral(a.Position.String()), formatMilliseconds(databaseWaitTime(r.expires.Sub(now))))
 	case message.Fence:
-		return call("group_fence", number(a.Term), quote(string(a.Nonce)))
+		return callStatement("group_fence", formatTerm(a.Term), quoteLiteral(string(a.Nonce)))
 	case message.Promote:
-		return call("group_promote", number(a.Term), quote(string(a.Nonce)))
+		return callStatement("group_promote", formatTerm(a.Term), quoteLiteral(string(a.Nonce)))
 	case message.Follow:
-		return call("group_follow", number(a.Term), quote(string(a.Source)), quote(a.Address.String()))
+		return callStatement("group_follow", formatTerm(a.Term), quoteLiteral(string(a.Source)), quoteLiteral(a.Address.String()))
 	case message.ResolveInDoubt:
-		return call("group_settle", number(a.Term), quote(a.IdempotencyKey))
+		return callStatement("group_settle", formatTerm(a.Term), quoteLiteral(a.IdempotencyKey))
 	default:
-		return call("group_status")
+		return callStatement("group_status")
 	}
 }
 
-// failed is the answer to a question that got none of use.
-func (q *question) failed(why message.ControlErr) message.Event {
-	if settle, found := q.action.(message.ResolveInDoubt); found {
-		return message.InDoubtResolved{Database: q.database, CorrelationID: q.ask, IdempotencyKey: settle.IdempotencyKey, Err: why}
+// failureEvent returns the event that answers the request with an error.
+func (r *request) failureEvent(controlErr message.ControlErr) message.Event {
+	if resolve, found := r.action.(message.ResolveInDoubt); found {
+		return message.InDoubtResolved{Database: r.database, CorrelationID: r.correlationID, IdempotencyKey: resolve.IdempotencyKey, Err: controlErr}
 	}
-	return message.ControlAnswered{Database: q.database, CorrelationID: q.ask, SentAt: q.asked, Err: why}
+	return message.ControlAnswered{Database: r.database, CorrelationID: r.correlationID, SentAt: r.sentAt, Err: controlErr}
 }
 
 // -----------------------------------------------------------------------------
 // Statement text.
 
 const (
-	// awaitMargin is how much earlier than the question's end the database is
-	// told to answer, so that its answer arrives in time.
+	// awaitMargin is the time between the end of the database's wait and the
+	// expiry of the request, so that the answer arrives in time.
 	awaitMargin = 50 * time.Millisecond
-	// awaitShare is the greatest part of the time left that goes into the
-	// margin.
-	awaitShare = 4
+	// awaitMarginDivisor limits the margin to this fraction of the remaining
+	// time: 4 stands for a quarter.
+	awaitMarginDivisor = 4
 )
 
-// awaitTime is how long the database may wait, of the time left.
-func awaitTime(left time.Duration) time.Duration {
-	margin := min(awaitMargin, left/awaitShare)
-	return max(left-margin, 0)
+// databaseWaitTime returns how long the database may wait for a position if the
+// request expires after remaining.
+func databaseWaitTime(remaining time.Duration) time.Duration {
+	margin := min(awaitMargin, remaining/awaitMarginDivisor)
+	return max(remaining-margin, 0)
 }
 
-func call(name string, arguments ...string) string {
+// callStatement returns the statement that calls a procedure.
+func callStatement(name string, arguments ...string) string {
 	return "CALL " + name + "(" + strings.Join(arguments, ", ") + ")"
 }
 
-func quote(text string) string { return "'" + strings.ReplaceAll(text, "'", "''") + "'" }
+// quoteLiteral returns text as an SQL string literal.
+func quoteLiteral(text string) string { return "'" + strings.ReplaceAll(text, "'", "''") + "'" }
 
-func number(term model.Term) string { return strconv.FormatUint(uint64(term), 10) }
+func formatTerm(term model.Term) string { return strconv.FormatUint(uint64(term), 10) }
 
-func milliseconds(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
+func formatMilliseconds(d time.Duration) string { return strconv.FormatInt(d.Milliseconds(), 10) }
 
-// isSendable reports whether the protocol can carry the statement: it ends
-// texts with a zero byte.
+// isSendable reports whether the protocol can carry the statement. A zero byte
+// ends a string in the protocol, so the statement must not contain one.
 func isSendable(statement string) bool { return !strings.Contains(statement, "\x00") }
--- a/internal/edge/group/row.go
+++ b/internal/edge/group/row.go
@@ -8,10 +8,11 @@
 )
 
 // -----------------------------------------------------------------------------
-// Rows of answers.
+// Result rows.
 
-// row is one answered row: text values by column name. The first value that
-// can't be read is kept in err.
+// row is the row of an answer: text values by column name. The methods that read a
+// column return some value also for a missing or invalid column; the first such
+// error is kept in err.
 type row struct {
 	values map[string]string
 	err    error
@@ -20,7 +21,7 @@
 func (r *row) text(column string) string {
 	value, found := r.values[column]
 	if !found {
-		r.fail(column)
+		r.setError(column)
 	}
 	return value
 }
@@ -28,7 +29,7 @@
 func (r *row) uint(column string) uint64 {
 	value, err := strconv.ParseUint(r.text(column), 10, 64)
 	if err != nil {
-		r.fail(column)
+		r.setError(column)
 	}
 	return value
 }
@@ -36,7 +37,7 @@
 func (r *row) int(column string) int {
 	value, err := strconv.Atoi(r.text(column))
 	if err != nil {
-		r.fail(column)
+		r.setError(column)
 	}
 	return value
 }
@@ -44,7 +45,7 @@
 func (r *row) bool(column string) bool {
 	value := r.text(column)
 	if value != "t" && value != "f" {
-		r.fail(column)
+		r.setError(column)
 	}
 	return value == "t"
 }
@@ -52,7 +53,7 @@
 func (r *row) position(column string) model.Position {
 	value, err := model.ParsePosition(r.text(column))
 	if err != nil {
-		r.fail(column)
+		r.setError(column)
 	}
 	return value
 }
@@ -64,21 +65,23 @@
 	case model.RoleReplica.String():
 		return model.RoleReplica
 	default:
-		r.fail(column)
+		r.setError(column)
 		return model.RoleReplica
 	}
 }
 
-func (r *row) fail(column string) {
+// setError records that a column is missing or invalid, unless err is set already.
+func (r *row) setError(column string) {
 	if r.err == nil {
 		r.err = &ColumnError{Column: column, Value: r.values[column]}
 	}
 }
 
-// status reads the row that answers every control statement but the settling
-// of a key. Its errors are *ColumnError and *UnexpectedDatabaseError.
+// status reads a row with a database's status, which answers every control statement
+// except group_settle. Its errors are *ColumnError, and *UnexpectedDatabaseError if
+// the row is that of another database.
 func (r *row) status(database model.DatabaseID) (message.DatabaseStatus, error) {
-	name := model.DatabaseID(r.text("database"))
+	answering := model.DatabaseID(r.text("database"))
 	status := message.DatabaseStatus{
 		Role:       r.role("role"),
 		Term:       model.Term(r.uint("term")),
@@ -91,8 +94,8 @@
 		Slots:      r.int("slots"),
 		SlotsInUse: r.int("busy"),
 	}
-	if r.err == nil && name != database {
-		r.err = &UnexpectedDatabaseError{Expected: database, Got: name}
+	if r.err == nil && answering != database {
+		r.err = &UnexpectedDatabaseError{Expected: database, Got: answering}
 	}
 	return status, r.err
 }
--- a/internal/edge/group/standin_test.go
+++ b/internal/edge/group/standin_test.go
@@ -14,19 +14,19 @@
 )
 
 // -----------------------------------------------------------------------------
-// A group of stand-in databases.
+// A group of simulated databases.
 
-// members are the databases a, b and c; a is the primary of term 1.
-type members struct {
-	t      *testing.T
-	all    map[model.DatabaseID]*database.Database
-	edge   *group.Client
-	events sink
+// testGroup is a group of the databases a, b and c; a is the primary of term 1.
+type testGroup struct {
+	t         *testing.T
+	databases map[model.DatabaseID]*database.Database
+	client    *group.Client
+	events    sink
 }
 
-func startMembers(t *testing.T) *members {
+func startTestGroup(t *testing.T) *testGroup {
 	t.Helper()
-	m := &members{t: t, all: map[model.DatabaseID]*database.Database{}}
+	g := &testGroup{t: t, databases: map[model.DatabaseID]*database.Database{}}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	addresses := map[model.DatabaseID]netip.AddrPort{}
@@ -41,86 +41,93 @@
 			options.Source = addresses["a"]
 		}
 		db := database.NewDatabase(options)
-		over, err := db.Start(ctx)
+		done, err := db.Start(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { cancel(); <-over })
-		m.all[name], addresses[name] = db, db.Address()
+		t.Cleanup(func() { cancel(); <-done })
+		g.databases[name], addresses[name] = db, db.Address()
 	}
-	m.edge, m.events = startEdgeWith(t, group.Options{Password: "sesame", ConnectTimeout: long}, addresses)
-	return m
+	g.client, g.events = startClientWithOptions(t, group.Options{Password: "sesame", ConnectTimeout: longTimeout}, addresses)
+	return g
 }
 
-// put asks a question and returns its answer.
-func (m *members) put(action message.Action) message.Event {
-	m.edge.HandleAction(action)
-	return <-m.events
+// request sends a request and returns its answer.
+func (g *testGroup) request(action message.Action) message.Event {
+	g.client.HandleAction(action)
+	return <-g.events
 }
 
-// status asks a question and returns what its answer tells.
-func (m *members) status(action message.Action) (message.DatabaseStatus, message.ControlErr) {
-	answered := m.put(action).(message.ControlAnswered)
+// status sends a request and returns the status and the error of its answer.
+func (g *testGroup) status(action message.Action) (message.DatabaseStatus, message.ControlErr) {
+	answered := g.request(action).(message.ControlAnswered)
 	return answered.Status, answered.Err
 }
 
-func (m *members) expect(action message.Action, want message.ControlErr) message.DatabaseStatus {
-	m.t.Helper()
-	status, got := m.status(action)
+// expect sends a request, checks the error of its answer, and returns the status.
+func (g *testGroup) expect(action message.Action, want message.ControlErr) message.DatabaseStatus {
+	g.t.Helper()
+	status, got := g.status(action)
 	if diff := cmp.Diff(want.String(), got.String()); diff != "" {
-		m.t.Fatalf("%#v: %s", action, diff)
+		g.t.Fatalf("%#v: %s", action, diff)
 	}
 	return status
 }
 
-func TestPromotionOfAStandIn(t *testing.T) {
-	m := startMembers(t)
-	primary := m.expect(message.Probe{Database: "a", Timeout: long}, message.ControlOK)
+// TestFailoverOfSimulatedDatabases performs a complete failover: the primary a freezes,
+// b and c are fenced (c twice, as after a lost answer), b is promoted, c follows it,
+// and an in-doubt commit is resolved. Once it answers again, the former primary
+// must report a conflict when the commit is resolved in the new term.
+func TestFailoverOfSimulatedDatabases(t *testing.T) {
+	g := startTestGroup(t)
+	primary := g.expect(message.Probe{Database: "a", Timeout: longTimeout}, message.ControlOK)
 	for _, replica := range []model.DatabaseID{"b", "c"} {
-		m.expect(message.AwaitPosition{Database: replica, Position: primary.Received, Timeout: long}, message.ControlOK)
+		g.expect(message.AwaitPosition{Database: replica, Position: primary.Received, Timeout: longTimeout}, message.ControlOK)
 	}
-	m.all["a"].SetFault(database.FaultFreeze{})
-	m.expect(message.Probe{Database: "a", Timeout: brief}, message.ControlTimeout)
+	g.databases["a"].SetFault(database.FaultFreeze{})
+	g.expect(message.Probe{Database: "a", Timeout: shortTimeout}, message.ControlTimeout)
 	term := primary.Term + 1
 	for _, replica := range []model.DatabaseID{"b", "c", "c"} {
-		fenced := m.expect(message.Fence{Database: replica, Term: term, Nonce: "n'2", Timeout: long}, message.ControlOK)
+		fenced := g.expect(message.Fence{Database: replica, Term: term, Nonce: "n'2", Timeout: longTimeout}, message.ControlOK)
 		if diff := cmp.Diff([]any{term, model.Nonce("n'2")}, []any{fenced.Term, fenced.Nonce}); diff != "" {
 			t.Error(diff)
 		}
 	}
-	conflict := m.expect(message.Fence{Database: "c", Term: term, Nonce: "other", Timeout: long}, message.ControlConflict)
+	conflict := g.expect(message.Fence{Database: "c", Term: term, Nonce: "other", Timeout: longTimeout}, message.ControlConflict)
 	if diff := cmp.Diff(model.Nonce("n'2"), conflict.Nonce); diff != "" {
 		t.Error(diff)
 	}
-	promoted := m.expect(message.Promote{Database: "b", Term: term, Nonce: "n'2", Timeout: long}, message.ControlOK)
+	promoted := g.expect(message.Promote{Database: "b", Term: term, Nonce: "n'2", Timeout: longTimeout}, message.ControlOK)
 	if diff := cmp.Diff(model.RolePrimary, promoted.Role); diff != "" {
 		t.Error(diff)
 	}
-	m.expect(message.Follow{
-		Database: "c", Term: term, Source: "b", Address: m.all["b"].Address(), Timeout: long,
+	g.expect(message.Follow{
+		Database: "c", Term: term, Source: "b", Address: g.databases["b"].Address(), Timeout: longTimeout,
 	}, message.ControlOK)
-	never := m.put(message.ResolveInDoubt{Database: "b", IdempotencyKey: "k'1", Term: term, Timeout: long}).(message.InDoubtResolved)
-	if diff := cmp.Diff([]any{message.ControlOK, false}, []any{never.Err, never.Committed}); diff != "" {
+	notCommitted := g.request(message.ResolveInDoubt{Database: "b", IdempotencyKey: "k'1", Term: term, Timeout: longTimeout}).(message.InDoubtResolved)
+	if diff := cmp.Diff([]any{message.ControlOK, false}, []any{notCommitted.Err, notCommitted.Committed}); diff != "" {
 		t.Error(diff)
 	}
-	received := m.expect(message.AwaitPosition{Database: "c", Position: never.Position, Timeout: long}, message.ControlOK)
-	if diff := cmp.Diff(never.Position, received.Received); diff != "" {
+	received := g.expect(message.AwaitPosition{Database: "c", Position: notCommitted.Position, Timeout: longTimeout}, message.ControlOK)
+	if diff := cmp.Diff(notCommitted.Position, received.Received); diff != "" {
 		t.Error(diff)
 	}
-	m.all["a"].SetFault(database.FaultNone{})
-	old := m.put(message.ResolveInDoubt{Database: "a", IdempotencyKey: "k'1", Term: term, Timeout: long}).(message.InDoubtResolved)
-	if diff := cmp.Diff(message.ControlConflict, old.Err); diff != "" {
+	g.databases["a"].SetFault(database.FaultNone{})
+	formerPrimary := g.request(message.ResolveInDoubt{Database: "a", IdempotencyKey: "k'1", Term: term, Timeout: longTimeout}).(message.InDoubtResolved)
+	if diff := cmp.Diff(message.ControlConflict, formerPrimary.Err); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestSilentStandInHeals(t *testing.T) {
-	m := startMembers(t)
+// TestSilentSimulatedDatabaseRecovers checks that requests succeed again after a
+// database was unresponsive, which requires a new connection.
+func TestSilentSimulatedDatabaseRecovers(t *testing.T) {
+	g := startTestGroup(t)
 	for range 3 {
-		m.expect(message.Probe{Database: "a", Timeout: long}, message.ControlOK)
-		m.all["a"].SetFault(database.FaultSilent{})
-		m.expect(message.Probe{Database: "a", Timeout: brief}, message.ControlTimeout)
-		m.all["a"].SetFault(database.FaultNone{})
-		m.expect(message.Probe{Database: "a", Timeout: long}, message.ControlOK)
+		g.expect(message.Probe{Database: "a", Timeout: longTimeout}, message.ControlOK)
+		g.databases["a"].SetFault(database.FaultSilent{})
+		g.expect(message.Probe{Database: "a", Timeout: shortTimeout}, message.ControlTimeout)
+		g.databases["a"].SetFault(database.FaultNone{})
+		g.expect(message.Probe{Database: "a", Timeout: longTimeout}, message.ControlOK)
 	}
 }
