--- a/internal/edge/peer/bench_test.go
+++ b/internal/edge/peer/bench_test.go
@@ -9,31 +9,31 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// BenchmarkHeartbeat measures what a heartbeat costs both ends together: its
+// BenchmarkHeartbeat measures the cost of a heartbeat for both ends together: its
 // encoding, authentication and decoding, without the network.
 func BenchmarkHeartbeat(b *testing.B) {
-	beat := message.Heartbeat{
+	heartbeat := message.Heartbeat{
 		Instance: "lanier-1017", Zone: "lanier", PeerAddress: netip.MustParseAddrPort("10.0.4.17:7400"),
 		Sequence: 1 << 20, Manifest: 1 << 16,
 	}
 	for i := range 8 {
-		beat.Known = append(beat.Known, message.KnownPeer{
-			Instance: model.InstanceID(fmt.Sprintf("savannah-%d", 1000+i)), PeerAddress: beat.PeerAddress,
+		heartbeat.Known = append(heartbeat.Known, message.KnownPeer{
+			Instance: model.InstanceID(fmt.Sprintf("savannah-%d", 1000+i)), PeerAddress: heartbeat.PeerAddress,
 		})
 	}
-	send, receive := sealer{key: make([]byte, 32)}, opener{key: make([]byte, 32)}
+	frameSealer, frameOpener := sealer{key: make([]byte, 32)}, opener{key: make([]byte, 32)}
 	size := 0
 	b.ReportAllocs()
 	for range b.N {
-		body, err := encodeMessage(beat)
+		body, err := encodeMessage(heartbeat)
 		if err != nil {
 			b.Fatal(err)
 		}
-		frame, err := send.seal(body)
+		frame, err := frameSealer.seal(body)
 		if err != nil {
 			b.Fatal(err)
 		}
-		content, err := receive.open(frame)
+		content, err := frameOpener.open(frame)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/edge/peer/codec.go
+++ b/internal/edge/peer/codec.go
@@ -14,34 +14,36 @@
 )
 
 // -----------------------------------------------------------------------------
-// Messages on the wire.
+// Message encoding.
 
 const (
-	// keepalive is the number of a frame without a message.
-	keepalive = 0
-	// packed is the number of a frame with a compressed message, its number
-	// included.
-	packed = 12
-	// packAbove is the size in bytes above which a message is compressed: what
-	// peers repeat to many, such as configurations, is larger.
-	packAbove = 1 << 10
+	// keepaliveNumber is the message number of a frame that carries no message.
+	keepaliveNumber = 0
+	// compressedNumber is the message number of a frame with compressed content:
+	// a message together with its own number.
+	compressedNumber = 12
+	// compressionThreshold is the size in bytes above which a message is
+	// compressed. Messages that are sent to many peers, such as configurations,
+	// are larger than this.
+	compressionThreshold = 1 << 10
 )
 
-// kind is one message in the table.
-type kind struct {
+// messageType describes one type of message: how it is encoded and queued.
+type messageType struct {
 	name string
-	// number is the message's number on the wire, for good.
+	// number identifies the type on the wire and must never change.
 	number byte
-	// replaceable says that only the newest message of the kind matters.
+	// replaceable tells that a newer message of the type supersedes older ones,
+	// so that an older one may be dropped from a full queue.
 	replaceable bool
-	// decode reads the message from its body.
+	// decode decodes the body of a message.
 	decode func(*msgpack.Decoder) (message.PeerMessage, error)
-	// sample is a value of the message's type.
-	sample message.PeerMessage
+	// zeroValue is the zero value of the Go type, for lookup by type.
+	zeroValue message.PeerMessage
 }
 
-// kinds lists the messages that peers exchange.
-var kinds = []kind{
+// messageTypes lists the types of messages that peers exchange.
+var messageTypes = []messageType{
 	{"heartbeat", 1, true, decode[message.Heartbeat], message.Heartbeat{}},
 	{"manifest-offer", 2, false, decode[message.ManifestOffer], message.ManifestOffer{}},
 	{"manifest-wanted", 3, false, decode[message.ManifestRequest], message.ManifestRequest{}},
@@ -58,14 +60,14 @@
 }
 
 var (
-	kindsByNumber = map[byte]kind{}
-	kindsByType   = map[reflect.Type]kind{}
+	messageTypesByNumber = map[byte]messageType{}
+	messageTypesByGoType = map[reflect.Type]messageType{}
 )
 
 func init() {
-	for _, k := range kinds {
-		kindsByNumber[k.number] = k
-		kindsByType[reflect.TypeOf(k.sample)] = k
+	for _, mt := range messageTypes {
+		messageTypesByNumber[mt.number] = mt
+		messageTypesByGoType[reflect.TypeOf(mt.zeroValue)] = mt
 	}
 }
 
@@ -75,28 +77,31 @@
 	return m, errors.WithStack(err)
 }
 
-func kindOf(m message.PeerMessage) kind { return kindsByType[reflect.TypeOf(m)] }
+func messageTypeOf(m message.PeerMessage) messageType { return messageTypesByGoType[reflect.TypeOf(m)] }
 
-// encodeMessage returns the number of m and its body.
+// encodeMessage returns the number of m followed by its body, compressed if it
+// is larger than compressionThreshold. Its errors are *DecodeError and those of
+// the compression.
 func encodeMessage(m message.PeerMessage) ([]byte, error) {
-	k := kindOf(m)
+	mt := messageTypeOf(m)
 	var out bytes.Buffer
-	out.WriteByte(k.number)
+	out.WriteByte(mt.number)
 	encoder := msgpack.NewEncoder(&out)
 	encoder.UseCompactInts(true)
 	if err := encoder.Encode(m); err != nil {
-		return nil, &DecodeError{MessageName: k.name, Cause: errors.WithStack(err)}
+		return nil, &DecodeError{MessageName: mt.name, Cause: errors.WithStack(err)}
 	}
-	if out.Len() <= packAbove {
+	if out.Len() <= compressionThreshold {
 		return out.Bytes(), nil
 	}
-	return pack(out.Bytes())
+	return compress(out.Bytes())
 }
 
-// pack compresses a message with its number.
-func pack(content []byte) ([]byte, error) {
+// compress compresses content, a message with its number, and prepends
+// compressedNumber.
+func compress(content []byte) ([]byte, error) {
 	var out bytes.Buffer
-	out.WriteByte(packed)
+	out.WriteByte(compressedNumber)
 	writer, err := flate.NewWriter(&out, flate.BestSpeed)
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -110,9 +115,10 @@
 	return out.Bytes(), nil
 }
 
-// unpack reads what pack wrote. Its errors are *FrameSizeError, where there is
-// more than a frame holds, and *DecodeError.
-func unpack(body []byte) ([]byte, error) {
+// decompress decompresses the output of compress, without its leading number.
+// Its errors are *FrameSizeError, if the result is larger than maxFrame, and
+// *DecodeError.
+func decompress(body []byte) ([]byte, error) {
 	reader := flate.NewReader(bytes.NewReader(body))
 	content, err := io.ReadAll(io.LimitReader(reader, maxFrame+1))
 	if err != nil {
@@ -124,55 +130,56 @@
 	return content, nil
 }
 
-// decodeMessage reads what encodeMessage wrote. It returns no message for a
-// keepalive. Its errors are *FrameSizeError, *UnknownMessageNumberError and *DecodeError.
+// decodeMessage decodes the output of encodeMessage. It returns nil for a
+// keepalive. Its errors are *FrameSizeError, *UnknownMessageNumberError and
+// *DecodeError.
 func decodeMessage(content []byte) (message.PeerMessage, error) {
-	if len(content) > 0 && content[0] == packed {
+	if len(content) > 0 && content[0] == compressedNumber {
 		var err error
-		if content, err = unpack(content[1:]); err != nil {
+		if content, err = decompress(content[1:]); err != nil {
 			return nil, err
 		}
 	}
 	if len(content) == 0 {
 		return nil, &FrameSizeError{Size: 0, Limit: maxFrame}
 	}
-	if content[0] == keepalive {
+	if content[0] == keepaliveNumber {
 		return nil, nil
 	}
-	k, known := kindsByNumber[content[0]]
+	mt, known := messageTypesByNumber[content[0]]
 	if !known {
 		return nil, &UnknownMessageNumberError{Number: content[0]}
 	}
-	if err := checkShape(content[1:]); err != nil {
-		return nil, &DecodeError{MessageName: k.name, Cause: err}
+	if err := checkStructure(content[1:]); err != nil {
+		return nil, &DecodeError{MessageName: mt.name, Cause: err}
 	}
 	reader := bytes.NewReader(content[1:])
-	m, err := k.decode(msgpack.NewDecoder(reader))
+	m, err := mt.decode(msgpack.NewDecoder(reader))
 	if err != nil {
-		return nil, &DecodeError{MessageName: k.name, Cause: err}
+		return nil, &DecodeError{MessageName: mt.name, Cause: err}
 	}
 	if reader.Len() > 0 {
-		return nil, &DecodeError{MessageName: k.name, Cause: &TrailingBytesError{Count: reader.Len()}}
+		return nil, &DecodeError{MessageName: mt.name, Cause: &TrailingBytesError{Count: reader.Len()}}
 	}
 	return m, nil
 }
 
 // -----------------------------------------------------------------------------
-// Shapes.
+// Structure check.
 
 const (
-	// maxElements bounds the elements of one array or map.
+	// maxElements is the maximum number of elements of one array or map.
 	maxElements = 1 << 16
-	// maxDepth bounds how deep arrays and maps are nested.
+	// maxDepth is the maximum nesting depth of arrays and maps.
 	maxDepth = 8
 )
 
-// checkShape reads over a msgpack value without keeping it, and refuses
-// announced lengths that the value can't hold, and extension types, which no
-// message has. The library allocates arrays as long as is announced, which
-// could be more memory than there is. Its errors
-// are *MessageStructureError and those of the library.
-func checkShape(body []byte) error {
+// checkStructure walks a msgpack value without storing it. It rejects declared
+// lengths that exceed the remaining bytes, and extension types, which no message
+// uses. The check runs before decoding because the msgpack library allocates
+// arrays of the declared length, which could exhaust the memory. Its errors are
+// *MessageStructureError and those of the library.
+func checkStructure(body []byte) error {
 	reader := bytes.NewReader(body)
 	return checkValue(msgpack.NewDecoder(reader), reader, 0)
 }
--- a/internal/edge/peer/codec_test.go
+++ b/internal/edge/peer/codec_test.go
@@ -20,15 +20,15 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-var equal = cmp.Options{
+var compareOptions = cmp.Options{
 	cmpopts.EquateEmpty(),
 	cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b }),
 	cmpopts.IgnoreUnexported(message.GossipState{}, message.GroupGossip{}, lease.GroupRow{}, lease.CoordinatorLease{}),
 }
 
-// samples has a value of each message.
+// samples contains one message of each type.
 var samples = []message.PeerMessage{
 	message.Heartbeat{
 		Instance: "i1", Zone: "lanier", PeerAddress: netip.MustParseAddrPort("10.0.0.1:7000"), Sequence: 300,
@@ -69,8 +69,8 @@
 }
 
 func TestBytesOfEachMessage(t *testing.T) {
-	if diff := cmp.Diff(len(kinds), len(samples)); diff != "" {
-		t.Errorf("samples: %s", diff)
+	if diff := cmp.Diff(len(messageTypes), len(samples)); diff != "" {
+		t.Errorf("number of samples: %s", diff)
 	}
 	var got strings.Builder
 	for _, m := range samples {
@@ -78,7 +78,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&got, "%s %s\n", kindOf(m).name, hex.EncodeToString(content))
+		fmt.Fprintf(&got, "%s %s\n", messageTypeOf(m).name, hex.EncodeToString(content))
 	}
 	const path = "testdata/messages.golden"
 	if *update {
@@ -91,20 +91,20 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(want), got.String()); diff != "" {
-		t.Errorf("a change here needs another protocol version, or must be readable by the present one: %s", diff)
+		t.Errorf("changed bytes must stay readable by this protocol version, or the version must change: %s", diff)
 	}
 }
 
-// A message above the bound for it is compressed, and one that would grow beyond
-// a frame is refused.
-func TestPackedMessages(t *testing.T) {
+// A message above the threshold is compressed. Compressed content is rejected if
+// its decompressed size exceeds a frame, or if it is not a valid message.
+func TestCompressedMessages(t *testing.T) {
 	large := message.ManifestOffer{Number: 4, Body: bytes.Repeat([]byte("route lookups 1500 ms; "), 1000)}
 	content, err := encodeMessage(large)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if len(content) > len(large.Body)/10 {
-		t.Errorf("%d bytes for a body of %d", len(content), len(large.Body))
+		t.Errorf("encoded size is %d bytes for a body of %d", len(content), len(large.Body))
 	}
 	decoded, err := decodeMessage(content)
 	if err != nil {
@@ -114,20 +114,20 @@
 		t.Error(diff)
 	}
 	for name, body := range map[string][]byte{
-		"grows beyond a frame": make([]byte, maxFrame+1),
-		"is empty":             nil,
-		"is packed twice":      content,
+		"decompresses beyond a frame": make([]byte, maxFrame+1),
+		"is empty":                    nil,
+		"is compressed twice":         content,
 	} {
-		packedTwice, err := pack(body)
+		compressed, err := compress(body)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if m, err := decodeMessage(packedTwice); err == nil {
-			t.Errorf("%s: got %v", name, m)
+		if m, err := decodeMessage(compressed); err == nil {
+			t.Errorf("%s: decoded as %v", name, m)
 		}
 	}
-	if m, err := decodeMessage([]byte{packed, 0xff, 0xff}); err == nil {
-		t.Errorf("no compressed message: got %v", m)
+	if m, err := decodeMessage([]byte{compressedNumber, 0xff, 0xff}); err == nil {
+		t.Errorf("invalid compressed content: decoded as %v", m)
 	}
 }
 
@@ -137,7 +137,7 @@
 		ip, _ := netip.AddrFromSlice(rapid.SliceOfN(rapid.Byte(), size, size).Draw(t, "ip"))
 		return netip.AddrPortFrom(ip, rapid.Uint16().Draw(t, "port"))
 	})
-	drawn := []*rapid.Generator[message.PeerMessage]{
+	generators := []*rapid.Generator[message.PeerMessage]{
 		asMessage(rapid.Make[message.ManifestOffer]()),
 		asMessage(rapid.Make[message.ManifestRequest]()),
 		asMessage(rapid.Make[message.GroupUpdate]()),
@@ -150,24 +150,24 @@
 		asMessage(rapid.Make[message.PrimarySurveyRequest]()),
 		asMessage(rapid.Make[message.PrimarySurveyResponse]()),
 		asMessage(rapid.Custom(func(t *rapid.T) message.GossipState {
-			note := rapid.Custom(func(t *rapid.T) message.GroupGossip {
+			groupGossip := rapid.Custom(func(t *rapid.T) message.GroupGossip {
 				return message.GroupGossip{
 					Group: model.GroupID(rapid.String().Draw(t, "group")),
 					Row: lease.GroupRow{
 						Epoch: rapid.Uint64().Draw(t, "epoch"), Phase: lease.Phase(rapid.IntRange(0, 1).Draw(t, "phase")),
 						Primary: model.DatabaseID(rapid.String().Draw(t, "primary")), Version: rapid.Uint64().Draw(t, "version"),
 					},
-					UnansweredFor:   time.Duration(rapid.Int64().Draw(t, "failing")),
-					SampledPosition: rapid.Make[model.Position]().Draw(t, "sampled"),
+					UnansweredFor:   time.Duration(rapid.Int64().Draw(t, "unanswered for")),
+					SampledPosition: rapid.Make[model.Position]().Draw(t, "sampled position"),
 					SampleAge:       time.Duration(rapid.Int64().Draw(t, "age")),
 				}
 			})
 			return message.GossipState{
 				Instance: model.InstanceID(rapid.String().Draw(t, "name")), PeerAddress: address.Draw(t, "peer"),
-				SenderClock: time.Duration(rapid.Int64().Draw(t, "sent")), EchoedClock: time.Duration(rapid.Int64().Draw(t, "echo")),
+				SenderClock: time.Duration(rapid.Int64().Draw(t, "sender clock")), EchoedClock: time.Duration(rapid.Int64().Draw(t, "echoed clock")),
 				ViewVersion: rapid.Uint64().Draw(t, "view"), ViewAge: time.Duration(rapid.Int64().Draw(t, "age")),
 				CoordinatorLease: lease.CoordinatorLease{Holder: model.InstanceID(rapid.String().Draw(t, "holder")), FencingToken: rapid.Uint64().Draw(t, "token")},
-				Groups:           rapid.SliceOf(note).Draw(t, "groups"),
+				Groups:           rapid.SliceOf(groupGossip).Draw(t, "groups"),
 			}
 		})),
 		asMessage(rapid.Custom(func(t *rapid.T) message.Heartbeat {
@@ -181,11 +181,11 @@
 			}
 		})),
 	}
-	if diff := cmp.Diff(len(kinds), len(drawn)); diff != "" {
-		t.Errorf("generators: %s", diff)
+	if diff := cmp.Diff(len(messageTypes), len(generators)); diff != "" {
+		t.Errorf("number of generators: %s", diff)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		want := rapid.OneOf(drawn...).Draw(t, "message")
+		want := rapid.OneOf(generators...).Draw(t, "message")
 		content, err := encodeMessage(want)
 		if err != nil {
 			t.Fatal(err)
@@ -194,7 +194,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(want, got, equal); diff != "" {
+		if diff := cmp.Diff(want, got, compareOptions); diff != "" {
 			t.Error(diff)
 		}
 	})
@@ -204,8 +204,8 @@
 	return rapid.Map(g, func(m M) message.PeerMessage { return m })
 }
 
-// Whatever comes, reading ends in frames or in a typed error, and what was
-// read is written and read again alike.
+// Arbitrary bytes, authenticated or not, are decoded or rejected with an error and
+// cause no panic. A decoded message is equal after it is encoded and decoded again.
 func FuzzReadFrames(f *testing.F) {
 	key := []byte("0123456789abcdef")
 	for _, m := range samples {
@@ -233,26 +233,26 @@
 			}
 			stream = out.String()
 		}
-		m, err := readOne(strings.NewReader(stream), key)
+		m, err := readMessage(strings.NewReader(stream), key)
 		if err != nil || m == nil {
 			return
 		}
-		again, err := encodeMessage(m)
+		reencoded, err := encodeMessage(m)
 		if err != nil {
 			t.Fatal(err)
 		}
-		got, err := decodeMessage(again)
+		got, err := decodeMessage(reencoded)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(m, got, equal); diff != "" {
+		if diff := cmp.Diff(m, got, compareOptions); diff != "" {
 			t.Error(diff)
 		}
 	})
 }
 
-func readOne(from *strings.Reader, key []byte) (message.PeerMessage, error) {
-	frame, err := readFrame(from, maxFrame)
+func readMessage(r *strings.Reader, key []byte) (message.PeerMessage, error) {
+	frame, err := readFrame(r, maxFrame)
 	if err != nil {
 		return nil, err
 	}
@@ -263,19 +263,19 @@
 	return decodeMessage(content)
 }
 
-// BenchmarkFrame measures a message from one end to the other without the
-// network, with its size on the wire.
+// BenchmarkFrame measures the encoding, authentication and decoding of each message
+// without the network, and its size on the wire.
 func BenchmarkFrame(b *testing.B) {
 	for _, m := range samples {
-		b.Run(kindOf(m).name, func(b *testing.B) {
-			s, o := sealer{key: testKey}, opener{key: testKey}
+		b.Run(messageTypeOf(m).name, func(b *testing.B) {
+			frameSealer, frameOpener := sealer{key: testKey}, opener{key: testKey}
 			size := 0
 			b.ReportAllocs()
 			for b.Loop() {
 				content, _ := encodeMessage(m)
-				frame, _ := s.seal(content)
+				frame, _ := frameSealer.seal(content)
 				size = lengthSize + len(frame)
-				opened, _ := o.open(frame)
+				opened, _ := frameOpener.open(frame)
 				if _, err := decodeMessage(opened); err != nil {
 					b.Fatal(err)
 				}
@@ -290,34 +290,34 @@
 
 func TestQueueDropsTheOldestReplaceable(t *testing.T) {
 	heartbeat := func(sequence uint64) message.PeerMessage { return message.Heartbeat{Sequence: sequence} }
-	news := message.PeerMessage(message.GroupUpdate{Group: "ratings"})
+	groupUpdate := message.PeerMessage(message.GroupUpdate{Group: "ratings"})
 	cases := []struct {
 		name string
-		// oldest is at the head of a queue filled with news.
+		// oldest is at the head of a queue that is filled up with group updates.
 		oldest, pushed, dropped message.PeerMessage
 	}{
-		{"heartbeat makes room", heartbeat(1), news, heartbeat(1)},
-		{"demand makes room", message.LeaseRequest{Sequence: 1}, heartbeat(2), message.LeaseRequest{Sequence: 1}},
-		{"permit makes room", message.LeaseGrant{Sequence: 1}, heartbeat(2), message.LeaseGrant{Sequence: 1}},
-		{"nothing makes room", news, message.ManifestRequest{NewerThan: 1}, message.ManifestRequest{NewerThan: 1}},
+		{"heartbeat is dropped", heartbeat(1), groupUpdate, heartbeat(1)},
+		{"lease request is dropped", message.LeaseRequest{Sequence: 1}, heartbeat(2), message.LeaseRequest{Sequence: 1}},
+		{"lease grant is dropped", message.LeaseGrant{Sequence: 1}, heartbeat(2), message.LeaseGrant{Sequence: 1}},
+		{"pushed message is dropped", groupUpdate, message.ManifestRequest{NewerThan: 1}, message.ManifestRequest{NewerThan: 1}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			q := newQueue()
 			q.push(c.oldest)
-			for range maxQueue - 1 {
-				if _, full := q.push(news); full {
-					t.Fatal("full too early")
+			for range maxQueuedMessages - 1 {
+				if _, full := q.push(groupUpdate); full {
+					t.Fatal("queue is full below its limit")
 				}
 			}
 			dropped, full := q.push(c.pushed)
 			if diff := cmp.Diff(true, full); diff != "" {
 				t.Error(diff)
 			}
-			if diff := cmp.Diff(c.dropped, dropped, equal); diff != "" {
+			if diff := cmp.Diff(c.dropped, dropped, compareOptions); diff != "" {
 				t.Error(diff)
 			}
-			if diff := cmp.Diff(maxQueue, len(q.messages)); diff != "" {
+			if diff := cmp.Diff(maxQueuedMessages, len(q.messages)); diff != "" {
 				t.Error(diff)
 			}
 		})
--- a/internal/edge/peer/edge.go
+++ b/internal/edge/peer/edge.go
@@ -1,45 +1,50 @@
-// Package peer carries messages between instances.
+// Package peer exchanges messages between instances.
 //
 // # What flows in and out
 //
-// SetPeers tells which links to keep, and SendPeer sends one message.
-// PeerLinked flows out when a link stands, PeerMessageReceived for each message of a
-// peer, and PeerDisconnected when a link ends or could not be made. Messages may be
-// lost, and the core depends on none of them.
+// The action SetPeers names the peers to stay connected to, and SendPeer sends one
+// message. The event PeerConnected is posted when a link is established,
+// PeerMessageReceived for each message from a peer, and PeerDisconnected when a
+// link ends or a connection attempt fails. Messages may be lost, and the core does
+// not rely on the delivery of any of them.
 //
-// A link is one TCP connection with frames behind their length. Both ends
-// introduce themselves with the protocol's version, their instance and a
-// nonce, and prove that they hold the shared key by an authentication code
-// over both introductions. Each later frame carries its number and an
-// authentication code under a key of this link and direction, so that a frame
-// that was changed, repeated or left out closes the link. The frames are not
-// encrypted, unless the options hold a TLS configuration; each end then also
-// checks the other's certificate, and the codes are bound to that connection.
+// A link is one TCP connection that carries length-prefixed frames. In the
+// handshake both ends send a hello with the protocol version, their instance ID
+// and a nonce, and then prove that they hold the shared key by a message
+// authentication code (MAC) over both hellos. Each later frame carries a sequence
+// number and a MAC under a key of this link and direction, so that a frame that was
+// modified, replayed or omitted closes the link. Frames are encrypted only if the
+// options contain a TLS configuration; each end then also verifies the other's
+// certificate, and the MACs are bound to the TLS connection.
 //
-//	frame of a hello    length (4) | version (2) | msgpack {id, nonce}
-//	frame of a proof    length (4) | HMAC-SHA256 (32)
-//	all others          length (4) | sequence (8) | number (1) | msgpack | code (16)
+//	hello               length (4) | version (2) | msgpack {id, nonce}
+//	proof of the key    length (4) | HMAC-SHA256 (32)
+//	all others          length (4) | sequence (8) | number (1) | msgpack | MAC (16)
 //
-// The number of each message stands in one table, kinds. Messages above 1 KiB
-// are compressed with their number, under a number for that. Number 0 is a
-// keepalive, sent each Options.Keepalive; a link on which nothing came for
-// Options.Silence is closed, since open connections can go silent for good.
+// The table messageTypes assigns a number to each type of message. Messages larger
+// than 1 KiB are compressed together with their number, and sent under a number
+// that marks compressed content. Number 0 is a keepalive, sent every
+// Options.KeepaliveInterval; a link that receives nothing for Options.IdleTimeout is
+// closed, since a TCP connection can stay open although its other end is gone.
 //
-// Each pair of instances uses one link. Where both have dialed, the link that
-// the lower instance ID dialed is kept; of two links dialed by the same
-// instance, the newer one is.
+// Each pair of instances uses one link. If both have dialed, the link dialed by
+// the instance with the lower ID is kept; of two links dialed by the same
+// instance, the newer one is kept.
 //
-// A slow peer can't hold memory: its queue is bounded, and the oldest of the
-// messages that a newer one replaces is dropped first. What does not fit is
-// dropped and counted, and a link that takes nothing within Options.Write is
-// closed.
+// Memory use stays bounded if a peer reads slowly: the queue of each link has a
+// maximum length, and if it is full, the oldest message that a newer one of its
+// type supersedes is dropped, or else the new message. Dropped messages are
+// counted, and a link that accepts no data within Options.WriteTimeout is closed.
 //
 // # Usage
 //
-//	edge := peer.NewEdge(peer.Options{Instance: "i1", Listen: address, Key: key}, sink, log)
-//	ended, err := edge.Start(ctx)
-//	edge.HandleAction(message.SetPeers{Peers: []message.PeerTarget{{Address: seed}}})
-//	edge.HandleAction(message.SendPeer{To: "i2", Body: message.ManifestRequest{Above: 4}})
+//	options := peer.Options{Instance: "i1", Listen: address, Key: key}
+//	transport := peer.NewTransport(options, sink, log)
+//	stopped, err := transport.Start(ctx)
+//	targets := []message.PeerTarget{{Address: seed}}
+//	transport.HandleAction(message.SetPeers{Peers: targets})
+//	request := message.ManifestRequest{NewerThan: 4}
+//	transport.HandleAction(message.SendPeer{To: "i2", Body: request})
 package peer
 
 import (
@@ -60,76 +65,80 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/eventlog"
 )
 
-// counters holds what happened on the links, by name.
+// counters counts events of the links, published under "peers".
 var counters = expvar.NewMap("peers")
 
 // -----------------------------------------------------------------------------
 // Options.
 
 const (
-	defaultKeepalive  = time.Second
-	defaultSilence    = 4 * time.Second
-	defaultHandshake  = 3 * time.Second
-	defaultWrite      = 4 * time.Second
-	defaultBackoff    = 50 * time.Millisecond
-	defaultBackoffMax = 2 * time.Second
-	// minKey is the least length of a shared key, in bytes.
-	minKey = 16
-	// maxStrangers bounds the connections that are not authenticated yet.
-	maxStrangers = 64
+	defaultKeepaliveInterval = time.Second
+	defaultIdleTimeout       = 4 * time.Second
+	defaultHandshakeTimeout  = 3 * time.Second
+	defaultWriteTimeout      = 4 * time.Second
+	defaultInitialBackoff    = 50 * time.Millisecond
+	defaultMaxBackoff        = 2 * time.Second
+	// minKeySize is the minimum length of the shared key, in bytes.
+	minKeySize = 16
+	// maxUnauthenticated is the maximum number of accepted connections that are
+	// not authenticated yet.
+	maxUnauthenticated = 64
 )
 
-// Options are the settings of an Edge. Durations of zero have defaults.
+// Options are the settings of a Transport. Durations of zero have defaults.
 type Options struct {
-	// Instance is this instance.
+	// Instance is the ID of this instance.
 	Instance model.InstanceID
-	// Listen is where peers connect to; port 0 takes a free one.
+	// Listen is the address on which peers are accepted; port 0 picks a free one.
 	Listen netip.AddrPort
-	// Key is the key that all instances share, of 16 bytes or more. It may
-	// be empty where TLS is set.
+	// Key is the key that all instances share, of at least 16 bytes. It may be
+	// empty if TLS is set.
 	Key []byte
-	// TLS, where set, secures the links. It must ask for and verify the
-	// certificates of both ends, which name their IP addresses.
+	// TLS, if set, is used for all links. It must require and verify the
+	// certificates of both ends, which contain their IP addresses.
 	TLS *tls.Config
-	// KeepaliveInterval is how often something is sent at least.
+	// KeepaliveInterval is the interval at which keepalives are sent.
 	KeepaliveInterval time.Duration
-	// IdleTimeout is the time without a frame after which a link is closed.
+	// IdleTimeout is the time without a received frame after which a link is
+	// closed.
 	IdleTimeout time.Duration
-	// HandshakeTimeout is the longest time for connecting and authentication.
+	// HandshakeTimeout is the maximum duration of connecting, and of the
+	// authentication that follows.
 	HandshakeTimeout time.Duration
-	// WriteTimeout is the longest time that the other end may take nothing.
+	// WriteTimeout is the maximum duration of a write to a link.
 	WriteTimeout time.Duration
-	// InitialBackoff is the longest pause before the second try to connect. It
-	// doubles with each failure up to MaxBackoff.
+	// InitialBackoff is the maximum delay before the second connection attempt.
+	// The maximum doubles with each failure, up to MaxBackoff.
 	InitialBackoff, MaxBackoff time.Duration
 }
 
 func (o Options) withDefaults() Options {
-	for _, each := range []struct {
+	for _, setting := range []struct {
 		value    *time.Duration
 		fallback time.Duration
 	}{
-		{&o.KeepaliveInterval, defaultKeepalive},
-		{&o.IdleTimeout, defaultSilence},
-		{&o.HandshakeTimeout, defaultHandshake},
-		{&o.WriteTimeout, defaultWrite},
-		{&o.InitialBackoff, defaultBackoff},
-		{&o.MaxBackoff, defaultBackoffMax},
+		{&o.KeepaliveInterval, defaultKeepaliveInterval},
+		{&o.IdleTimeout, defaultIdleTimeout},
+		{&o.HandshakeTimeout, defaultHandshakeTimeout},
+		{&o.WriteTimeout, defaultWriteTimeout},
+		{&o.InitialBackoff, defaultInitialBackoff},
+		{&o.MaxBackoff, defaultMaxBackoff},
 	} {
-		if *each.value == 0 {
-			*each.value = each.fallback
+		if *setting.value == 0 {
+			*setting.value = setting.fallback
 		}
 	}
 	return o
 }
 
-// check refuses options under which anyone could be a peer.
-func (o Options) check() error {
+// validate returns a *ConfigError for options that would leave links
+// unauthenticated.
+func (o Options) validate() error {
 	switch {
 	case o.Instance == "":
 		return &ConfigError{Reason: "no instance ID"}
-	case o.TLS == nil && len(o.Key) < minKey:
-		return &ConfigError{Reason: "the key is shorter than 16 bytes and there is no TLS"}
+	case o.TLS == nil && len(o.Key) < minKeySize:
+		return &ConfigError{Reason: "the shared key is shorter than 16 bytes and TLS is not configured"}
 	case o.TLS == nil:
 		return nil
 	case o.TLS.ClientAuth != tls.RequireAndVerifyClientCert:
@@ -142,238 +151,244 @@
 }
 
 // -----------------------------------------------------------------------------
-// The edge.
+// Transport.
 
-// Transport keeps the links to peers. NewEdge makes one.
+// Transport maintains the links to peers. It is created by NewTransport.
 type Transport struct {
 	options Options
 	sink    message.Sink
 	log     *eventlog.Writer
-	// ended gets a value from each goroutine when it ends.
-	ended chan struct{}
-	// strangers holds a value for each connection not authenticated yet.
-	strangers chan struct{}
+	// goroutineEnded receives a value from each goroutine that ends.
+	goroutineEnded chan struct{}
+	// unauthenticated is a semaphore with one value for each accepted connection
+	// that is not authenticated yet.
+	unauthenticated chan struct{}
 
 	mu sync.Mutex
 	// ctx is nil before Start.
 	ctx      context.Context
 	listener net.Listener
-	// running counts the goroutines.
-	running int
-	links   map[model.InstanceID]*link
-	keepers map[message.PeerTarget]*keeper
-	// wanted holds the addresses of SetPeers.
-	wanted map[netip.AddrPort]bool
+	// goroutines is the number of goroutines started by spawn that have not ended.
+	goroutines int
+	links      map[model.InstanceID]*link
+	managers   map[message.PeerTarget]*connectionManager
+	// wantedAddresses contains the addresses of the last SetPeers.
+	wantedAddresses map[netip.AddrPort]bool
 }
 
-// NewTransport returns an edge that posts what it hears to sink.
+// NewTransport returns a transport that posts connection changes and received
+// messages to sink.
 func NewTransport(options Options, sink message.Sink, log logr.Logger) *Transport {
 	return &Transport{
-		options:   options.withDefaults(),
-		sink:      sink,
-		log:       eventlog.NewWriter(log, eventlog.DefaultLinesPerSecond),
-		ended:     make(chan struct{}),
-		strangers: make(chan struct{}, maxStrangers),
-		links:     map[model.InstanceID]*link{},
-		keepers:   map[message.PeerTarget]*keeper{},
+		options:         options.withDefaults(),
+		sink:            sink,
+		log:             eventlog.NewWriter(log, eventlog.DefaultLinesPerSecond),
+		goroutineEnded:  make(chan struct{}),
+		unauthenticated: make(chan struct{}, maxUnauthenticated),
+		links:           map[model.InstanceID]*link{},
+		managers:        map[message.PeerTarget]*connectionManager{},
 	}
 }
 
-// Start listens and keeps links until ctx ends. The channel is closed when all
-// links are. Its errors are *ConfigError and those of listening.
-func (e *Transport) Start(ctx context.Context) (<-chan error, error) {
-	if err := e.options.check(); err != nil {
+// Start listens and maintains links until ctx ends. The returned channel is closed
+// once all links are closed. Its errors are *ConfigError and those of listening.
+func (t *Transport) Start(ctx context.Context) (<-chan error, error) {
+	if err := t.options.validate(); err != nil {
 		return nil, err
 	}
 	var config net.ListenConfig
-	listener, err := config.Listen(ctx, "tcp", e.options.Listen.String())
+	listener, err := config.Listen(ctx, "tcp", t.options.Listen.String())
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	e.mu.Lock()
-	e.ctx = ctx
-	e.listener = listener
-	e.mu.Unlock()
-	e.spawn(func() { e.accept(listener) })
-	e.note(event.PeerListening, event.F("address", listener.Addr().String()))
-	over := make(chan error)
-	go e.supervise(ctx, listener, over)
-	return over, nil
+	t.mu.Lock()
+	t.ctx = ctx
+	t.listener = listener
+	t.mu.Unlock()
+	t.spawn(func() { t.accept(listener) })
+	t.logEvent(event.PeerListening, event.F("address", listener.Addr().String()))
+	stopped := make(chan error)
+	go t.supervise(ctx, listener, stopped)
+	return stopped, nil
 }
 
-// Address is where the edge listens. It is valid after Start.
-func (e *Transport) Address() netip.AddrPort {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.listener.Addr().(*net.TCPAddr).AddrPort()
+// Address returns the address on which peers are accepted. It must be called after
+// Start.
+func (t *Transport) Address() netip.AddrPort {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// HandleAction takes an action and reports whether it is one of this edge. It never
-// blocks.
-func (e *Transport) HandleAction(action message.Action) bool {
+// HandleAction handles action if it is a SendPeer or SetPeers, and reports whether
+// it is one. It never blocks.
+func (t *Transport) HandleAction(action message.Action) bool {
 	switch a := action.(type) {
 	case message.SendPeer:
-		e.send(a)
+		t.send(a)
 	case message.SetPeers:
-		e.setPeers(a.Peers)
+		t.setPeers(a.Peers)
 	default:
 		return false
 	}
 	return true
 }
 
-func (e *Transport) send(action message.SendPeer) {
-	l := e.linkTo(action.To)
-	name := kindOf(action.Body).name
+func (t *Transport) send(action message.SendPeer) {
+	l := t.linkTo(action.To)
+	name := messageTypeOf(action.Body).name
 	if l == nil {
 		counters.Add("unlinked."+name, 1)
 		return
 	}
-	dropped, full := l.queue.push(action.Body)
-	if !full {
+	dropped, queueFull := l.queue.push(action.Body)
+	if !queueFull {
 		return
 	}
-	counters.Add("dropped."+kindOf(dropped).name, 1)
-	e.note(event.PeerDropped, event.F("peer", action.To), event.F("message", kindOf(dropped).name))
+	counters.Add("dropped."+messageTypeOf(dropped).name, 1)
+	t.logEvent(event.PeerDropped, event.F("peer", action.To), event.F("message", messageTypeOf(dropped).name))
 }
 
-func (e *Transport) note(numbered event.Event, fields ...event.Field) {
-	e.log.Write(time.Now(), numbered, fields...)
+func (t *Transport) logEvent(logged event.Event, fields ...event.Field) {
+	t.log.Write(time.Now(), logged, fields...)
 }
 
 // -----------------------------------------------------------------------------
 // Goroutines.
 
-// spawn runs work on a goroutine of the edge. It is called from such a
-// goroutine, or with the context alive.
-func (e *Transport) spawn(work func()) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.spawnLocked(work)
+// spawn runs task in a goroutine that supervise waits for. It must be called from
+// such a goroutine or before the context has ended, so that supervise has not
+// returned.
+func (t *Transport) spawn(task func()) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.spawnLocked(task)
 }
 
-func (e *Transport) spawnLocked(work func()) {
-	e.running++
+func (t *Transport) spawnLocked(task func()) {
+	t.goroutines++
 	go func() {
-		work()
-		e.ended <- struct{}{}
+		task()
+		t.goroutineEnded <- struct{}{}
 	}()
 }
 
-// supervise reads the ends of the goroutines until ctx is over and all have
-// ended.
-func (e *Transport) supervise(ctx context.Context, listener net.Listener, over chan<- error) {
-	defer close(over)
+// supervise waits for ctx to end, then closes the listener and all links, and
+// returns once all goroutines have ended.
+func (t *Transport) supervise(ctx context.Context, listener net.Listener, stopped chan<- error) {
+	defer close(stopped)
 	done := ctx.Done()
 	for {
 		select {
 		case <-done:
 			done = nil
 			_ = listener.Close()
-			e.closeAll()
-		case <-e.ended:
-			e.mu.Lock()
-			e.running--
-			e.mu.Unlock()
+			t.closeAll()
+		case <-t.goroutineEnded:
+			t.mu.Lock()
+			t.goroutines--
+			t.mu.Unlock()
 		}
-		e.mu.Lock()
-		running := e.running
-		e.mu.Unlock()
-		if done == nil && running == 0 {
+		t.mu.Lock()
+		goroutines := t.goroutines
+		t.mu.Unlock()
+		if done == nil && goroutines == 0 {
 			return
 		}
 	}
 }
 
-func (e *Transport) closeAll() {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	for _, l := range e.links {
+func (t *Transport) closeAll() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for _, l := range t.links {
 		l.close(&LinkClosedError{})
 	}
 }
 
 // -----------------------------------------------------------------------------
-// Which link counts.
+// Link selection.
 
-func (e *Transport) linkTo(peer model.InstanceID) *link {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.links[peer]
+func (t *Transport) linkTo(peer model.InstanceID) *link {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.links[peer]
 }
 
-// register makes l the link to its peer, unless the one that stands counts.
-func (e *Transport) register(l *link) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.ctx.Err() != nil || !e.isWanted(l) {
+// register makes l the link to its peer and closes an existing one. It returns
+// false if the existing link is kept, or if l is no longer wanted.
+func (t *Transport) register(l *link) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.ctx.Err() != nil || !t.isWanted(l) {
 		return false
 	}
-	old := e.links[l.peer()]
-	if old != nil && !e.replaces(l, old) {
+	existing := t.links[l.peer()]
+	if existing != nil && !t.replaces(l, existing) {
 		return false
 	}
-	if old != nil {
-		old.close(&LinkReplacedError{})
+	if existing != nil {
+		existing.close(&LinkReplacedError{})
 	}
-	e.links[l.peer()] = l
+	t.links[l.peer()] = l
 	return true
 }
 
-// replaces reports whether l takes the place of old: both ends of a pair
-// decide alike.
-func (e *Transport) replaces(l, old *link) bool {
-	if l.dialed == old.dialed {
+// replaces reports whether l replaces existing. Both ends of a pair come to the
+// same decision: of links dialed by different ends, the one dialed by the lower
+// instance ID is kept; of links dialed by the same end, the newer one.
+func (t *Transport) replaces(l, existing *link) bool {
+	if l.dialed == existing.dialed {
 		return true
 	}
-	lower := e.options.Instance < l.peer()
-	return l.dialed == lower
+	selfIsLower := t.options.Instance < l.peer()
+	return l.dialed == selfIsLower
 }
 
-// unregister forgets a link that has ended. It reports whether the peer is now
-// without a link.
-func (e *Transport) unregister(l *link) bool {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if e.links[l.peer()] != l {
+// unregister removes a link that has ended. It returns false if another link to
+// the same peer has replaced it.
+func (t *Transport) unregister(l *link) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.links[l.peer()] != l {
 		return false
 	}
-	delete(e.links, l.peer())
+	delete(t.links, l.peer())
 	return true
 }
 
-// serve carries messages over a link until it ends. Where another link to the
-// same peer counts, it ends at once.
-func (e *Transport) serve(l *link) {
+// serve runs a link until it ends. It closes the link at once if another link to
+// the same peer is kept.
+func (t *Transport) serve(l *link) {
 	defer close(l.done)
-	if !e.register(l) {
+	if !t.register(l) {
 		l.close(&LinkReplacedError{})
 		return
 	}
 	counters.Add("linked", 1)
-	e.note(event.PeerLinked,
+	t.logEvent(event.PeerLinked,
 		event.F("peer", l.peer()), event.F("address", l.address.String()), event.F("dialed", l.dialed))
-	e.sink.Post(message.PeerConnected{Peer: l.peer()})
-	reason := l.run(e.options, func(m message.PeerMessage) {
-		e.sink.Post(message.PeerMessageReceived{From: l.peer(), Body: m})
+	t.sink.Post(message.PeerConnected{Peer: l.peer()})
+	reason := l.run(t.options, func(m message.PeerMessage) {
+		t.sink.Post(message.PeerMessageReceived{From: l.peer(), Body: m})
 	})
-	e.reject(l.peer(), l.address, reason)
+	t.reportFault(l.peer(), l.address, reason)
 	counters.Add("ended", 1)
-	e.note(event.PeerUnlinked,
+	t.logEvent(event.PeerUnlinked,
 		event.F("peer", l.peer()), event.F("address", l.address.String()), event.F("error", reason.Error()))
-	if e.unregister(l) {
-		e.sink.Post(message.PeerDisconnected{Peer: l.peer(), Address: l.address})
+	if t.unregister(l) {
+		t.sink.Post(message.PeerDisconnected{Peer: l.peer(), Address: l.address})
 	}
 }
 
-// reject counts and logs what the other end did wrong, if it did.
-func (e *Transport) reject(peer model.InstanceID, address netip.AddrPort, err error) {
-	name := faultOf(err)
-	if name == "" {
+// reportFault counts and logs err if it is a protocol error of the other end.
+func (t *Transport) reportFault(peer model.InstanceID, address netip.AddrPort, err error) {
+	fault := faultNameOf(err)
+	if fault == "" {
 		return
 	}
-	counters.Add("rejected."+name, 1)
-	e.note(event.PeerRejected,
+	counters.Add("rejected."+fault, 1)
+	t.logEvent(event.PeerRejected,
 		event.F("peer", peer), event.F("address", address.String()),
-		event.F("fault", name), event.F("error", err.Error()))
+		event.F("fault", fault), event.F("error", err.Error()))
 }
--- a/internal/edge/peer/edge_test.go
+++ b/internal/edge/peer/edge_test.go
@@ -23,15 +23,15 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// long is a time that no passing test waits for.
-const long = time.Minute
+// unreachedTimeout is a timeout that does not expire in a passing test.
+const unreachedTimeout = time.Minute
 
-// brief is a time that tests of timeouts wait for.
-const brief = 30 * time.Millisecond
+// shortTimeout is the timeout that tests of timeouts let expire.
+const shortTimeout = 30 * time.Millisecond
 
-// retry is the pause before a message is sent once more, since messages may
-// be lost.
-const retry = 10 * time.Millisecond
+// resendInterval is the delay before a message is sent again, since messages may be
+// lost.
+const resendInterval = 10 * time.Millisecond
 
 var (
 	testKey  = []byte("0123456789abcdef")
@@ -42,39 +42,39 @@
 
 func (s sink) Post(event message.Event) { s <- event }
 
-// instance is an edge that runs in a test.
+// instance is a running transport with the events that it posted.
 type instance struct {
 	*Transport
 	events sink
 	stop   func()
 }
 
-func start(t *testing.T, id model.InstanceID, change func(*Options)) instance {
+func start(t *testing.T, id model.InstanceID, configure func(*Options)) instance {
 	t.Helper()
 	options := Options{
 		Instance: id, Listen: loopback, Key: testKey,
-		KeepaliveInterval: time.Millisecond, IdleTimeout: long, HandshakeTimeout: long, WriteTimeout: long,
+		KeepaliveInterval: time.Millisecond, IdleTimeout: unreachedTimeout, HandshakeTimeout: unreachedTimeout, WriteTimeout: unreachedTimeout,
 		MaxBackoff: time.Millisecond,
 	}
-	if change != nil {
-		change(&options)
+	if configure != nil {
+		configure(&options)
 	}
 	events := make(sink, 100_000)
-	edge := NewTransport(options, events, logr.Discard())
+	transport := NewTransport(options, events, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
-	over, err := edge.Start(ctx)
+	stopped, err := transport.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	stop := func() {
 		cancel()
-		<-over
+		<-stopped
 	}
 	t.Cleanup(stop)
-	return instance{edge, events, stop}
+	return instance{transport, events, stop}
 }
 
-func (i instance) keep(id model.InstanceID, addresses ...netip.AddrPort) {
+func (i instance) setPeer(id model.InstanceID, addresses ...netip.AddrPort) {
 	var set message.SetPeers
 	for _, address := range addresses {
 		set.Peers = append(set.Peers, message.PeerTarget{Instance: id, Address: address})
@@ -82,17 +82,18 @@
 	i.HandleAction(set)
 }
 
-// deliver sends m until it is heard, and returns what was heard.
+// deliver sends m repeatedly until the other instance receives it, and returns the
+// event.
 func deliver(from, to instance, m message.PeerMessage) message.PeerMessageReceived {
 	for {
 		from.HandleAction(message.SendPeer{To: to.options.Instance, Body: m})
-		timer := time.NewTimer(retry)
+		timer := time.NewTimer(resendInterval)
 		for waiting := true; waiting; {
 			select {
 			case event := <-to.events:
-				if heard, found := event.(message.PeerMessageReceived); found && cmp.Equal(heard.Body, m, equal) {
+				if received, found := event.(message.PeerMessageReceived); found && cmp.Equal(received.Body, m, compareOptions) {
 					timer.Stop()
-					return heard
+					return received
 				}
 			case <-timer.C:
 				waiting = false
@@ -101,16 +102,16 @@
 	}
 }
 
-// awaitLost waits until a link or a try to make one is told to be lost.
-func (i instance) awaitLost() message.PeerDisconnected {
+// awaitDisconnected waits for the next PeerDisconnected and returns it.
+func (i instance) awaitDisconnected() message.PeerDisconnected {
 	for {
-		if lost, found := (<-i.events).(message.PeerDisconnected); found {
-			return lost
+		if disconnected, found := (<-i.events).(message.PeerDisconnected); found {
+			return disconnected
 		}
 	}
 }
 
-func count(name string) int64 {
+func counterValue(name string) int64 {
 	value, found := counters.Get(name).(*expvar.Int)
 	if !found {
 		return 0
@@ -121,20 +122,20 @@
 // -----------------------------------------------------------------------------
 // Links.
 
-func TestEveryMessageIsHeardFromAnUnknownInstance(t *testing.T) {
+func TestEveryMessageIsReceivedFromAnUnknownInstance(t *testing.T) {
 	a, b := start(t, "a", nil), start(t, "b", nil)
-	a.keep("", b.Address())
+	a.setPeer("", b.Address())
 	for _, linked := range []struct {
-		by   instance
+		at   instance
 		want message.Event
 	}{{a, message.PeerConnected{Peer: "b"}}, {b, message.PeerConnected{Peer: "a"}}} {
-		if diff := cmp.Diff(linked.want, <-linked.by.events, equal); diff != "" {
+		if diff := cmp.Diff(linked.want, <-linked.at.events, compareOptions); diff != "" {
 			t.Error(diff)
 		}
 	}
 	for _, m := range samples {
 		want := message.PeerMessageReceived{From: "a", Body: m}
-		if diff := cmp.Diff(want, deliver(a, b, m), equal); diff != "" {
+		if diff := cmp.Diff(want, deliver(a, b, m), compareOptions); diff != "" {
 			t.Error(diff)
 		}
 	}
@@ -143,46 +144,46 @@
 
 func TestBothDial(t *testing.T) {
 	a, b := start(t, "a", nil), start(t, "b", nil)
-	a.keep("b", b.Address(), a.Address())
-	b.keep("", a.Address(), b.Address())
+	a.setPeer("b", b.Address(), a.Address())
+	b.setPeer("", a.Address(), b.Address())
 	for range 20 {
 		deliver(a, b, samples[0])
 		deliver(b, a, samples[0])
 	}
 }
 
-func TestWhichLinkCounts(t *testing.T) {
+func TestSelectionOfDuplicateLinks(t *testing.T) {
 	cases := []struct {
-		name               string
-		self, peer         model.InstanceID
-		oldDialed, newLink bool
-		want               bool
+		name                 string
+		self, peer           model.InstanceID
+		oldDialed, newDialed bool
+		want                 bool
 	}{
-		{"lower dialed the new one", "a", "b", false, true, true},
-		{"higher dialed the new one", "a", "b", true, false, false},
-		{"seen from the higher, lower dialed the new one", "b", "a", true, false, true},
-		{"seen from the higher, higher dialed the new one", "b", "a", false, true, false},
-		{"dialed again by this instance", "b", "a", true, true, true},
-		{"dialed again by the peer", "a", "b", false, false, true},
+		{"new link dialed by the lower ID", "a", "b", false, true, true},
+		{"new link dialed by the higher ID", "a", "b", true, false, false},
+		{"at the higher ID, new link dialed by the lower ID", "b", "a", true, false, true},
+		{"at the higher ID, new link dialed by the higher ID", "b", "a", false, true, false},
+		{"both links dialed by this instance", "b", "a", true, true, true},
+		{"both links dialed by the peer", "a", "b", false, false, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			edge := NewTransport(Options{Instance: c.self}, nil, logr.Discard())
-			made := func(dialed bool) *link { return &link{dialed: dialed, session: session{peer: c.peer}} }
-			if diff := cmp.Diff(c.want, edge.replaces(made(c.newLink), made(c.oldDialed))); diff != "" {
+			transport := NewTransport(Options{Instance: c.self}, nil, logr.Discard())
+			newTestLink := func(dialed bool) *link { return &link{dialed: dialed, session: session{peer: c.peer}} }
+			if diff := cmp.Diff(c.want, transport.replaces(newTestLink(c.newDialed), newTestLink(c.oldDialed))); diff != "" {
 				t.Error(diff)
 			}
 		})
 	}
 }
 
-func TestPeerComesBackUnderAnotherInstance(t *testing.T) {
+func TestAddressTakenOverByAnotherInstance(t *testing.T) {
 	a, b := start(t, "a", nil), start(t, "b", nil)
 	address := b.Address()
-	a.keep("b", address)
+	a.setPeer("b", address)
 	deliver(b, a, samples[0])
 	b.stop()
-	if diff := cmp.Diff(message.PeerDisconnected{Peer: "b", Address: address}, a.awaitLost(), equal); diff != "" {
+	if diff := cmp.Diff(message.PeerDisconnected{Peer: "b", Address: address}, a.awaitDisconnected(), compareOptions); diff != "" {
 		t.Error(diff)
 	}
 	c := start(t, "c", func(o *Options) { o.Listen = address })
@@ -190,55 +191,55 @@
 	deliver(a, c, samples[0])
 }
 
-func TestUnwantedLinkIsClosed(t *testing.T) {
+func TestLinkToRemovedPeerIsClosed(t *testing.T) {
 	a, b := start(t, "a", nil), start(t, "b", nil)
-	a.keep("b", b.Address())
+	a.setPeer("b", b.Address())
 	deliver(a, b, samples[0])
-	a.keep("")
-	if diff := cmp.Diff(model.InstanceID("a"), b.awaitLost().Peer); diff != "" {
+	a.setPeer("")
+	if diff := cmp.Diff(model.InstanceID("a"), b.awaitDisconnected().Peer); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func TestSendWithoutLinkIsCounted(t *testing.T) {
 	a := start(t, "a", nil)
-	before := count("unlinked.demand")
+	countBefore := counterValue("unlinked.demand")
 	a.HandleAction(message.SendPeer{To: "z", Body: message.LeaseRequest{}})
-	if diff := cmp.Diff(before+1, count("unlinked.demand")); diff != "" {
+	if diff := cmp.Diff(countBefore+1, counterValue("unlinked.demand")); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // -----------------------------------------------------------------------------
-// Faults of a peer that dials.
+// Protocol errors of a peer that dials.
 
-// stranger is a hand-driven connection to an edge.
-type stranger struct {
+// manualPeer is a connection to a transport on which the test sends raw frames.
+type manualPeer struct {
 	t       *testing.T
 	conn    net.Conn
 	session session
 }
 
-func dialStranger(t *testing.T, to netip.AddrPort) *stranger {
+func dialManually(t *testing.T, to netip.AddrPort) *manualPeer {
 	t.Helper()
 	conn, err := net.Dial("tcp", to.String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	return &stranger{t: t, conn: conn}
+	return &manualPeer{t: t, conn: conn}
 }
 
-func (s *stranger) shake() *stranger {
-	agreed, err := shake(s.conn, "z", roleDialer, testKey)
+func (s *manualPeer) handshake() *manualPeer {
+	sess, err := handshake(s.conn, "z", roleDialer, testKey)
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.session = agreed
+	s.session = sess
 	return s
 }
 
-func (s *stranger) seal(content []byte) []byte {
+func (s *manualPeer) seal(content []byte) []byte {
 	frame, err := s.session.sealer.seal(content)
 	if err != nil {
 		s.t.Fatal(err)
@@ -246,7 +247,7 @@
 	return frame
 }
 
-func (s *stranger) send(frames ...[]byte) {
+func (s *manualPeer) send(frames ...[]byte) {
 	for _, frame := range frames {
 		if err := writeFrame(s.conn, frame); err != nil {
 			return
@@ -254,8 +255,8 @@
 	}
 }
 
-// awaitClosed reads until the edge closes the connection.
-func (s *stranger) awaitClosed() { _, _ = io.Copy(io.Discard, s.conn) }
+// awaitClosed reads until the transport closes the connection.
+func (s *manualPeer) awaitClosed() { _, _ = io.Copy(io.Discard, s.conn) }
 
 func TestFaultsOfADialer(t *testing.T) {
 	heartbeat, err := encodeMessage(samples[0])
@@ -264,65 +265,65 @@
 	}
 	cases := []struct {
 		name, counter string
-		act           func(s *stranger)
+		misbehave     func(s *manualPeer)
 	}{
-		{"other version", "version", func(s *stranger) { s.send([]byte{0, 9, 0x80}) }},
-		{"no version", "size", func(s *stranger) { s.send([]byte{0}) }},
-		{"hello without an instance", "unreadable", func(s *stranger) { s.send([]byte{0, 1, 0x80}) }},
-		{"hello unreadable", "unreadable", func(s *stranger) { s.send([]byte{0, 1, 0xc1}) }},
-		{"hello too large", "size", func(s *stranger) { s.send(make([]byte, maxHello+1)) }},
-		{"other key", "authentication", func(s *stranger) {
-			_, _ = shake(s.conn, "z", roleDialer, []byte("another key of it"))
+		{"other version", "version", func(s *manualPeer) { s.send([]byte{0, 9, 0x80}) }},
+		{"no version", "size", func(s *manualPeer) { s.send([]byte{0}) }},
+		{"hello without an instance", "unreadable", func(s *manualPeer) { s.send([]byte{0, 1, 0x80}) }},
+		{"hello not decodable", "unreadable", func(s *manualPeer) { s.send([]byte{0, 1, 0xc1}) }},
+		{"hello too large", "size", func(s *manualPeer) { s.send(make([]byte, maxHandshakeFrame+1)) }},
+		{"other key", "authentication", func(s *manualPeer) {
+			_, _ = handshake(s.conn, "z", roleDialer, []byte("another key of it"))
 		}},
-		{"own proof sent back", "authentication", func(s *stranger) {
+		{"proof of the other role", "authentication", func(s *manualPeer) {
 			mine, _ := newHello("z")
-			theirs, _ := swap(s.conn, roleDialer, mine, nil)
-			s.send(sum(testKey, []byte("proof acceptor"), transcribe(roleDialer, mine, theirs)))
+			theirs, _ := exchange(s.conn, roleDialer, mine, nil)
+			s.send(hmacSHA256(testKey, []byte("proof acceptor"), buildTranscript(roleDialer, mine, theirs)))
 		}},
-		{"frame too large", "size", func(s *stranger) {
-			_, _ = s.shake().conn.Write([]byte{0, 0x10, 0, 1})
+		{"frame too large", "size", func(s *manualPeer) {
+			_, _ = s.handshake().conn.Write([]byte{0, 0x10, 0, 1})
 		}},
-		{"frame too short", "size", func(s *stranger) { s.shake().send(make([]byte, codeSize)) }},
-		{"frame without content", "size", func(s *stranger) { s.send(s.shake().seal(nil)) }},
-		{"frame changed", "authentication", func(s *stranger) {
-			frame := s.shake().seal(heartbeat)
+		{"frame too short", "size", func(s *manualPeer) { s.handshake().send(make([]byte, macSize)) }},
+		{"frame without content", "size", func(s *manualPeer) { s.send(s.handshake().seal(nil)) }},
+		{"frame modified", "authentication", func(s *manualPeer) {
+			frame := s.handshake().seal(heartbeat)
 			frame[sequenceSize+2]++
 			s.send(frame)
 		}},
-		{"frame without a code", "authentication", func(s *stranger) { s.shake().send(make([]byte, 64)) }},
-		{"frame of another link", "authentication", func(s *stranger) {
-			frame := s.shake().seal(heartbeat)
-			again := dialStranger(s.t, addressOf(s.conn))
-			again.shake().send(frame)
-			again.awaitClosed()
+		{"frame without a MAC", "authentication", func(s *manualPeer) { s.handshake().send(make([]byte, 64)) }},
+		{"frame of another link", "authentication", func(s *manualPeer) {
+			frame := s.handshake().seal(heartbeat)
+			other := dialManually(s.t, addressOf(s.conn))
+			other.handshake().send(frame)
+			other.awaitClosed()
 			_ = s.conn.Close()
 		}},
-		{"frame repeated", "replay", func(s *stranger) {
-			frame := s.shake().seal(heartbeat)
+		{"frame replayed", "replay", func(s *manualPeer) {
+			frame := s.handshake().seal(heartbeat)
 			s.send(frame, frame)
 		}},
-		{"frame left out", "replay", func(s *stranger) {
-			s.shake().seal(heartbeat)
+		{"frame omitted", "replay", func(s *manualPeer) {
+			s.handshake().seal(heartbeat)
 			s.send(s.seal(heartbeat))
 		}},
-		{"unknown number", "number", func(s *stranger) { s.send(s.shake().seal([]byte{200, 0x80})) }},
-		{"unreadable message", "unreadable", func(s *stranger) { s.send(s.shake().seal([]byte{1, 0xc1})) }},
-		{"huge array announced", "unreadable", func(s *stranger) {
-			s.send(s.shake().seal([]byte("\x06\x81\xa5wants\xdd\xff\xff\xff\xff")))
+		{"unknown number", "number", func(s *manualPeer) { s.send(s.handshake().seal([]byte{200, 0x80})) }},
+		{"message not decodable", "unreadable", func(s *manualPeer) { s.send(s.handshake().seal([]byte{1, 0xc1})) }},
+		{"huge array declared", "unreadable", func(s *manualPeer) {
+			s.send(s.handshake().seal([]byte("\x06\x81\xa5wants\xdd\xff\xff\xff\xff")))
 		}},
-		{"bytes behind a message", "unreadable", func(s *stranger) {
-			s.send(s.shake().seal(append(heartbeat[:len(heartbeat):len(heartbeat)], 0)))
+		{"trailing bytes", "unreadable", func(s *manualPeer) {
+			s.send(s.handshake().seal(append(heartbeat[:len(heartbeat):len(heartbeat)], 0)))
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			a := start(t, "a", nil)
-			before := count("rejected." + c.counter)
-			s := dialStranger(t, a.Address())
-			c.act(s)
+			countBefore := counterValue("rejected." + c.counter)
+			s := dialManually(t, a.Address())
+			c.misbehave(s)
 			s.awaitClosed()
 			a.stop()
-			if diff := cmp.Diff(before+1, count("rejected."+c.counter)); diff != "" {
+			if diff := cmp.Diff(countBefore+1, counterValue("rejected."+c.counter)); diff != "" {
 				t.Error(diff)
 			}
 		})
@@ -331,36 +332,37 @@
 
 func TestSlowAndSilentDialers(t *testing.T) {
 	cases := []struct {
-		name   string
-		change func(*Options)
-		act    func(a instance, s *stranger)
+		name      string
+		change    func(*Options)
+		misbehave func(a instance, s *manualPeer)
 	}{
-		{"no hello", func(o *Options) { o.HandshakeTimeout = brief }, func(instance, *stranger) {}},
-		{"silent after the handshake", func(o *Options) { o.IdleTimeout = brief }, func(_ instance, s *stranger) { s.shake() }},
-		{"takes nothing", func(o *Options) { o.WriteTimeout = brief }, func(a instance, s *stranger) {
-			s.shake().send(s.seal([]byte{3, 0x80}))
+		{"no hello", func(o *Options) { o.HandshakeTimeout = shortTimeout }, func(instance, *manualPeer) {}},
+		{"no frame after the handshake", func(o *Options) { o.IdleTimeout = shortTimeout }, func(_ instance, s *manualPeer) { s.handshake() }},
+		{"reads nothing", func(o *Options) { o.WriteTimeout = shortTimeout }, func(a instance, s *manualPeer) {
+			s.handshake().send(s.seal([]byte{3, 0x80}))
 			<-a.events
-			// It can't be compressed, so that the connection fills.
+			// Random bytes are not compressible, so that the connection's buffers
+			// fill up.
 			body := make([]byte, maxFrame/2)
 			_, _ = rand.Read(body)
-			for range maxQueue {
+			for range maxQueuedMessages {
 				a.HandleAction(message.SendPeer{To: "z", Body: message.ManifestOffer{Body: body}})
 			}
-			a.awaitLost()
+			a.awaitDisconnected()
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			a := start(t, "a", c.change)
-			s := dialStranger(t, a.Address())
-			c.act(a, s)
+			s := dialManually(t, a.Address())
+			c.misbehave(a, s)
 			s.awaitClosed()
 		})
 	}
 }
 
 // -----------------------------------------------------------------------------
-// Faults of a peer that is dialed.
+// Protocol errors of a peer that is dialed.
 
 func TestFaultsOfAnAcceptor(t *testing.T) {
 	cases := []struct {
@@ -368,17 +370,17 @@
 		serve         func(conn net.Conn)
 	}{
 		{"other version", "version", func(conn net.Conn) {
-			_, _ = swap(conn, roleAcceptor, []byte{0, 9, 0x80}, nil)
+			_, _ = exchange(conn, roleAcceptor, []byte{0, 9, 0x80}, nil)
 		}},
-		{"no proof of the key", "authentication", func(conn net.Conn) {
+		{"invalid proof of the key", "authentication", func(conn net.Conn) {
 			mine, _ := newHello("z")
-			_, _ = swap(conn, roleAcceptor, mine, nil)
-			_, _ = swap(conn, roleAcceptor, make([]byte, 32), nil)
+			_, _ = exchange(conn, roleAcceptor, mine, nil)
+			_, _ = exchange(conn, roleAcceptor, make([]byte, 32), nil)
 		}},
 		{"the dialer's proof sent back", "authentication", func(conn net.Conn) {
 			mine, _ := newHello("z")
-			_, _ = swap(conn, roleAcceptor, mine, nil)
-			proof, _ := readFrame(conn, maxHello)
+			_, _ = exchange(conn, roleAcceptor, mine, nil)
+			proof, _ := readFrame(conn, maxHandshakeFrame)
 			_ = writeFrame(conn, proof)
 		}},
 	}
@@ -400,16 +402,16 @@
 					_ = conn.Close()
 				}
 			}()
-			before := count("rejected." + c.counter)
+			countBefore := counterValue("rejected." + c.counter)
 			a := start(t, "a", nil)
 			address := addressOfListener(listener)
-			a.keep("z", address)
+			a.setPeer("z", address)
 			want := message.PeerDisconnected{Peer: "z", Address: address}
-			if diff := cmp.Diff(want, a.awaitLost(), equal); diff != "" {
+			if diff := cmp.Diff(want, a.awaitDisconnected(), compareOptions); diff != "" {
 				t.Error(diff)
 			}
-			if count("rejected."+c.counter) == before {
-				t.Error("not counted")
+			if counterValue("rejected."+c.counter) == countBefore {
+				t.Error("the protocol error was not counted")
 			}
 		})
 	}
@@ -422,7 +424,7 @@
 // -----------------------------------------------------------------------------
 // Options and TLS.
 
-func TestOptionsWithoutAuthenticationAreRefused(t *testing.T) {
+func TestOptionsWithoutAuthenticationAreRejected(t *testing.T) {
 	cases := []struct {
 		name    string
 		options Options
@@ -439,15 +441,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			c.options.Listen = loopback
 			_, err := NewTransport(c.options, nil, logr.Discard()).Start(context.Background())
-			var fault *ConfigError
-			if !errors.As(err, &fault) {
+			var configErr *ConfigError
+			if !errors.As(err, &configErr) {
 				t.Errorf("got %v", err)
 			}
 		})
 	}
 }
 
-// newTLS returns configurations for both ends under one new authority.
+// newTLS returns a configuration for both ends with a new self-signed CA
+// certificate.
 func newTLS(t *testing.T) *tls.Config {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -477,19 +480,19 @@
 
 func TestMutualTLS(t *testing.T) {
 	shared := newTLS(t)
-	secured := func(o *Options) { o.TLS, o.Key = shared, nil }
-	a, b := start(t, "a", secured), start(t, "b", secured)
-	other := start(t, "c", func(o *Options) { o.TLS, o.Key = newTLS(t), nil })
-	before := count("rejected.authentication")
-	other.keep("b", b.Address())
-	if diff := cmp.Diff(message.PeerDisconnected{Peer: "b", Address: b.Address()}, other.awaitLost(), equal); diff != "" {
+	configure := func(o *Options) { o.TLS, o.Key = shared, nil }
+	a, b := start(t, "a", configure), start(t, "b", configure)
+	untrusted := start(t, "c", func(o *Options) { o.TLS, o.Key = newTLS(t), nil })
+	countBefore := counterValue("rejected.authentication")
+	untrusted.setPeer("b", b.Address())
+	if diff := cmp.Diff(message.PeerDisconnected{Peer: "b", Address: b.Address()}, untrusted.awaitDisconnected(), compareOptions); diff != "" {
 		t.Error(diff)
 	}
-	other.stop()
-	if count("rejected.authentication") == before {
-		t.Error("a certificate of another authority was not counted")
+	untrusted.stop()
+	if counterValue("rejected.authentication") == countBefore {
+		t.Error("the rejected certificate of another CA was not counted")
 	}
-	a.keep("b", b.Address())
+	a.setPeer("b", b.Address())
 	deliver(a, b, samples[0])
 	deliver(b, a, samples[0])
 }
--- a/internal/edge/peer/errors.go
+++ b/internal/edge/peer/errors.go
@@ -9,17 +9,19 @@
 )
 
 // -----------------------------------------------------------------------------
-// Faults of the other end. Each of them closes the link.
+// Protocol errors of the other end. Each of them closes the link, or ends the
+// handshake.
 
-// ProtocolVersionError reports a peer that speaks another version of the protocol.
+// ProtocolVersionError reports a peer that uses another version of the protocol.
 type ProtocolVersionError struct{ Got, Want uint16 }
 
 // Error implements error.
 func (e *ProtocolVersionError) Error() string {
-	return fmt.Sprintf("peer speaks protocol version %d, this instance %d", e.Got, e.Want)
+	return fmt.Sprintf("peer uses protocol version %d, this instance uses %d", e.Got, e.Want)
 }
 
-// FrameSizeError reports a frame above the bound, or too short to be one.
+// FrameSizeError reports a frame or field that is larger than its limit, or too
+// short to be valid.
 type FrameSizeError struct {
 	// Size and Limit are in bytes.
 	Size, Limit int
@@ -27,10 +29,10 @@
 
 // Error implements error.
 func (e *FrameSizeError) Error() string {
-	return fmt.Sprintf("frame of %d bytes, the limit is %d", e.Size, e.Limit)
+	return fmt.Sprintf("invalid frame size: %d bytes (limit %d)", e.Size, e.Limit)
 }
 
-// UnknownMessageNumberError reports a message whose number is not in the table.
+// UnknownMessageNumberError reports a message number that is not in messageTypes.
 type UnknownMessageNumberError struct{ Number byte }
 
 // Error implements error.
@@ -38,103 +40,107 @@
 	return fmt.Sprintf("unknown message number %d", e.Number)
 }
 
-// DecodeError reports a message that can't be read.
+// DecodeError reports a message that cannot be encoded or decoded.
 type DecodeError struct {
-	// MessageName names the message.
+	// MessageName is the name of the message's type.
 	MessageName string
 	Cause       error
 }
 
 // Error implements error.
-func (e *DecodeError) Error() string { return "unreadable " + e.MessageName + ": " + e.Cause.Error() }
+func (e *DecodeError) Error() string { return "invalid " + e.MessageName + ": " + e.Cause.Error() }
 
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Cause }
 
-// TrailingBytesError reports bytes behind the end of a message.
+// TrailingBytesError reports bytes after the end of a message.
 type TrailingBytesError struct {
-	// Count is their number.
+	// Count is the number of trailing bytes.
 	Count int
 }
 
 // Error implements error.
-func (e *TrailingBytesError) Error() string { return fmt.Sprintf("%d bytes behind the end", e.Count) }
+func (e *TrailingBytesError) Error() string { return fmt.Sprintf("%d trailing bytes", e.Count) }
 
-// MessageStructureError reports a message that announces more elements than it holds, or
-// nests them too deep.
+// MessageStructureError reports a message that declares more elements than it can
+// contain, nests them too deeply, or uses an extension type.
 type MessageStructureError struct{ Elements, Depth int }
 
 // Error implements error.
 func (e *MessageStructureError) Error() string {
-	return fmt.Sprintf("%d elements announced at depth %d", e.Elements, e.Depth)
+	return fmt.Sprintf("invalid structure: %d elements declared at depth %d", e.Elements, e.Depth)
 }
 
-// AuthenticationError reports a proof or frame that was not made with the key.
+// AuthenticationError reports a handshake proof or frame that was not
+// authenticated with the expected key, or a failed TLS handshake.
 type AuthenticationError struct {
-	// Step names the step.
+	// Step names what failed: "peer" for the proof of the key, "frame", or the
+	// TLS handshake with its error.
 	Step string
 }
 
 // Error implements error.
-func (e *AuthenticationError) Error() string { return "bad authentication of the " + e.Step }
+func (e *AuthenticationError) Error() string { return "authentication failed: " + e.Step }
 
-// FrameSequenceError reports an authentic frame out of its place.
+// FrameSequenceError reports an authentic frame with an unexpected sequence number:
+// a frame was replayed or omitted.
 type FrameSequenceError struct{ Got, Want uint64 }
 
 // Error implements error.
 func (e *FrameSequenceError) Error() string {
-	return fmt.Sprintf("frame %d came in the place of frame %d", e.Got, e.Want)
+	return fmt.Sprintf("frame out of sequence: got number %d, expected %d", e.Got, e.Want)
 }
 
-// faulty is an error that the other end of a link has committed.
-type faulty interface {
+// protocolError is an error caused by the other end of a link.
+type protocolError interface {
 	error
-	// fault names it for logs and counters.
-	fault() string
+	// faultName returns the name of the error in logs and counters.
+	faultName() string
 }
 
-func (e *ProtocolVersionError) fault() string      { return "version" }
-func (e *FrameSizeError) fault() string            { return "size" }
-func (e *UnknownMessageNumberError) fault() string { return "number" }
-func (e *DecodeError) fault() string               { return "unreadable" }
-func (e *AuthenticationError) fault() string       { return "authentication" }
-func (e *FrameSequenceError) fault() string        { return "replay" }
-
-// faultOf names what the other end did wrong; empty where the link failed
-// otherwise.
-func faultOf(err error) string {
-	var f faulty
-	if !errors.As(err, &f) {
+func (e *ProtocolVersionError) faultName() string      { return "version" }
+func (e *FrameSizeError) faultName() string            { return "size" }
+func (e *UnknownMessageNumberError) faultName() string { return "number" }
+func (e *DecodeError) faultName() string               { return "unreadable" }
+func (e *AuthenticationError) faultName() string       { return "authentication" }
+func (e *FrameSequenceError) faultName() string        { return "replay" }
+
+// faultNameOf returns the fault name of err, or "" if err is not a protocol error.
+func faultNameOf(err error) string {
+	var protocolErr protocolError
+	if !errors.As(err, &protocolErr) {
 		return ""
 	}
-	return f.fault()
+	return protocolErr.faultName()
 }
 
 // -----------------------------------------------------------------------------
-// Other failures.
+// Other errors.
 
 // ConfigError reports options under which links would not be authenticated.
 type ConfigError struct{ Reason string }
 
 // Error implements error.
-func (e *ConfigError) Error() string { return "peer links: " + e.Reason }
+func (e *ConfigError) Error() string { return "invalid peer options: " + e.Reason }
 
-// SelfConnectionError reports a link from this instance to itself.
+// SelfConnectionError reports a connection from this instance to itself.
 type SelfConnectionError struct{ Instance model.InstanceID }
 
 // Error implements error.
 func (e *SelfConnectionError) Error() string {
-	return fmt.Sprintf("instance %s reached itself", e.Instance)
+	return fmt.Sprintf("instance %s connected to itself", e.Instance)
 }
 
-// LinkReplacedError ends a link whose place another one takes.
+// LinkReplacedError is the reason of closing a link if another link to the same
+// peer is kept.
 type LinkReplacedError struct{}
 
 // Error implements error.
-func (e *LinkReplacedError) Error() string { return "another link to the same peer takes its place" }
+func (e *LinkReplacedError) Error() string { return "replaced by another link to the same peer" }
 
-// LinkClosedError ends a link that is no longer wanted.
+// LinkClosedError is the reason of closing a link whose peer was removed by
+// SetPeers, or because this instance shuts down.
 type LinkClosedError struct{}
 
 // Error implements error.
-func (e *LinkClosedError) Error() string { return "the link is no longer wanted" }
+func (e *LinkClosedError) Error() string { return "closed by this instance" }
--- a/internal/edge/peer/frame.go
+++ b/internal/edge/peer/frame.go
@@ -11,65 +11,67 @@
 )
 
 const (
-	// maxFrame bounds a frame without its length, in bytes.
+	// maxFrame is the maximum size of a frame without its length prefix, in bytes.
 	maxFrame = 1 << 20
-	// lengthSize is the size of a frame's length, in bytes.
+	// lengthSize is the size of a frame's length prefix, in bytes.
 	lengthSize = 4
-	// sequenceSize is the size of a frame's number, in bytes.
+	// sequenceSize is the size of a frame's sequence number, in bytes.
 	sequenceSize = 8
-	// codeSize is the size of a frame's authentication code, in bytes: half
-	// a SHA-256.
-	codeSize = sha256.Size / 2
+	// macSize is the size of a frame's message authentication code (MAC), in
+	// bytes: an HMAC-SHA256 truncated to half its size.
+	macSize = sha256.Size / 2
 )
 
 // -----------------------------------------------------------------------------
 // Frames.
 
-// readFrame reads one frame of at most limit bytes. Memory grows with what
-// has come, not with what was announced.
-func readFrame(from io.Reader, limit int) ([]byte, error) {
-	var head [lengthSize]byte
-	if _, err := io.ReadFull(from, head[:]); err != nil {
+// readFrame reads one frame of at most limit bytes. The buffer grows with the bytes
+// received and is not allocated from the declared length. Its errors are
+// *FrameSizeError and those of r.
+func readFrame(r io.Reader, limit int) ([]byte, error) {
+	var header [lengthSize]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return nil, errors.WithStack(err)
 	}
-	size := binary.BigEndian.Uint32(head[:])
+	size := binary.BigEndian.Uint32(header[:])
 	if uint64(size) > uint64(limit) {
 		return nil, &FrameSizeError{Size: int(size), Limit: limit}
 	}
 	var frame bytes.Buffer
-	if _, err := io.CopyN(&frame, from, int64(size)); err != nil {
+	if _, err := io.CopyN(&frame, r, int64(size)); err != nil {
 		return nil, errors.WithStack(err)
 	}
 	return frame.Bytes(), nil
 }
 
-// writeFrame writes one frame.
-func writeFrame(to io.Writer, frame []byte) error {
+// writeFrame writes frame after its length. Its errors are *FrameSizeError and
+// those of w.
+func writeFrame(w io.Writer, frame []byte) error {
 	if len(frame) > maxFrame {
 		return &FrameSizeError{Size: len(frame), Limit: maxFrame}
 	}
-	var head [lengthSize]byte
-	binary.BigEndian.PutUint32(head[:], uint32(len(frame)))
-	if _, err := to.Write(head[:]); err != nil {
+	var header [lengthSize]byte
+	binary.BigEndian.PutUint32(header[:], uint32(len(frame)))
+	if _, err := w.Write(header[:]); err != nil {
 		return errors.WithStack(err)
 	}
-	_, err := to.Write(frame)
+	_, err := w.Write(frame)
 	return errors.WithStack(err)
 }
 
 // -----------------------------------------------------------------------------
 // Authenticated frames.
 
-// sealer numbers and authenticates the frames of one direction.
+// sealer adds sequence numbers and MACs to the frames of one direction.
 type sealer struct {
 	key      []byte
 	sequence uint64
 }
 
-// seal returns the frame that carries content: its number, the content, and
-// the authentication code of both.
+// seal returns the frame that carries content: the sequence number, the content,
+// and the MAC of both. Its error is *FrameSizeError.
 func (s *sealer) seal(content []byte) ([]byte, error) {
-	size := sequenceSize + len(content) + codeSize
+	size := sequenceSize + len(content) + macSize
 	if size > maxFrame {
 		return nil, &FrameSizeError{Size: size, Limit: maxFrame}
 	}
@@ -77,23 +79,23 @@
 	frame = binary.BigEndian.AppendUint64(frame, s.sequence)
 	frame = append(frame, content...)
 	s.sequence++
-	return append(frame, code(s.key, frame)...), nil
+	return append(frame, mac(s.key, frame)...), nil
 }
 
-// opener checks the frames that a sealer of the other end made.
+// opener verifies the frames that the sealer of the other end made.
 type opener struct {
 	key      []byte
 	sequence uint64
 }
 
-// open returns the content of a frame. Its errors are *FrameSizeError,
+// open verifies a frame and returns its content. Its errors are *FrameSizeError,
 // *AuthenticationError and *FrameSequenceError.
 func (o *opener) open(frame []byte) ([]byte, error) {
-	if len(frame) < sequenceSize+codeSize {
+	if len(frame) < sequenceSize+macSize {
 		return nil, &FrameSizeError{Size: len(frame), Limit: maxFrame}
 	}
-	end := len(frame) - codeSize
-	if !hmac.Equal(frame[end:], code(o.key, frame[:end])) {
+	contentEnd := len(frame) - macSize
+	if !hmac.Equal(frame[contentEnd:], mac(o.key, frame[:contentEnd])) {
 		return nil, &AuthenticationError{Step: "frame"}
 	}
 	sequence := binary.BigEndian.Uint64(frame)
@@ -101,13 +103,13 @@
 		return nil, &FrameSequenceError{Got: sequence, Want: o.sequence}
 	}
 	o.sequence++
-	return frame[sequenceSize:end], nil
+	return frame[sequenceSize:contentEnd], nil
 }
 
-func code(key, content []byte) []byte { return sum(key, content)[:codeSize] }
+func mac(key, content []byte) []byte { return hmacSHA256(key, content)[:macSize] }
 
-// sum is the HMAC-SHA256 of the parts.
-func sum(key []byte, parts ...[]byte) []byte {
+// hmacSHA256 returns the HMAC-SHA256 of the concatenated parts.
+func hmacSHA256(key []byte, parts ...[]byte) []byte {
 	mac := hmac.New(sha256.New, key)
 	for _, part := range parts {
 		mac.Write(part)
--- a/internal/edge/peer/handshake.go
+++ b/internal/edge/peer/handshake.go
@@ -15,33 +15,34 @@
 )
 
 const (
-	// version is that of the protocol between peers.
-	version uint16 = 1
-	// versionSize is its size at the head of a hello, in bytes.
+	// protocolVersion is the version of the protocol between peers.
+	protocolVersion uint16 = 1
+	// versionSize is the size of the version at the start of a hello, in bytes.
 	versionSize = 2
-	// nonceSize is the size of a challenge, in bytes.
+	// nonceSize is the size of a hello's nonce, in bytes.
 	nonceSize = 32
-	// maxHello bounds a frame of an end that is not authenticated yet, in
-	// bytes.
-	maxHello = 1 << 10
-	// exporter labels the key taken from a TLS connection.
-	exporter = "EXPORTER-eelgrassfold-peer"
-	// exportSize is the size of that key, in bytes.
-	exportSize = 32
+	// maxHandshakeFrame is the maximum size of a frame from an end that is not
+	// authenticated yet, in bytes.
+	maxHandshakeFrame = 1 << 10
+	// exporterLabel is the label under which keying material is exported from a
+	// TLS connection (RFC 5705).
+	exporterLabel = "EXPORTER-eelgrassfold-peer"
+	// exportedKeySize is the size of the exported keying material, in bytes.
+	exportedKeySize = 32
 )
 
 // -----------------------------------------------------------------------------
 // Handshake.
 
-// hello introduces an end. On the wire the protocol's version goes before it,
-// so that every version can read that much of any other.
+// hello is the first message of each end. On the wire it follows the protocol
+// version, so that every version can read the version of any other.
 type hello struct {
 	Instance model.InstanceID `msgpack:"id"`
 	Nonce    []byte           `msgpack:"nonce"`
 }
 
-// role tells the two ends of a link apart, so that neither's proof serves as
-// the other's.
+// role distinguishes the two ends of a link. It is part of each proof, so that an
+// end cannot send the other's proof back as its own.
 type role string
 
 const (
@@ -49,99 +50,99 @@
 	roleAcceptor role = "acceptor"
 )
 
-func (r role) other() role {
+func (r role) opposite() role {
 	if r == roleDialer {
 		return roleAcceptor
 	}
 	return roleDialer
 }
 
-// session is what a handshake agrees on.
+// session is the result of a handshake.
 type session struct {
 	peer   model.InstanceID
 	sealer sealer
 	opener opener
 }
 
-// shake introduces both ends to each other and lets each prove that it holds
-// the secret: an authentication code over both introductions, with their
-// nonces. The dialer goes first at each step. Deadlines are the caller's.
-func shake(conn net.Conn, self model.InstanceID, as role, secret []byte) (session, error) {
-	mine, err := newHello(self)
+// handshake exchanges hellos with the other end, then proofs that both hold secret:
+// MACs over both hellos, which contain nonces. The dialer sends first in each
+// exchange. The caller must set the deadlines of conn.
+func handshake(conn net.Conn, self model.InstanceID, ownRole role, secret []byte) (session, error) {
+	ownFrame, err := newHello(self)
 	if err != nil {
 		return session{}, err
 	}
-	theirs, err := swap(conn, as, mine, nil)
+	peerFrame, err := exchange(conn, ownRole, ownFrame, nil)
 	if err != nil {
 		return session{}, err
 	}
-	introduced, err := readHello(theirs)
+	peerHello, err := readHello(peerFrame)
 	if err != nil {
 		return session{}, err
 	}
-	if introduced.Instance == self {
+	if peerHello.Instance == self {
 		return session{}, &SelfConnectionError{Instance: self}
 	}
-	transcript := transcribe(as, mine, theirs)
-	wanted := sum(secret, []byte("proof "+as.other()), transcript)
-	check := func(proof []byte) error {
-		if !hmac.Equal(proof, wanted) {
+	transcript := buildTranscript(ownRole, ownFrame, peerFrame)
+	expectedProof := hmacSHA256(secret, []byte("proof "+ownRole.opposite()), transcript)
+	verifyProof := func(proof []byte) error {
+		if !hmac.Equal(proof, expectedProof) {
 			return &AuthenticationError{Step: "peer"}
 		}
 		return nil
 	}
-	if _, err := swap(conn, as, sum(secret, []byte("proof "+as), transcript), check); err != nil {
+	if _, err := exchange(conn, ownRole, hmacSHA256(secret, []byte("proof "+ownRole), transcript), verifyProof); err != nil {
 		return session{}, err
 	}
 	return session{
-		peer:   introduced.Instance,
-		sealer: sealer{key: sum(secret, []byte("frames "+as), transcript)},
-		opener: opener{key: sum(secret, []byte("frames "+as.other()), transcript)},
+		peer:   peerHello.Instance,
+		sealer: sealer{key: hmacSHA256(secret, []byte("frames "+ownRole), transcript)},
+		opener: opener{key: hmacSHA256(secret, []byte("frames "+ownRole.opposite()), transcript)},
 	}, nil
 }
 
-// swap sends one frame and receives one. The acceptor sends only after check
-// has passed what it received.
-func swap(conn net.Conn, as role, mine []byte, check func([]byte) error) ([]byte, error) {
-	if as == roleDialer {
-		if err := writeFrame(conn, mine); err != nil {
+// exchange sends one frame and returns the received one. The acceptor sends only
+// after check, if set, has accepted the received frame.
+func exchange(conn net.Conn, ownRole role, sent []byte, check func([]byte) error) ([]byte, error) {
+	if ownRole == roleDialer {
+		if err := writeFrame(conn, sent); err != nil {
 			return nil, err
 		}
 	}
-	theirs, err := readFrame(conn, maxHello)
+	received, err := readFrame(conn, maxHandshakeFrame)
 	if err != nil {
 		return nil, err
 	}
 	if check != nil {
-		if err := check(theirs); err != nil {
+		if err := check(received); err != nil {
 			return nil, err
 		}
 	}
-	if as == roleAcceptor {
-		return theirs, writeFrame(conn, mine)
+	if ownRole == roleAcceptor {
+		return received, writeFrame(conn, sent)
 	}
-	return theirs, nil
+	return received, nil
 }
 
 func newHello(self model.InstanceID) ([]byte, error) {
 	nonce := make([]byte, nonceSize)
-	// It never fails.
+	// rand.Read never returns an error.
 	_, _ = rand.Read(nonce)
 	body, err := msgpack.Marshal(hello{Instance: self, Nonce: nonce})
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	return append(binary.BigEndian.AppendUint16(nil, version), body...), nil
+	return append(binary.BigEndian.AppendUint16(nil, protocolVersion), body...), nil
 }
 
-// readHello reads an introduction. Its errors are *FrameSizeError,
+// readHello decodes a frame with a hello. Its errors are *FrameSizeError,
 // *ProtocolVersionError and *DecodeError.
 func readHello(frame []byte) (hello, error) {
 	if len(frame) < versionSize {
-		return hello{}, &FrameSizeError{Size: len(frame), Limit: maxHello}
+		return hello{}, &FrameSizeError{Size: len(frame), Limit: maxHandshakeFrame}
 	}
-	if got := binary.BigEndian.Uint16(frame); got != version {
-		return hello{}, &ProtocolVersionError{Got: got, Want: version}
+	if got := binary.BigEndian.Uint16(frame); got != protocolVersion {
+		return hello{}, &ProtocolVersionError{Got: got, Want: protocolVersion}
 	}
 	var h hello
 	if err := msgpack.Unmarshal(frame[versionSize:], &h); err != nil {
@@ -153,31 +154,31 @@
 	return h, nil
 }
 
-// transcribe joins both introductions, the dialer's first, each behind its
+// buildTranscript returns both hello frames, the dialer's first, each after its
 // length.
-func transcribe(as role, mine, theirs []byte) []byte {
-	if as == roleAcceptor {
-		mine, theirs = theirs, mine
+func buildTranscript(ownRole role, ownFrame, peerFrame []byte) []byte {
+	if ownRole == roleAcceptor {
+		ownFrame, peerFrame = peerFrame, ownFrame
 	}
-	var joined bytes.Buffer
-	for _, part := range [][]byte{mine, theirs} {
-		joined.Write(binary.BigEndian.AppendUint32(nil, uint32(len(part))))
-		joined.Write(part)
+	var transcript bytes.Buffer
+	for _, part := range [][]byte{ownFrame, peerFrame} {
+		transcript.Write(binary.BigEndian.AppendUint32(nil, uint32(len(part))))
+		transcript.Write(part)
 	}
-	return joined.Bytes()
+	return transcript.Bytes()
 }
 
-// secretOf is the secret of a link: the shared key, bound to the TLS
-// connection where there is one.
-func secretOf(conn net.Conn, key []byte) ([]byte, error) {
-	secure, found := conn.(*tls.Conn)
+// linkSecret returns the secret of a link: the shared key, or over TLS a MAC that
+// binds the key to the connection.
+func linkSecret(conn net.Conn, key []byte) ([]byte, error) {
+	tlsConn, found := conn.(*tls.Conn)
 	if !found {
 		return key, nil
 	}
-	state := secure.ConnectionState()
-	exported, err := state.ExportKeyingMaterial(exporter, nil, exportSize)
+	state := tlsConn.ConnectionState()
+	exported, err := state.ExportKeyingMaterial(exporterLabel, nil, exportedKeySize)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	return sum(key, exported), nil
+	return hmacSHA256(key, exported), nil
 }
--- a/internal/edge/peer/keeper.go
+++ b/internal/edge/peer/keeper.go
@@ -17,27 +17,27 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// acceptPause is the pause after a failure to accept a connection, such as too
-// many open files.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the delay after a failure to accept a connection, for example
+// because of too many open files.
+const acceptRetryDelay = 50 * time.Millisecond
 
 // -----------------------------------------------------------------------------
-// Links that others dial.
+// Accepted links.
 
-// accept takes connections until the listener is closed.
-func (e *Transport) accept(listener net.Listener) {
+// accept accepts connections until the listener is closed.
+func (t *Transport) accept(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			sleep(e.ctx, acceptPause)
+			sleep(t.ctx, acceptRetryDelay)
 			continue
 		}
 		select {
-		case e.strangers <- struct{}{}:
-			e.spawn(func() { e.welcome(conn) })
+		case t.unauthenticated <- struct{}{}:
+			t.spawn(func() { t.serveAccepted(conn) })
 		default:
 			counters.Add("rejected.strangers", 1)
 			_ = conn.Close()
@@ -45,140 +45,142 @@
 	}
 }
 
-// welcome authenticates an accepted connection and serves it.
-func (e *Transport) welcome(conn net.Conn) {
+// serveAccepted authenticates an accepted connection and serves it.
+func (t *Transport) serveAccepted(conn net.Conn) {
 	address := addressOf(conn)
-	l, err := e.shake(e.ctx, conn, roleAcceptor, address)
-	<-e.strangers
+	l, err := t.handshake(t.ctx, conn, roleAcceptor, address)
+	<-t.unauthenticated
 	if err != nil {
-		e.reject("", address, err)
+		t.reportFault("", address, err)
 		return
 	}
-	e.serve(l)
+	t.serve(l)
 }
 
 // -----------------------------------------------------------------------------
-// Links that this instance dials.
+// Dialed links.
 
-// keeper keeps one link of SetPeers.
-type keeper struct {
+// connectionManager maintains the link to one target of SetPeers.
+type connectionManager struct {
 	target message.PeerTarget
 	cancel context.CancelFunc
-	// backoff spaces the tries to connect. With a factor of 1 around half
-	// the interval, the pause is uniform between 0 and the whole interval:
-	// full jitter.
+	// backoff determines the delays between connection attempts. Its intervals
+	// are half of the configured ones and its randomization factor is 1, so that
+	// delays are uniform between 0 and the configured interval: full jitter.
 	backoff backoff.ExponentialBackOff
-	// peer is who was reached last.
+	// peer is the instance last reached at the address, at first the one that the
+	// target names.
 	peer model.InstanceID
 }
 
-// setPeers starts a keeper for each new target and ends those of others, with
-// the links that they dialed.
-func (e *Transport) setPeers(targets []message.PeerTarget) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	wanted := map[message.PeerTarget]bool{}
-	e.wanted = map[netip.AddrPort]bool{}
+// setPeers starts a connection manager for each new target. It stops those of
+// removed targets and closes the links that this instance dialed to them.
+func (t *Transport) setPeers(targets []message.PeerTarget) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	wantedTargets := map[message.PeerTarget]bool{}
+	t.wantedAddresses = map[netip.AddrPort]bool{}
 	for _, target := range targets {
-		wanted[target] = target.Instance != e.options.Instance
-		e.wanted[target.Address] = true
+		wantedTargets[target] = target.Instance != t.options.Instance
+		t.wantedAddresses[target.Address] = true
 	}
-	for target, k := range e.keepers {
-		if !wanted[target] {
-			k.cancel()
-			delete(e.keepers, target)
+	for target, m := range t.managers {
+		if !wantedTargets[target] {
+			m.cancel()
+			delete(t.managers, target)
 		}
 	}
-	for _, l := range e.links {
-		if !e.isWanted(l) {
+	for _, l := range t.links {
+		if !t.isWanted(l) {
 			l.close(&LinkClosedError{})
 		}
 	}
-	if e.ctx == nil || e.ctx.Err() != nil {
+	if t.ctx == nil || t.ctx.Err() != nil {
 		return
 	}
-	for target, want := range wanted {
-		if want && e.keepers[target] == nil {
-			e.keep(target)
+	for target, wanted := range wantedTargets {
+		if wanted && t.managers[target] == nil {
+			t.startManager(target)
 		}
 	}
 }
 
-// isWanted reports whether SetPeers or the other end asks for a link.
-func (e *Transport) isWanted(l *link) bool { return !l.dialed || e.wanted[l.address] }
+// isWanted reports whether l is to be kept: the other end dialed it, or its address
+// is in the last SetPeers.
+func (t *Transport) isWanted(l *link) bool { return !l.dialed || t.wantedAddresses[l.address] }
 
-func (e *Transport) keep(target message.PeerTarget) {
-	ctx, cancel := context.WithCancel(e.ctx)
-	k := &keeper{
+func (t *Transport) startManager(target message.PeerTarget) {
+	ctx, cancel := context.WithCancel(t.ctx)
+	m := &connectionManager{
 		target: target, cancel: cancel, peer: target.Instance,
 		backoff: backoff.ExponentialBackOff{
-			InitialInterval:     e.options.InitialBackoff / 2,
-			MaxInterval:         e.options.MaxBackoff / 2,
+			InitialInterval:     t.options.InitialBackoff / 2,
+			MaxInterval:         t.options.MaxBackoff / 2,
 			Multiplier:          2,
 			RandomizationFactor: 1,
 		},
 	}
-	e.keepers[target] = k
-	e.spawnLocked(func() {
+	t.managers[target] = m
+	t.spawnLocked(func() {
 		defer cancel()
-		e.keepLinked(ctx, k)
+		t.maintainLink(ctx, m)
 	})
 }
 
-// keepLinked dials whenever there is no link to the target, until ctx ends or
-// the target turns out to be this instance.
-func (e *Transport) keepLinked(ctx context.Context, k *keeper) {
+// maintainLink dials the target whenever there is no link to it. It returns when ctx
+// ends, or when the target turns out to be this instance.
+func (t *Transport) maintainLink(ctx context.Context, m *connectionManager) {
 	for ctx.Err() == nil {
-		if standing := e.linkTo(k.peer); standing != nil {
+		if existing := t.linkTo(m.peer); existing != nil {
 			select {
-			case <-standing.done:
+			case <-existing.done:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		err := e.dialAndServe(ctx, k)
+		err := t.dialAndServe(ctx, m)
 		var self *SelfConnectionError
 		if errors.As(err, &self) {
 			return
 		}
-		pause := k.backoff.NextBackOff()
+		delay := m.backoff.NextBackOff()
 		if err != nil {
-			e.noteUnreachable(k, err, pause)
+			t.reportUnreachable(m, err, delay)
 		}
-		sleep(ctx, pause)
+		sleep(ctx, delay)
 	}
 }
 
-// dialAndServe makes a link and serves it until it ends. An error tells that
-// none was made.
-func (e *Transport) dialAndServe(ctx context.Context, k *keeper) error {
-	dialer := net.Dialer{Timeout: e.options.HandshakeTimeout}
-	conn, err := dialer.DialContext(ctx, "tcp", k.target.Address.String())
+// dialAndServe establishes a link and serves it until it ends. It returns an error
+// if no link was established.
+func (t *Transport) dialAndServe(ctx context.Context, m *connectionManager) error {
+	dialer := net.Dialer{Timeout: t.options.HandshakeTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp", m.target.Address.String())
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	l, err := e.shake(ctx, conn, roleDialer, k.target.Address)
+	l, err := t.handshake(ctx, conn, roleDialer, m.target.Address)
 	if err != nil {
-		e.reject(k.peer, k.target.Address, err)
+		t.reportFault(m.peer, m.target.Address, err)
 		return err
 	}
-	k.peer = l.peer()
-	e.serve(l)
-	if l.heard.Load() {
-		k.backoff.Reset()
+	m.peer = l.peer()
+	t.serve(l)
+	if l.hasReceived.Load() {
+		m.backoff.Reset()
 	}
 	return nil
 }
 
-func (e *Transport) noteUnreachable(k *keeper, err error, pause time.Duration) {
+func (t *Transport) reportUnreachable(m *connectionManager, err error, delay time.Duration) {
 	counters.Add("unreachable", 1)
-	e.note(event.PeerUnreachable,
-		event.F("peer", k.peer), event.F("address", k.target.Address.String()),
-		event.F("error", err.Error()), event.F("again", pause.String()))
-	e.sink.Post(message.PeerDisconnected{Peer: k.peer, Address: k.target.Address})
+	t.logEvent(event.PeerUnreachable,
+		event.F("peer", m.peer), event.F("address", m.target.Address.String()),
+		event.F("error", err.Error()), event.F("again", delay.String()))
+	t.sink.Post(message.PeerDisconnected{Peer: m.peer, Address: m.target.Address})
 }
 
-// sleep waits for the time d or the end of ctx.
+// sleep waits until the duration d has passed or ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -189,72 +191,75 @@
 }
 
 // -----------------------------------------------------------------------------
-// Both.
+// Authentication of accepted and dialed links.
 
-// shake authenticates a connection in bounded time. On an error it is closed.
-func (e *Transport) shake(ctx context.Context, conn net.Conn, as role, address netip.AddrPort) (*link, error) {
+// handshake authenticates conn within the handshake timeout. It closes conn on an
+// error.
+func (t *Transport) handshake(ctx context.Context, conn net.Conn, ownRole role, address netip.AddrPort) (*link, error) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	agreed, secured, err := e.authenticate(ctx, conn, as, address)
+	sess, secured, err := t.authenticate(ctx, conn, ownRole, address)
 	if err != nil {
 		_ = conn.Close()
 		return nil, err
 	}
-	return newLink(secured, agreed, as == roleDialer, address), nil
+	return newLink(secured, sess, ownRole == roleDialer, address), nil
 }
 
-func (e *Transport) authenticate(
-	ctx context.Context, conn net.Conn, as role, address netip.AddrPort,
+func (t *Transport) authenticate(
+	ctx context.Context, conn net.Conn, ownRole role, address netip.AddrPort,
 ) (session, net.Conn, error) {
-	if err := conn.SetDeadline(time.Now().Add(e.options.HandshakeTimeout)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(t.options.HandshakeTimeout)); err != nil {
 		return session{}, conn, errors.WithStack(err)
 	}
-	conn, err := e.secure(ctx, conn, as, address)
+	conn, err := t.wrapTLS(ctx, conn, ownRole, address)
 	if err != nil {
 		return session{}, conn, err
 	}
-	secret, err := secretOf(conn, e.options.Key)
+	secret, err := linkSecret(conn, t.options.Key)
 	if err != nil {
 		return session{}, conn, err
 	}
-	agreed, err := shake(conn, e.options.Instance, as, secret)
-	return agreed, conn, err
+	sess, err := handshake(conn, t.options.Instance, ownRole, secret)
+	return sess, conn, err
 }
 
-// secure wraps conn in TLS where the options ask for it.
-func (e *Transport) secure(ctx context.Context, conn net.Conn, as role, address netip.AddrPort) (net.Conn, error) {
-	if e.options.TLS == nil {
+// wrapTLS performs a TLS handshake on conn if TLS is configured, and returns the
+// connection to use. Its errors are *AuthenticationError and those of conn.
+func (t *Transport) wrapTLS(ctx context.Context, conn net.Conn, ownRole role, address netip.AddrPort) (net.Conn, error) {
+	if t.options.TLS == nil {
 		return conn, nil
 	}
-	var secured *tls.Conn
-	if as == roleAcceptor {
-		secured = tls.Server(conn, e.options.TLS)
+	var tlsConn *tls.Conn
+	if ownRole == roleAcceptor {
+		tlsConn = tls.Server(conn, t.options.TLS)
 	} else {
-		config := e.options.TLS.Clone()
+		config := t.options.TLS.Clone()
 		if config.ServerName == "" {
 			config.ServerName = address.Addr().String()
 		}
-		secured = tls.Client(conn, config)
+		tlsConn = tls.Client(conn, config)
 	}
-	err := secured.HandshakeContext(ctx)
+	err := tlsConn.HandshakeContext(ctx)
 	switch {
 	case err == nil:
-		return secured, nil
-	case isBroken(err):
+		return tlsConn, nil
+	case isConnectionError(err):
 		return conn, errors.WithStack(err)
 	default:
 		return conn, &AuthenticationError{Step: "TLS handshake: " + err.Error()}
 	}
 }
 
-// isBroken reports whether a TLS handshake failed below TLS.
-func isBroken(err error) bool {
-	var failure net.Error
+// isConnectionError reports whether a TLS handshake failed because of the
+// connection or a timeout, and not because of TLS itself.
+func isConnectionError(err error) bool {
+	var netErr net.Error
 	return errors.Is(err, io.EOF) || errors.Is(err, net.ErrClosed) || errors.Is(err, syscall.ECONNRESET) ||
-		errors.As(err, &failure) && failure.Timeout()
+		errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// addressOf is the address of the other end.
+// addressOf returns the address of the other end.
 func addressOf(conn net.Conn) netip.AddrPort {
 	address := conn.RemoteAddr().(*net.TCPAddr).AddrPort()
 	return netip.AddrPortFrom(address.Addr().Unmap(), address.Port())
--- a/internal/edge/peer/link.go
+++ b/internal/edge/peer/link.go
@@ -21,25 +21,26 @@
 type link struct {
 	conn    net.Conn
 	session session
-	// dialed says that this instance made the connection.
+	// dialed tells that this instance dialed the connection.
 	dialed bool
-	// address is the other end's.
+	// address is the address of the other end.
 	address netip.AddrPort
 	queue   *queue
-	// heard says that a frame came.
-	heard atomic.Bool
+	// hasReceived is set when the first frame has been received.
+	hasReceived atomic.Bool
 	// done is closed when the link has ended.
 	done chan struct{}
 
-	once sync.Once
-	// reason is why the link was closed; done guards it.
+	closeOnce sync.Once
+	// reason is the error with which the link was closed. It may be read once
+	// closed is closed.
 	reason error
 	closed chan struct{}
 }
 
-func newLink(conn net.Conn, agreed session, dialed bool, address netip.AddrPort) *link {
+func newLink(conn net.Conn, sess session, dialed bool, address netip.AddrPort) *link {
 	return &link{
-		conn: conn, session: agreed, dialed: dialed, address: address,
+		conn: conn, session: sess, dialed: dialed, address: address,
 		queue:  newQueue(),
 		done:   make(chan struct{}),
 		closed: make(chan struct{}),
@@ -48,30 +49,32 @@
 
 func (l *link) peer() model.InstanceID { return l.session.peer }
 
-// close lets the link's goroutines end. The first reason counts.
+// close closes the connection, which ends the link's goroutines. Only the reason of
+// the first call is kept.
 func (l *link) close(reason error) {
-	l.once.Do(func() {
+	l.closeOnce.Do(func() {
 		l.reason = reason
 		close(l.closed)
 		_ = l.conn.Close()
 	})
 }
 
-// run carries messages both ways until the link is closed, and returns why.
-func (l *link) run(options Options, heard func(message.PeerMessage)) error {
-	ended := make(chan struct{})
+// run sends queued messages and passes received ones to handle until the link is
+// closed. It returns the reason of closing, which is never nil.
+func (l *link) run(options Options, handle func(message.PeerMessage)) error {
+	writerEnded := make(chan struct{})
 	go func() {
 		l.close(l.write(options))
-		ended <- struct{}{}
+		writerEnded <- struct{}{}
 	}()
-	l.close(l.read(options, heard))
-	<-ended
+	l.close(l.read(options, handle))
+	<-writerEnded
 	return l.reason
 }
 
-// read passes on what comes, until the link breaks, is silent for too long, or
-// the other end commits a fault.
-func (l *link) read(options Options, heard func(message.PeerMessage)) error {
+// read passes received messages to handle until the connection fails, nothing
+// arrives within the idle timeout, or the other end violates the protocol.
+func (l *link) read(options Options, handle func(message.PeerMessage)) error {
 	buffered := bufio.NewReader(l.conn)
 	for {
 		if err := l.conn.SetReadDeadline(time.Now().Add(options.IdleTimeout)); err != nil {
@@ -90,21 +93,21 @@
 		if err != nil {
 			return err
 		}
-		l.heard.Store(true)
+		l.hasReceived.Store(true)
 		if m != nil {
 			counters.Add("received", 1)
-			heard(m)
+			handle(m)
 		}
 	}
 }
 
-// write sends what is queued, and a keepalive when there is nothing, until
-// the link is closed or can't take it in time.
+// write sends queued messages, and a keepalive at each interval, until the link is
+// closed or a write fails or times out.
 func (l *link) write(options Options) error {
 	buffered := bufio.NewWriter(l.conn)
 	ticker := time.NewTicker(options.KeepaliveInterval)
 	defer ticker.Stop()
-	content := []byte{keepalive}
+	content := []byte{keepaliveNumber}
 	for {
 		if err := l.writeQueued(buffered, content, options.WriteTimeout); err != nil {
 			return err
@@ -115,15 +118,15 @@
 			return &LinkClosedError{}
 		case <-l.queue.wake:
 		case <-ticker.C:
-			content = []byte{keepalive}
+			content = []byte{keepaliveNumber}
 		}
 	}
 }
 
-// writeQueued writes content, unless it is nil, and all that is queued.
-func (l *link) writeQueued(buffered *bufio.Writer, content []byte, limit time.Duration) error {
+// writeQueued writes content, unless it is nil, and then all queued messages.
+func (l *link) writeQueued(buffered *bufio.Writer, content []byte, timeout time.Duration) error {
 	if content != nil {
-		if err := l.writeContent(buffered, content, limit); err != nil {
+		if err := l.writeContent(buffered, content, timeout); err != nil {
 			return err
 		}
 	}
@@ -133,19 +136,19 @@
 			return errors.WithStack(buffered.Flush())
 		}
 		body, err := encodeMessage(m)
-		if err != nil || sequenceSize+len(body)+codeSize > maxFrame {
+		if err != nil || sequenceSize+len(body)+macSize > maxFrame {
 			counters.Add("dropped.size", 1)
 			continue
 		}
-		if err := l.writeContent(buffered, body, limit); err != nil {
+		if err := l.writeContent(buffered, body, timeout); err != nil {
 			return err
 		}
 		counters.Add("sent", 1)
 	}
 }
 
-func (l *link) writeContent(buffered *bufio.Writer, content []byte, limit time.Duration) error {
-	if err := l.conn.SetWriteDeadline(time.Now().Add(limit)); err != nil {
+func (l *link) writeContent(buffered *bufio.Writer, content []byte, timeout time.Duration) error {
+	if err := l.conn.SetWriteDeadline(time.Now().Add(timeout)); err != nil {
 		return errors.WithStack(err)
 	}
 	frame, err := l.session.sealer.seal(content)
--- a/internal/edge/peer/queue.go
+++ b/internal/edge/peer/queue.go
@@ -7,15 +7,15 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/message"
 )
 
-// maxQueue bounds the messages that wait for one link.
-const maxQueue = 256
+// maxQueuedMessages is the maximum number of messages queued for one link.
+const maxQueuedMessages = 256
 
 // -----------------------------------------------------------------------------
 // Queues.
 
-// queue holds the messages that wait for a link, the oldest first.
+// queue contains the messages to be sent over a link, the oldest first.
 type queue struct {
-	// wake has room for one value: a message was queued.
+	// wake has a capacity of one and receives a value when a message is queued.
 	wake chan struct{}
 
 	mu       sync.Mutex
@@ -24,31 +24,32 @@
 
 func newQueue() *queue { return &queue{wake: make(chan struct{}, 1)} }
 
-// push queues a message. Where the queue is full, the oldest message that a
-// newer one replaces makes room; where there is none, m is left out. It
-// returns what was dropped, if anything.
-func (q *queue) push(m message.PeerMessage) (dropped message.PeerMessage, full bool) {
+// push queues m. If the queue is full, it drops the oldest message of a replaceable
+// type, or m itself if there is none. It returns the dropped message, and whether
+// the queue was full.
+func (q *queue) push(m message.PeerMessage) (dropped message.PeerMessage, queueFull bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.messages) >= maxQueue {
-		place := slices.IndexFunc(q.messages, func(other message.PeerMessage) bool {
-			return kindOf(other).replaceable
+	if len(q.messages) >= maxQueuedMessages {
+		index := slices.IndexFunc(q.messages, func(other message.PeerMessage) bool {
+			return messageTypeOf(other).replaceable
 		})
-		if place < 0 {
+		if index < 0 {
 			return m, true
 		}
-		dropped, full = q.messages[place], true
-		q.messages = slices.Delete(q.messages, place, place+1)
+		dropped, queueFull = q.messages[index], true
+		q.messages = slices.Delete(q.messages, index, index+1)
 	}
 	q.messages = append(q.messages, m)
 	select {
 	case q.wake <- struct{}{}:
 	default:
 	}
-	return dropped, full
+	return dropped, queueFull
 }
 
-// pop takes the oldest message.
+// pop removes and returns the oldest message, or returns false if the queue is
+// empty.
 func (q *queue) pop() (message.PeerMessage, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
