--- a/internal/edge/platform/connection.go
+++ b/internal/edge/platform/connection.go
@@ -8,25 +8,25 @@
 )
 
 // -----------------------------------------------------------------------------
-// Whether anything was sent.
+// Tracking of sent bytes.
 
-// countedConn counts the bytes handed to the network. Once sealed it takes no
-// more, so that the count is final.
-type countedConn struct {
+// countingConn counts the bytes passed to the network. After seal it rejects
+// writes, so that the count is final.
+type countingConn struct {
 	net.Conn
 
-	mu      sync.Mutex
-	written int
-	sealed  bool
+	mu     sync.Mutex
+	bytes  int
+	sealed bool
 }
 
-// Write implements net.Conn. Bytes count before they are handed on: a write
-// that failed may have sent some.
-func (c *countedConn) Write(body []byte) (int, error) {
+// Write implements net.Conn. It counts bytes before passing them on, since a failed
+// write may have sent some of them.
+func (c *countingConn) Write(body []byte) (int, error) {
 	c.mu.Lock()
 	sealed := c.sealed
 	if !sealed {
-		c.written += len(body)
+		c.bytes += len(body)
 	}
 	c.mu.Unlock()
 	if sealed {
@@ -38,55 +38,58 @@
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(body []byte) (int, error) {
+func (c *countingConn) Read(body []byte) (int, error) {
 	n, err := c.Conn.Read(body)
 	counters.Add("received.bytes", int64(n))
 	return n, err
 }
 
-func (c *countedConn) count() int {
+func (c *countingConn) bytesWritten() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.written
+	return c.bytes
 }
 
-// seal refuses all further writes and returns the final count.
-func (c *countedConn) seal() int {
+// seal makes all further writes fail with *AbandonedConnError, and returns the final
+// count.
+func (c *countingConn) seal() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.sealed = true
-	return c.written
+	return c.bytes
 }
 
-// sending watches whether a request got onto a connection.
-type sending struct {
-	mu     sync.Mutex
-	conn   *countedConn
-	before int
+// sendTracker determines whether any byte of a request was written to a connection.
+type sendTracker struct {
+	mu sync.Mutex
+	// conn is the connection of the request, nil until one is assigned.
+	conn *countingConn
+	// bytesBefore is the number of bytes written before the request.
+	bytesBefore int
 }
 
-// trace returns the hook that tells which connection the request takes.
-func (s *sending) trace() *httptrace.ClientTrace {
+// clientTrace returns the hook that records the request's connection.
+func (s *sendTracker) clientTrace() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		conn := info.Conn
-		if secure, found := conn.(*tls.Conn); found {
-			conn = secure.NetConn()
+		if tlsConn, found := conn.(*tls.Conn); found {
+			conn = tlsConn.NetConn()
 		}
-		counted := conn.(*countedConn)
+		counted := conn.(*countingConn)
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.conn = counted
-		s.before = counted.count()
+		s.bytesBefore = counted.bytesWritten()
 	}}
 }
 
-// isUnsent gives the connection up and reports whether it is certain that no
-// byte of the request was sent. It is called after the request has failed.
-func (s *sending) isUnsent() bool {
+// isUnsent seals the connection and reports whether it is certain that no byte of
+// the request was sent. It must be called after the request has failed.
+func (s *sendTracker) isUnsent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conn == nil {
 		return true
 	}
-	return s.conn.seal() == s.before
+	return s.conn.seal() == s.bytesBefore
 }
--- a/internal/edge/platform/edge.go
+++ b/internal/edge/platform/edge.go
@@ -1,37 +1,40 @@
-// Package platform asks the platform's table service, object store and list of
-// instances.
+// Package platform is the client of the platform's table service, object store and
+// list of instances.
 //
 // # What flows in and out
 //
-// ReadRow, ScanRows, WriteRows, ReadObject, WriteObject and ListInstances flow
-// in. Each gets exactly one answer: RowsRead, RowsWritten, ObjectRead,
-// ObjectWritten or InstancesListed.
+// The actions ReadRow, ScanRows, WriteRows, ReadObject, WriteObject and
+// ListInstances are requests to the platform. Each is answered by exactly one
+// event: RowsRead, RowsWritten, ObjectRead, ObjectWritten or InstancesListed.
 //
-// The answer to a change that failed says what is known of its effect, since
-// what is claimed to have had none is tried again under another version:
+// The answer to a failed write states what is known of its effect, since a write
+// that is reported to have had no effect is retried under another version:
 //
-//	unsent    no connection, or no byte of the request was handed to it
+//	unsent    no connection was made, or no byte of the request was passed to it
 //	conflict  a row was not at the expected version
-//	refused   the platform answered that it did nothing (status 3xx or 4xx)
-//	unknown   anything else: the request was sent and no answer came, the
-//	          answer can't be read, or a server error came (status 5xx), which
-//	          a gateway may give with the change made behind it
+//	refused   the platform answered that it changed nothing (status 3xx or 4xx)
+//	unknown   anything else: the request was sent and no response was received,
+//	          the response cannot be decoded, or it is a server error (status
+//	          5xx), which a gateway may return although the platform behind it
+//	          made the change
 //
-// Nothing is sent twice by this package: changes go on connections of their
-// own, whose bytes are counted, redirects are not followed, and the HTTP
-// transport is left no way to repeat a body. Reads share connections; after a
-// read that got no answer all idle ones are closed, for they may have gone
-// silent too.
+// This package never sends a request twice: each write uses a new connection, on
+// which the bytes written are counted, redirects are not followed, and the HTTP
+// transport has no copy of the body to send again. Reads share connections; after a
+// read without a response, all idle connections are closed, since they may have
+// become unresponsive too.
 //
-// At most Options.Concurrency questions are asked at once; others wait in a
-// queue, inside their timeouts.
+// At most Options.Concurrency requests are executed at once; others wait in a
+// queue, and the wait counts towards their timeouts.
 //
 // # Usage
 //
-//	port := platform.NewHTTPService(platform.HTTPOptions{Address: address})
-//	edge := platform.NewEdge(platform.Options{Port: port}, sink, log)
-//	ended, err := edge.Start(ctx)
-//	edge.HandleAction(message.ReadRow{Ask: 1, Table: "groups", Key: "ratings", Timeout: time.Second})
+//	service := platform.NewHTTPService(platform.HTTPOptions{Address: address})
+//	client := platform.NewClient(platform.Options{Service: service}, sink, log)
+//	stopped, err := client.Start(ctx)
+//	client.HandleAction(message.ReadRow{
+//		CorrelationID: 1, Table: "groups", Key: "ratings", Timeout: time.Second,
+//	})
 package platform
 
 import (
@@ -49,39 +52,38 @@
 )
 
 const (
-	// defaultConcurrency is the number of questions asked at once.
+	// defaultConcurrency is the maximum number of requests executed at once.
 	defaultConcurrency = 16
-	// maxWaiting bounds the queue of questions.
-	maxWaiting = 1024
+	// maxQueuedRequests is the maximum number of requests in the queue.
+	maxQueuedRequests = 1024
 )
 
-// counters holds the number of answers by outcome, and the bytes sent and
-// received.
+// counters counts answers by outcome, and the bytes sent and received.
 var counters = expvar.NewMap("platform")
 
-// Options are the settings of an Edge.
+// Options are the settings of a Client.
 type Options struct {
-	// Service is the platform's service.
+	// Service executes the requests.
 	Service Service
-	// Concurrency is the number of questions asked at once; 0 means 16.
+	// Concurrency is the maximum number of requests executed at once; 0 means 16.
 	Concurrency int
 }
 
-// Client asks the platform. NewEdge makes one.
+// Client executes requests to the platform. It is created by NewClient.
 type Client struct {
 	options Options
 	sink    message.Sink
 	log     *eventlog.Writer
-	// wake holds one value for each question queued, at most.
+	// wake receives a value for each queued request, so that a worker takes it.
 	wake chan struct{}
 
 	mu    sync.Mutex
-	queue []*question
-	// closed says that no further question is asked.
+	queue []*platformRequest
+	// closed tells that requests fail at once and are not queued.
 	closed bool
 }
 
-// NewClient returns an edge that posts its answers to sink.
+// NewClient returns a client that posts the answers to requests to sink.
 func NewClient(options Options, sink message.Sink, log logr.Logger) *Client {
 	if options.Concurrency == 0 {
 		options.Concurrency = defaultConcurrency
@@ -90,149 +92,150 @@
 		options: options,
 		sink:    sink,
 		log:     eventlog.NewWriter(log, eventlog.DefaultLinesPerSecond),
-		wake:    make(chan struct{}, maxWaiting),
+		wake:    make(chan struct{}, maxQueuedRequests),
 	}
 }
 
-// Start asks questions until ctx ends. The channel is closed when all
-// questions are answered. It never fails.
-func (e *Client) Start(ctx context.Context) (<-chan error, error) {
-	ended := make(chan struct{})
-	for range e.options.Concurrency {
+// Start executes requests until ctx ends. The returned channel is closed when all
+// requests are answered; no error is sent on it. The returned error is always nil.
+func (c *Client) Start(ctx context.Context) (<-chan error, error) {
+	workerEnded := make(chan struct{})
+	for range c.options.Concurrency {
 		go func() {
-			e.work(ctx)
-			ended <- struct{}{}
+			c.runWorker(ctx)
+			workerEnded <- struct{}{}
 		}()
 	}
-	over := make(chan error)
+	stopped := make(chan error)
 	go func() {
-		defer close(over)
-		for range e.options.Concurrency {
-			<-ended
+		defer close(stopped)
+		for range c.options.Concurrency {
+			<-workerEnded
 		}
-		e.close()
+		c.close()
 	}()
-	return over, nil
+	return stopped, nil
 }
 
-// HandleAction takes an action and reports whether it is one of this edge. It never
-// blocks.
-func (e *Client) HandleAction(action message.Action) bool {
-	q, found := newQuestion(action)
+// HandleAction queues action if it is a request to the platform, and reports
+// whether it is one. It does not wait for the response.
+func (c *Client) HandleAction(action message.Action) bool {
+	r, found := newPlatformRequest(action)
 	if found {
-		q.expires = time.Now().Add(q.timeout)
-		e.push(q)
+		r.deadline = time.Now().Add(r.timeout)
+		c.enqueue(r)
 	}
 	return found
 }
 
 // -----------------------------------------------------------------------------
-// The queue.
-
-func (e *Client) push(q *question) {
-	e.mu.Lock()
-	closed, full := e.closed, len(e.queue) >= maxWaiting
-	if !closed && !full {
-		q.timer = time.AfterFunc(q.timeout, func() { e.expire(q) })
-		e.queue = append(e.queue, q)
+// Request queue.
+
+func (c *Client) enqueue(r *platformRequest) {
+	c.mu.Lock()
+	closed, queueFull := c.closed, len(c.queue) >= maxQueuedRequests
+	if !closed && !queueFull {
+		r.queueTimer = time.AfterFunc(r.timeout, func() { c.expire(r) })
+		c.queue = append(c.queue, r)
 	}
-	e.mu.Unlock()
+	c.mu.Unlock()
 	switch {
 	case closed:
-		e.giveUp(q, "the instance ends")
-	case full:
-		e.giveUp(q, "too many questions wait")
+		c.failUnsent(r, "the instance is shutting down")
+	case queueFull:
+		c.failUnsent(r, "too many queued requests")
 	default:
-		e.stir()
+		c.wakeWorker()
 	}
 }
 
-func (e *Client) stir() {
+func (c *Client) wakeWorker() {
 	select {
-	case e.wake <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
-// expire answers a question whose time ended in the queue.
-func (e *Client) expire(q *question) {
-	e.mu.Lock()
-	place := slices.Index(e.queue, q)
-	if place >= 0 {
-		e.queue = slices.Delete(e.queue, place, place+1)
+// expire fails a request whose timeout ended while it was queued.
+func (c *Client) expire(r *platformRequest) {
+	c.mu.Lock()
+	index := slices.Index(c.queue, r)
+	if index >= 0 {
+		c.queue = slices.Delete(c.queue, index, index+1)
 	}
-	e.mu.Unlock()
-	if place >= 0 {
-		e.giveUp(q, "its time ended in the queue")
+	c.mu.Unlock()
+	if index >= 0 {
+		c.failUnsent(r, "timed out in the queue")
 	}
 }
 
-// pop takes the oldest question out of the queue.
-func (e *Client) pop() (*question, bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if len(e.queue) == 0 {
+// dequeue removes and returns the oldest request of the queue, or returns false if
+// the queue is empty.
+func (c *Client) dequeue() (*platformRequest, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.queue) == 0 {
 		return nil, false
 	}
-	q := e.queue[0]
-	e.queue = slices.Delete(e.queue, 0, 1)
-	q.timer.Stop()
-	return q, true
+	r := c.queue[0]
+	c.queue = slices.Delete(c.queue, 0, 1)
+	r.queueTimer.Stop()
+	return r, true
 }
 
-// close answers all questions that were not sent, now and later.
-func (e *Client) close() {
-	e.mu.Lock()
-	e.closed = true
-	e.mu.Unlock()
+// close fails all queued requests, and makes later ones fail at once.
+func (c *Client) close() {
+	c.mu.Lock()
+	c.closed = true
+	c.mu.Unlock()
 	for {
-		q, found := e.pop()
+		r, found := c.dequeue()
 		if !found {
 			return
 		}
-		e.giveUp(q, "the instance ends")
+		c.failUnsent(r, "the instance is shutting down")
 	}
 }
 
-func (e *Client) giveUp(q *question, why string) {
-	err := &OutcomeError{Outcome: message.PlatformUnreachable, Cause: &UnsentError{Reason: why}}
-	e.answer(q, q.failed(err), err)
+func (c *Client) failUnsent(r *platformRequest, reason string) {
+	err := &OutcomeError{Outcome: message.PlatformUnreachable, Cause: &UnsentError{Reason: reason}}
+	c.complete(r, r.failureEvent(err), err)
 }
 
 // -----------------------------------------------------------------------------
-// The workers.
+// Workers.
 
-func (e *Client) work(ctx context.Context) {
+func (c *Client) runWorker(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-e.wake:
+		case <-c.wake:
 		}
-		if q, found := e.pop(); found {
-			e.put(ctx, q)
+		if r, found := c.dequeue(); found {
+			c.execute(ctx, r)
 		}
 	}
 }
 
-func (e *Client) put(ctx context.Context, q *question) {
-	ctx, cancel := context.WithDeadline(ctx, q.expires)
+func (c *Client) execute(ctx context.Context, r *platformRequest) {
+	ctx, cancel := context.WithDeadline(ctx, r.deadline)
 	defer cancel()
-	answer, err := q.put(ctx, e.options.Service)
-	e.answer(q, answer, err)
+	completion, err := r.execute(ctx, c.options.Service)
+	c.complete(r, completion, err)
 }
 
-func (e *Client) answer(q *question, answer message.Event, err error) {
+func (c *Client) complete(r *platformRequest, completion message.Event, err error) {
 	outcome := outcomeOf(err)
 	counters.Add(outcome.String(), 1)
 	switch outcome {
 	case message.PlatformOK, message.PlatformConflict, message.PlatformNotFound:
 	default:
-		e.log.Write(time.Now(), event.PlatformFailed,
-			event.F("question", q.name),
-			event.F("ask", q.ask),
+		c.log.Write(time.Now(), event.PlatformFailed,
+			event.F("question", r.name),
+			event.F("ask", r.correlationID),
 			event.F("outcome", outcome.String()),
 			event.F("error", err.Error()))
 	}
-	e.sink.Post(answer)
+	c.sink.Post(completion)
 }
--- a/internal/edge/platform/edge_test.go
+++ b/internal/edge/platform/edge_test.go
@@ -24,43 +24,43 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/edge/platform"
 )
 
-// long is a time that no passing test waits for.
-const long = time.Minute
+// unreachedTimeout is a timeout that does not expire in a passing test.
+const unreachedTimeout = time.Minute
 
 type sink chan message.Event
 
 func (s sink) Post(event message.Event) { s <- event }
 
-func startEdge(t *testing.T, options platform.Options) (*platform.Client, sink) {
+func startClient(t *testing.T, options platform.Options) (*platform.Client, sink) {
 	t.Helper()
 	events := make(sink, 2000)
-	edge := platform.NewClient(options, events, logr.Discard())
+	client := platform.NewClient(options, events, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
-	over, err := edge.Start(ctx)
+	stopped, err := client.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { cancel(); <-over })
-	return edge, events
+	t.Cleanup(func() { cancel(); <-stopped })
+	return client, events
 }
 
-func newPort(address net.Addr) platform.Service {
+func newService(address net.Addr) platform.Service {
 	return platform.NewHTTPService(platform.HTTPOptions{Address: address.(*net.TCPAddr).AddrPort(), Token: "secret"})
 }
 
 // -----------------------------------------------------------------------------
-// Questions and answers.
+// Requests and responses.
 
 var (
-	readRow     = message.ReadRow{CorrelationID: 7, Table: "groups", Key: "a/b c", Timeout: long}
-	scanRows    = message.ScanRows{CorrelationID: 7, Table: "groups", Prefix: "a/&", Timeout: long}
-	writeRows   = message.WriteRows{CorrelationID: 7, Rows: []message.Row{{Table: "t", Key: "k", Version: "1", Body: []byte("new")}}, Timeout: long}
-	readObject  = message.ReadObject{CorrelationID: 7, Name: "sum", Timeout: long}
-	writeObject = message.WriteObject{CorrelationID: 7, Name: "sum", Body: []byte("body"), Timeout: long}
-	list        = message.ListInstances{CorrelationID: 7, Timeout: long}
+	readRow       = message.ReadRow{CorrelationID: 7, Table: "groups", Key: "a/b c", Timeout: unreachedTimeout}
+	scanRows      = message.ScanRows{CorrelationID: 7, Table: "groups", Prefix: "a/&", Timeout: unreachedTimeout}
+	writeRows     = message.WriteRows{CorrelationID: 7, Rows: []message.Row{{Table: "t", Key: "k", Version: "1", Body: []byte("new")}}, Timeout: unreachedTimeout}
+	readObject    = message.ReadObject{CorrelationID: 7, Name: "sum", Timeout: unreachedTimeout}
+	writeObject   = message.WriteObject{CorrelationID: 7, Name: "sum", Body: []byte("body"), Timeout: unreachedTimeout}
+	listInstances = message.ListInstances{CorrelationID: 7, Timeout: unreachedTimeout}
 )
 
-func TestQuestionsAndAnswers(t *testing.T) {
+func TestRequestsAndResponses(t *testing.T) {
 	tooLarge := strings.Repeat("x", 4<<20+1)
 	unknown := message.RowsWritten{CorrelationID: 7, Err: message.PlatformUnknown}
 	refused := message.RowsWritten{CorrelationID: 7, Err: message.PlatformRefused}
@@ -89,7 +89,7 @@
 			}},
 			"GET /tables/groups?prefix=a%2F%26 ",
 		},
-		{"scan unreadable", scanRows, 200, "", `{`, message.RowsRead{CorrelationID: 7, Err: message.PlatformRefused}, "GET /tables/groups?prefix=a%2F%26 "},
+		{"scan not decodable", scanRows, 200, "", `{`, message.RowsRead{CorrelationID: 7, Err: message.PlatformRefused}, "GET /tables/groups?prefix=a%2F%26 "},
 		{
 			"write", writeRows, 200, "", `{"rows":[{"table":"t","key":"k","version":"2"}]}`,
 			message.RowsWritten{CorrelationID: 7, Rows: []message.Row{{Table: "t", Key: "k", Version: "2", Body: []byte("new")}}},
@@ -102,11 +102,11 @@
 			},
 			sentWrite,
 		},
-		{"write conflict unreadable", writeRows, 409, "", `{`, message.RowsWritten{CorrelationID: 7, Err: message.PlatformConflict}, sentWrite},
+		{"write conflict not decodable", writeRows, 409, "", `{`, message.RowsWritten{CorrelationID: 7, Err: message.PlatformConflict}, sentWrite},
 		{"write answered with other rows", writeRows, 200, "", `{"rows":[{"table":"t","key":"z","version":"2"}]}`, unknown, sentWrite},
 		{"write answered with too few rows", writeRows, 200, "", `{"rows":[]}`, unknown, sentWrite},
-		{"write unreadable", writeRows, 200, "", `{`, unknown, sentWrite},
-		{"write too large", writeRows, 200, "", tooLarge, unknown, sentWrite},
+		{"write not decodable", writeRows, 200, "", `{`, unknown, sentWrite},
+		{"write response too large", writeRows, 200, "", tooLarge, unknown, sentWrite},
 		{"write accepted only", writeRows, 202, "", ``, unknown, sentWrite},
 		{"write bad gateway", writeRows, 502, "", ``, unknown, sentWrite},
 		{"write unauthorized", writeRows, 401, "", ``, refused, sentWrite},
@@ -116,15 +116,15 @@
 		{"object", readObject, 200, "", "body", message.ObjectRead{CorrelationID: 7, Name: "sum", Body: []byte("body")}, "GET /objects/sum "},
 		{"object missing", readObject, 404, "", "", message.ObjectRead{CorrelationID: 7, Name: "sum", Err: message.PlatformNotFound}, "GET /objects/sum "},
 		{"object written", writeObject, 204, "", "", message.ObjectWritten{CorrelationID: 7, Name: "sum"}, "PUT /objects/sum body"},
-		{"object lost", writeObject, 500, "", "", message.ObjectWritten{CorrelationID: 7, Name: "sum", Err: message.PlatformUnknown}, "PUT /objects/sum body"},
+		{"object server error", writeObject, 500, "", "", message.ObjectWritten{CorrelationID: 7, Name: "sum", Err: message.PlatformUnknown}, "PUT /objects/sum body"},
 		{
-			"instances", list, 200, "", `[{"instance":"i1","zone":"lanier","peer":"127.0.0.1:7","leaving":true}]`,
+			"instances", listInstances, 200, "", `[{"instance":"i1","zone":"lanier","peer":"127.0.0.1:7","leaving":true}]`,
 			message.InstancesListed{CorrelationID: 7, Instances: []message.ListedInstance{
 				{Instance: "i1", Zone: "lanier", PeerAddress: netip.MustParseAddrPort("127.0.0.1:7"), Leaving: true},
 			}},
 			"GET /instances ",
 		},
-		{"instances unreadable", list, 200, "", `[{"peer":"here"}]`, message.InstancesListed{CorrelationID: 7, Err: message.PlatformRefused}, "GET /instances "},
+		{"instances not decodable", listInstances, 200, "", `[{"peer":"here"}]`, message.InstancesListed{CorrelationID: 7, Err: message.PlatformRefused}, "GET /instances "},
 	}
 	compare := cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })
 	for _, c := range cases {
@@ -134,7 +134,7 @@
 				body, _ := io.ReadAll(r.Body)
 				sent <- r.Method + " " + r.RequestURI + " " + string(body)
 				if r.Header.Get("Authorization") != "Bearer secret" {
-					t.Error("no token")
+					t.Error("request without the token")
 				}
 				w.Header().Set("ETag", c.etag)
 				w.Header().Set("Location", "/elsewhere")
@@ -142,9 +142,9 @@
 				_, _ = io.WriteString(w, c.body)
 			}))
 			defer server.Close()
-			edge, events := startEdge(t, platform.Options{Service: newPort(server.Listener.Addr())})
-			if !edge.HandleAction(c.action) {
-				t.Fatal("the action was not taken")
+			client, events := startClient(t, platform.Options{Service: newService(server.Listener.Addr())})
+			if !client.HandleAction(c.action) {
+				t.Fatal("the action was not handled")
 			}
 			if diff := cmp.Diff(c.want, <-events, compare); diff != "" {
 				t.Error(diff)
@@ -158,17 +158,18 @@
 
 func drain(sent chan string) []string {
 	close(sent)
-	var all []string
-	for one := range sent {
-		all = append(all, one)
+	var requests []string
+	for request := range sent {
+		requests = append(requests, request)
 	}
-	return all
+	return requests
 }
 
 // -----------------------------------------------------------------------------
-// Faults below HTTP.
+// Connection failures.
 
-// listen runs serve on each connection and counts requests read.
+// listen runs serve for each accepted connection. It returns the counter that serve
+// receives.
 func listen(t *testing.T, serve func(conn net.Conn, requests *atomic.Int32)) (net.Addr, *atomic.Int32) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -192,13 +193,14 @@
 	return listener.Addr(), &requests
 }
 
-// readWrite reads one whole request of writeRows.
+// readWrite reads a complete request of writeRows and counts it. It returns false if
+// the connection fails before the end of the request.
 func readWrite(conn net.Conn, requests *atomic.Int32) bool {
-	var got []byte
+	var received []byte
 	buffer := make([]byte, 4096)
-	for !bytes.HasSuffix(got, []byte("}]}")) {
+	for !bytes.HasSuffix(received, []byte("}]}")) {
 		n, err := conn.Read(buffer)
-		got = append(got, buffer[:n]...)
+		received = append(received, buffer[:n]...)
 		if err != nil {
 			return false
 		}
@@ -214,7 +216,7 @@
 		answer string
 		want   message.PlatformErr
 	}{
-		{"closed without an answer", "", message.PlatformUnknown},
+		{"closed without a response", "", message.PlatformUnknown},
 		{"not HTTP", "hello\r\n\r\n", message.PlatformUnknown},
 		{"closed inside the headers", "HTTP/1.1 200 OK\r\nContent-Le", message.PlatformUnknown},
 		{"closed inside the body", "HTTP/1.1 200 OK\r\nContent-Length: 50\r\n\r\n{\"rows", message.PlatformUnknown},
@@ -227,119 +229,120 @@
 					_, _ = io.WriteString(conn, c.answer)
 				}
 			})
-			edge, events := startEdge(t, platform.Options{Service: newPort(address)})
+			client, events := startClient(t, platform.Options{Service: newService(address)})
 			for range 3 {
-				edge.HandleAction(writeRows)
+				client.HandleAction(writeRows)
 				if diff := cmp.Diff(message.RowsWritten{CorrelationID: 7, Err: c.want}, <-events); diff != "" {
 					t.Error(diff)
 				}
 			}
 			if diff := cmp.Diff(int32(3), requests.Load()); diff != "" {
-				t.Errorf("requests for 3 questions: %s", diff)
+				t.Errorf("HTTP requests for 3 writes: %s", diff)
 			}
 		})
 	}
 }
 
-// A platform whose connections go silent after one answer, as when something
-// between the two ends has lost track of them.
+// Each write must use a new connection. The platform's connections become
+// unresponsive after one response, as they do if a firewall or proxy between the
+// two ends drops its state of them.
 func TestChangesDoNotUseOldConnections(t *testing.T) {
-	silent := make(chan struct{})
-	defer close(silent)
+	testDone := make(chan struct{})
+	defer close(testDone)
 	const body = `{"rows":[{"table":"t","key":"k","version":"2"}]}`
 	address, _ := listen(t, func(conn net.Conn, requests *atomic.Int32) {
 		readWrite(conn, requests)
 		_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		<-silent
+		<-testDone
 	})
-	edge, events := startEdge(t, platform.Options{Service: newPort(address)})
+	client, events := startClient(t, platform.Options{Service: newService(address)})
 	for range 3 {
-		edge.HandleAction(writeRows)
+		client.HandleAction(writeRows)
 		if diff := cmp.Diff(message.PlatformOK, (<-events).(message.RowsWritten).Err); diff != "" {
 			t.Error(diff)
 		}
 	}
 }
 
-// Two connections are kept after reads and both go silent: the first lost read
-// gives up both.
-func TestReadsLeaveSilentConnectionsTogether(t *testing.T) {
-	silent, arrived, released := make(chan struct{}), make(chan struct{}, 10), make(chan struct{})
-	defer close(silent)
+// Two connections are idle after reads, and both become unresponsive. The first
+// read that times out must close both, so that the next read succeeds.
+func TestLostReadClosesAllIdleConnections(t *testing.T) {
+	testDone, received, released := make(chan struct{}), make(chan struct{}, 10), make(chan struct{})
+	defer close(testDone)
 	address, _ := listen(t, func(conn net.Conn, _ *atomic.Int32) {
 		if _, err := http.ReadRequest(bufio.NewReader(conn)); err != nil {
 			return
 		}
-		arrived <- struct{}{}
+		received <- struct{}{}
 		<-released
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody")
-		<-silent
+		<-testDone
 	})
-	port, kept := newPort(address), make(chan error, 10)
+	service, kept := newService(address), make(chan error, 10)
 	ctx := httptrace.WithClientTrace(context.Background(), &httptrace.ClientTrace{
 		PutIdleConn: func(err error) { kept <- err },
 	})
 	for range 2 {
-		go func() { _, _ = port.ReadObject(ctx, "sum") }()
+		go func() { _, _ = service.ReadObject(ctx, "sum") }()
 	}
-	<-arrived
-	<-arrived
+	<-received
+	<-received
 	close(released)
 	if diff := cmp.Diff([]error{nil, nil}, []error{<-kept, <-kept}); diff != "" {
 		t.Fatal(diff)
 	}
-	edge, events := startEdge(t, platform.Options{Service: port})
-	lost := readObject
-	lost.Timeout = 30 * time.Millisecond
-	edge.HandleAction(lost)
+	client, events := startClient(t, platform.Options{Service: service})
+	unanswered := readObject
+	unanswered.Timeout = 30 * time.Millisecond
+	client.HandleAction(unanswered)
 	if diff := cmp.Diff(message.PlatformOK, (<-events).(message.ObjectRead).Err); diff == "" {
-		t.Error("a silent connection answered")
+		t.Error("an unresponsive connection answered")
 	}
-	edge.HandleAction(readObject)
+	client.HandleAction(readObject)
 	want := message.ObjectRead{CorrelationID: 7, Name: "sum", Body: []byte("body")}
 	if diff := cmp.Diff(want, <-events); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestNoListenerIsUnsent(t *testing.T) {
+func TestRefusedConnectionIsReportedAsUnsent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = listener.Close()
-	edge, events := startEdge(t, platform.Options{Service: newPort(listener.Addr())})
-	edge.HandleAction(writeRows)
+	client, events := startClient(t, platform.Options{Service: newService(listener.Addr())})
+	client.HandleAction(writeRows)
 	if diff := cmp.Diff(message.RowsWritten{CorrelationID: 7, Err: message.PlatformUnreachable}, <-events); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// A platform that reads the request and stays silent: whatever moment the
-// timeout hits, unsent is claimed only where the platform got nothing.
+// The platform reads the request and never responds. With increasing timeouts, a
+// write may be reported as unsent only if the platform has received no byte of it.
 func TestTimeoutNeverClaimsUnsentForWhatWasRead(t *testing.T) {
 	var mu sync.Mutex
 	read := false
-	silent := make(chan struct{})
-	defer close(silent)
+	testDone := make(chan struct{})
+	defer close(testDone)
 	address, _ := listen(t, func(conn net.Conn, _ *atomic.Int32) {
 		n, _ := conn.Read(make([]byte, 1))
 		mu.Lock()
 		read = read || n > 0
 		mu.Unlock()
-		<-silent
+		<-testDone
 	})
-	edge, events := startEdge(t, platform.Options{Service: newPort(address)})
+	client, events := startClient(t, platform.Options{Service: newService(address)})
 	for timeout := time.Microsecond; ; timeout *= 2 {
-		question := writeRows
-		question.Timeout = timeout
-		edge.HandleAction(question)
+		request := writeRows
+		request.Timeout = timeout
+		client.HandleAction(request)
 		outcome := (<-events).(message.RowsWritten).Err
 		mu.Lock()
-		seen := read
+		wasRead := read
 		mu.Unlock()
-		if seen && outcome == message.PlatformUnreachable {
-			t.Fatalf("timeout %s: claimed unsent, but the platform read it", timeout)
+		if wasRead && outcome == message.PlatformUnreachable {
+			t.Fatalf("timeout %s: reported as unsent, but the platform received it", timeout)
 		}
 		if outcome == message.PlatformUnknown {
 			return
@@ -348,81 +351,82 @@
 }
 
 // -----------------------------------------------------------------------------
-// The queue.
+// Request queue.
 
-// blockedPort counts reads at once and lets them go when released.
-type blockedPort struct {
+// blockedService blocks reads until released is closed, and signals each one on
+// entered.
+type blockedService struct {
 	platform.Service
 	entered  chan struct{}
 	released chan struct{}
 }
 
-func (p *blockedPort) ReadObject(context.Context, string) ([]byte, error) {
-	p.entered <- struct{}{}
-	<-p.released
+func (s *blockedService) ReadObject(context.Context, string) ([]byte, error) {
+	s.entered <- struct{}{}
+	<-s.released
 	return nil, nil
 }
 
 func TestQueueIsBoundedInNumberAndTime(t *testing.T) {
-	port := &blockedPort{entered: make(chan struct{}, 2000), released: make(chan struct{})}
-	edge, events := startEdge(t, platform.Options{Service: port, Concurrency: 2})
-	ask := func(ask uint64, timeout time.Duration) {
-		edge.HandleAction(message.ReadObject{CorrelationID: ask, Timeout: timeout})
+	service := &blockedService{entered: make(chan struct{}, 2000), released: make(chan struct{})}
+	client, events := startClient(t, platform.Options{Service: service, Concurrency: 2})
+	request := func(id uint64, timeout time.Duration) {
+		client.HandleAction(message.ReadObject{CorrelationID: id, Timeout: timeout})
 	}
-	ask(1, long)
-	ask(2, long)
-	<-port.entered
-	<-port.entered
-	ask(3, time.Millisecond)
+	request(1, unreachedTimeout)
+	request(2, unreachedTimeout)
+	<-service.entered
+	<-service.entered
+	request(3, time.Millisecond)
 	if diff := cmp.Diff(message.ObjectRead{CorrelationID: 3, Err: message.PlatformUnreachable}, <-events); diff != "" {
 		t.Errorf("expired in the queue: %s", diff)
 	}
 	for i := uint64(4); i < 4+1024; i++ {
-		ask(i, long)
+		request(i, unreachedTimeout)
 	}
-	ask(9999, long)
+	request(9999, unreachedTimeout)
 	if diff := cmp.Diff(message.ObjectRead{CorrelationID: 9999, Err: message.PlatformUnreachable}, <-events); diff != "" {
-		t.Errorf("one too many: %s", diff)
+		t.Errorf("request beyond the queue limit: %s", diff)
 	}
-	if diff := cmp.Diff(0, len(port.entered)); diff != "" {
-		t.Errorf("asked beyond the concurrency: %s", diff)
+	if diff := cmp.Diff(0, len(service.entered)); diff != "" {
+		t.Errorf("requests executed beyond the concurrency: %s", diff)
 	}
-	close(port.released)
+	close(service.released)
 	answered := map[uint64]message.PlatformErr{}
 	for range 2 + 1024 {
 		event := (<-events).(message.ObjectRead)
 		answered[event.CorrelationID] = event.Err
 	}
 	if diff := cmp.Diff(2+1024, len(answered)); diff != "" {
-		t.Errorf("answers: %s", diff)
+		t.Errorf("number of answers: %s", diff)
 	}
 }
 
-func TestEndAnswersAllQuestions(t *testing.T) {
-	reached, silent := make(chan struct{}), make(chan struct{})
-	defer close(silent)
+func TestShutdownAnswersAllRequests(t *testing.T) {
+	received, testDone := make(chan struct{}), make(chan struct{})
+	defer close(testDone)
 	address, _ := listen(t, func(conn net.Conn, requests *atomic.Int32) {
 		readWrite(conn, requests)
-		close(reached)
-		<-silent
+		close(received)
+		<-testDone
 	})
 	events := make(sink, 10)
-	edge := platform.NewClient(platform.Options{Service: newPort(address), Concurrency: 1}, events, logr.Discard())
+	client := platform.NewClient(platform.Options{Service: newService(address), Concurrency: 1}, events, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
-	over, err := edge.Start(ctx)
+	stopped, err := client.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	edge.HandleAction(writeRows)
-	<-reached
+	client.HandleAction(writeRows)
+	<-received
 	queued := writeRows
 	queued.CorrelationID = 8
-	edge.HandleAction(queued)
+	client.HandleAction(queued)
 	cancel()
-	<-over
+	<-stopped
 	late := writeRows
 	late.CorrelationID = 9
-	edge.HandleAction(late)
+	client.HandleAction(late)
 	want := []message.Event{
 		message.RowsWritten{CorrelationID: 7, Err: message.PlatformUnknown},
 		message.RowsWritten{CorrelationID: 8, Err: message.PlatformUnreachable},
--- a/internal/edge/platform/http.go
+++ b/internal/edge/platform/http.go
@@ -21,56 +21,58 @@
 )
 
 const (
-	// maxAnswer bounds the body of an answer, in bytes.
-	maxAnswer = 4 << 20
-	// maxHeaders bounds the headers of an answer, in bytes.
-	maxHeaders = 64 << 10
-	// maxStatusText bounds what an error repeats of an answer, in bytes.
-	maxStatusText = 200
-	// idleTimeout is how long an unused connection for reads is kept.
+	// maxResponseSize is the maximum size of a response body, in bytes.
+	maxResponseSize = 4 << 20
+	// maxHeaderSize is the maximum size of the response headers, in bytes.
+	maxHeaderSize = 64 << 10
+	// maxErrorBody is the maximum size of the part of a response body that an
+	// error contains, in bytes.
+	maxErrorBody = 200
+	// idleTimeout is the time after which an idle connection for reads is closed.
 	idleTimeout = 10 * time.Second
 )
 
 // -----------------------------------------------------------------------------
-// The client.
+// HTTP client.
 
-// HTTPOptions are the settings of an HTTPPort.
+// HTTPOptions are the settings of an HTTPService.
 type HTTPOptions struct {
-	// Address is where the platform listens.
+	// Address is the address of the platform.
 	Address netip.AddrPort
-	// TLS, where set, secures the connections.
+	// TLS, if set, is used for all connections.
 	TLS *tls.Config
-	// Token, where set, goes along as a bearer token.
+	// Token, if set, is sent as a bearer token.
 	Token string
 }
 
-// HTTPService is the platform's service over HTTP.
+// HTTPService implements Service over HTTP.
 type HTTPService struct {
-	base  string
-	token string
-	reads *http.Client
-	// writes opens a connection for each request: one left over may have
-	// been closed or gone silent, and then it can't be told whether the
-	// change was made.
-	writes *http.Client
-	idle   *http.Transport
+	baseURL    string
+	token      string
+	readClient *http.Client
+	// writeClient opens a connection for each request. A reused connection may
+	// have been closed or become unresponsive, and a request sent on it would
+	// have an unknown outcome.
+	writeClient *http.Client
+	// readTransport is the transport of readClient.
+	readTransport *http.Transport
 }
 
-// NewHTTPService returns a port to the platform's service.
+// NewHTTPService returns a client of the platform at the options' address.
 func NewHTTPService(options HTTPOptions) *HTTPService {
 	scheme := "http"
 	if options.TLS != nil {
 		scheme = "https"
 	}
-	idle := newTransport(options)
-	once := newTransport(options)
-	once.DisableKeepAlives = true
+	readTransport := newTransport(options)
+	writeTransport := newTransport(options)
+	writeTransport.DisableKeepAlives = true
 	return &HTTPService{
-		base:   scheme + "://" + options.Address.String(),
-		token:  options.Token,
-		reads:  newClient(idle),
-		writes: newClient(once),
-		idle:   idle,
+		baseURL:       scheme + "://" + options.Address.String(),
+		token:         options.Token,
+		readClient:    newClient(readTransport),
+		writeClient:   newClient(writeTransport),
+		readTransport: readTransport,
 	}
 }
 
@@ -80,12 +82,12 @@
 		TLSClientConfig:        options.TLS,
 		TLSNextProto:           map[string]func(string, *tls.Conn) http.RoundTripper{},
 		IdleConnTimeout:        idleTimeout,
-		MaxResponseHeaderBytes: maxHeaders,
+		MaxResponseHeaderBytes: maxHeaderSize,
 	}
 }
 
-// newClient returns a client that follows no redirect: that would send a
-// change a second time.
+// newClient returns a client that does not follow redirects, since a redirect could
+// send a write a second time.
 func newClient(transport *http.Transport) *http.Client {
 	return &http.Client{
 		Transport:     transport,
@@ -99,13 +101,13 @@
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	return &countedConn{Conn: conn}, nil
+	return &countingConn{Conn: conn}, nil
 }
 
 // -----------------------------------------------------------------------------
 // Rows.
 
-// wireRow is a row in JSON.
+// wireRow is the JSON form of a row.
 type wireRow struct {
 	Table   string `json:"table,omitempty"`
 	Key     string `json:"key"`
@@ -113,29 +115,29 @@
 	Body    []byte `json:"body,omitempty"`
 }
 
-// wireRows is the question and the answer of a transaction.
+// wireRows is the JSON form of the request and the response of a transaction.
 type wireRows struct {
 	Rows []wireRow `json:"rows"`
 }
 
-// ReadRow implements Port.
-func (p *HTTPService) ReadRow(ctx context.Context, table, key string) (message.Row, error) {
-	answer, err := p.read(ctx, "/tables/"+url.PathEscape(table)+"/"+url.PathEscape(key))
+// ReadRow implements Service.
+func (s *HTTPService) ReadRow(ctx context.Context, table, key string) (message.Row, error) {
+	response, err := s.read(ctx, "/tables/"+url.PathEscape(table)+"/"+url.PathEscape(key))
 	if err != nil {
 		return message.Row{}, err
 	}
-	return message.Row{Table: table, Key: key, Version: answer.version, Body: answer.body}, nil
+	return message.Row{Table: table, Key: key, Version: response.version, Body: response.body}, nil
 }
 
-// ScanRows implements Port.
-func (p *HTTPService) ScanRows(ctx context.Context, table, prefix string) ([]message.Row, error) {
-	answer, err := p.read(ctx, "/tables/"+url.PathEscape(table)+"?prefix="+url.QueryEscape(prefix))
+// ScanRows implements Service.
+func (s *HTTPService) ScanRows(ctx context.Context, table, prefix string) ([]message.Row, error) {
+	response, err := s.read(ctx, "/tables/"+url.PathEscape(table)+"?prefix="+url.QueryEscape(prefix))
 	if err != nil {
 		return nil, err
 	}
 	var listed []wireRow
-	if err := json.Unmarshal(answer.body, &listed); err != nil {
-		return nil, unreadable(message.PlatformRefused, err)
+	if err := json.Unmarshal(response.body, &listed); err != nil {
+		return nil, undecodable(message.PlatformRefused, err)
 	}
 	rows := make([]message.Row, 0, len(listed))
 	for _, row := range listed {
@@ -144,93 +146,94 @@
 	return rows, nil
 }
 
-// WriteRows implements Port.
-func (p *HTTPService) WriteRows(ctx context.Context, rows []message.Row) ([]message.Row, error) {
-	var question wireRows
+// WriteRows implements Service.
+func (s *HTTPService) WriteRows(ctx context.Context, rows []message.Row) ([]message.Row, error) {
+	var request wireRows
 	for _, row := range rows {
-		question.Rows = append(question.Rows, wireRow(row))
+		request.Rows = append(request.Rows, wireRow(row))
 	}
-	body, err := json.Marshal(question)
+	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, &OutcomeError{Outcome: message.PlatformUnreachable, Cause: errors.WithStack(err)}
 	}
-	answer, err := p.exchange(ctx, p.writes, http.MethodPost, "/transact", body)
+	response, err := s.exchange(ctx, s.writeClient, http.MethodPost, "/transact", body)
 	if err != nil {
 		return nil, err
 	}
-	switch answer.status {
+	switch response.status {
 	case http.StatusOK:
-		return readWritten(rows, answer.body)
+		return decodeWrittenRows(rows, response.body)
 	case http.StatusConflict:
-		return readConflict(answer)
+		return decodeConflict(response)
 	default:
-		return nil, writeFailure(answer)
+		return nil, writeFailure(response)
 	}
 }
 
-// readWritten reads the new versions of rows. The rows were changed, so that
-// an answer that can't be read leaves the outcome unknown.
-func readWritten(asked []message.Row, body []byte) ([]message.Row, error) {
-	var answer wireRows
-	if err := json.Unmarshal(body, &answer); err != nil {
-		return nil, unreadable(message.PlatformUnknown, err)
-	}
-	if len(answer.Rows) != len(asked) {
-		return nil, mismatch(asked, answer)
-	}
-	rows := make([]message.Row, 0, len(asked))
-	for i, row := range answer.Rows {
-		if row.Table != asked[i].Table || row.Key != asked[i].Key {
-			return nil, mismatch(asked, answer)
+// decodeWrittenRows returns the written rows with their new versions. A response
+// that cannot be decoded, or that names other rows, leaves the outcome unknown,
+// although its status reports that the rows were changed.
+func decodeWrittenRows(requested []message.Row, body []byte) ([]message.Row, error) {
+	var response wireRows
+	if err := json.Unmarshal(body, &response); err != nil {
+		return nil, undecodable(message.PlatformUnknown, err)
+	}
+	if len(response.Rows) != len(requested) {
+		return nil, rowMismatch(requested, response)
+	}
+	rows := make([]message.Row, 0, len(requested))
+	for i, row := range response.Rows {
+		if row.Table != requested[i].Table || row.Key != requested[i].Key {
+			return nil, rowMismatch(requested, response)
 		}
-		written := asked[i]
+		written := requested[i]
 		written.Version = row.Version
 		rows = append(rows, written)
 	}
 	return rows, nil
 }
 
-// readConflict reads the rows as they stand. The status alone proves that
-// nothing changed.
-func readConflict(answer answer) ([]message.Row, error) {
-	conflict := &OutcomeError{Outcome: message.PlatformConflict, Cause: answer.failure()}
-	var standing wireRows
-	if err := json.Unmarshal(answer.body, &standing); err != nil {
+// decodeConflict returns the current rows, if the body can be decoded, with the
+// error of the conflict. The status alone proves that nothing was changed.
+func decodeConflict(response httpResponse) ([]message.Row, error) {
+	conflict := &OutcomeError{Outcome: message.PlatformConflict, Cause: response.statusError()}
+	var current wireRows
+	if err := json.Unmarshal(response.body, &current); err != nil {
 		return nil, conflict
 	}
 	var rows []message.Row
-	for _, row := range standing.Rows {
+	for _, row := range current.Rows {
 		rows = append(rows, message.Row(row))
 	}
 	return rows, conflict
 }
 
-func mismatch(asked []message.Row, answer wireRows) error {
-	return unreadable(message.PlatformUnknown, &RowMismatchError{Requested: len(asked), Returned: len(answer.Rows)})
+func rowMismatch(requested []message.Row, response wireRows) error {
+	return undecodable(message.PlatformUnknown, &RowMismatchError{Requested: len(requested), Returned: len(response.Rows)})
 }
 
 // -----------------------------------------------------------------------------
 // Objects and instances.
 
-// ReadObject implements Port.
-func (p *HTTPService) ReadObject(ctx context.Context, name string) ([]byte, error) {
-	answer, err := p.read(ctx, "/objects/"+url.PathEscape(name))
-	return answer.body, err
+// ReadObject implements Service.
+func (s *HTTPService) ReadObject(ctx context.Context, name string) ([]byte, error) {
+	response, err := s.read(ctx, "/objects/"+url.PathEscape(name))
+	return response.body, err
 }
 
-// WriteObject implements Port.
-func (p *HTTPService) WriteObject(ctx context.Context, name string, body []byte) error {
-	answer, err := p.exchange(ctx, p.writes, http.MethodPut, "/objects/"+url.PathEscape(name), body)
+// WriteObject implements Service.
+func (s *HTTPService) WriteObject(ctx context.Context, name string, body []byte) error {
+	response, err := s.exchange(ctx, s.writeClient, http.MethodPut, "/objects/"+url.PathEscape(name), body)
 	if err != nil {
 		return err
 	}
-	if answer.status/100 != http.StatusOK/100 {
-		return writeFailure(answer)
+	if response.status/100 != http.StatusOK/100 {
+		return writeFailure(response)
 	}
 	return nil
 }
 
-// wireInstance is one listed instance in JSON.
+// wireInstance is the JSON form of a listed instance.
 type wireInstance struct {
 	Instance    model.InstanceID `json:"instance"`
 	Zone        model.ZoneID     `json:"zone"`
@@ -238,15 +241,15 @@
 	Leaving     bool             `json:"leaving"`
 }
 
-// ListInstances implements Port.
-func (p *HTTPService) ListInstances(ctx context.Context) ([]message.ListedInstance, error) {
-	answer, err := p.read(ctx, "/instances")
+// ListInstances implements Service.
+func (s *HTTPService) ListInstances(ctx context.Context) ([]message.ListedInstance, error) {
+	response, err := s.read(ctx, "/instances")
 	if err != nil {
 		return nil, err
 	}
 	var listed []wireInstance
-	if err := json.Unmarshal(answer.body, &listed); err != nil {
-		return nil, unreadable(message.PlatformRefused, err)
+	if err := json.Unmarshal(response.body, &listed); err != nil {
+		return nil, undecodable(message.PlatformRefused, err)
 	}
 	instances := make([]message.ListedInstance, 0, len(listed))
 	for _, instance := range listed {
@@ -258,83 +261,83 @@
 // -----------------------------------------------------------------------------
 // Requests.
 
-// answer is a whole answer of the platform.
-type answer struct {
+// httpResponse is a completely received response of the platform.
+type httpResponse struct {
 	status  int
 	version string
 	body    []byte
 }
 
-func (a answer) failure() error {
-	return &HTTPStatusError{Status: a.status, Body: string(a.body[:min(len(a.body), maxStatusText)])}
+func (r httpResponse) statusError() error {
+	return &HTTPStatusError{Status: r.status, Body: string(r.body[:min(len(r.body), maxErrorBody)])}
 }
 
-// read asks without a change.
-func (p *HTTPService) read(ctx context.Context, path string) (answer, error) {
-	got, err := p.exchange(ctx, p.reads, http.MethodGet, path, nil)
+// read sends a GET request and returns the response if its status is 200.
+func (s *HTTPService) read(ctx context.Context, path string) (httpResponse, error) {
+	response, err := s.exchange(ctx, s.readClient, http.MethodGet, path, nil)
 	if err != nil {
-		// Others among the connections kept may have gone silent like this
-		// one.
-		p.idle.CloseIdleConnections()
-		return answer{}, err
+		// Other idle connections may be unresponsive too.
+		s.readTransport.CloseIdleConnections()
+		return httpResponse{}, err
 	}
-	switch got.status {
+	switch response.status {
 	case http.StatusOK:
-		return got, nil
+		return response, nil
 	case http.StatusNotFound:
-		return answer{}, &OutcomeError{Outcome: message.PlatformNotFound, Cause: got.failure()}
+		return httpResponse{}, &OutcomeError{Outcome: message.PlatformNotFound, Cause: response.statusError()}
 	default:
-		return answer{}, &OutcomeError{Outcome: message.PlatformRefused, Cause: got.failure()}
+		return httpResponse{}, &OutcomeError{Outcome: message.PlatformRefused, Cause: response.statusError()}
 	}
 }
 
-// writeFailure tells what a status means for a change. A server error may come
-// from a gateway, with the change made behind it.
-func writeFailure(got answer) error {
+// writeFailure returns the error of a write that was answered with an unexpected
+// status. The outcome of a server error is unknown, since a gateway may return one
+// although the platform behind it made the change.
+func writeFailure(response httpResponse) error {
 	outcome := message.PlatformRefused
-	if got.status >= http.StatusInternalServerError || got.status/100 == http.StatusOK/100 {
+	if response.status >= http.StatusInternalServerError || response.status/100 == http.StatusOK/100 {
 		outcome = message.PlatformUnknown
 	}
-	return &OutcomeError{Outcome: outcome, Cause: got.failure()}
+	return &OutcomeError{Outcome: outcome, Cause: response.statusError()}
 }
 
-// exchange sends one request and reads the whole answer, whatever its status.
-func (p *HTTPService) exchange(
+// exchange sends one request and returns the complete response with any status.
+func (s *HTTPService) exchange(
 	ctx context.Context, client *http.Client, method, path string, body []byte,
-) (answer, error) {
-	var sent sending
-	request, err := p.newRequest(httptrace.WithClientTrace(ctx, sent.trace()), method, path, body)
+) (httpResponse, error) {
+	var tracker sendTracker
+	request, err := s.newRequest(httptrace.WithClientTrace(ctx, tracker.clientTrace()), method, path, body)
 	if err != nil {
-		return answer{}, &OutcomeError{Outcome: message.PlatformUnreachable, Cause: errors.WithStack(err)}
+		return httpResponse{}, &OutcomeError{Outcome: message.PlatformUnreachable, Cause: errors.WithStack(err)}
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return answer{}, &OutcomeError{Outcome: lost(&sent), Cause: errors.WithStack(err)}
+		return httpResponse{}, &OutcomeError{Outcome: outcomeWithoutResponse(&tracker), Cause: errors.WithStack(err)}
 	}
 	defer func() { _ = response.Body.Close() }()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer+1))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize+1))
 	if err != nil {
-		return answer{}, &OutcomeError{Outcome: message.PlatformUnknown, Cause: errors.WithStack(err)}
+		return httpResponse{}, &OutcomeError{Outcome: message.PlatformUnknown, Cause: errors.WithStack(err)}
 	}
-	if len(content) > maxAnswer {
-		return answer{}, &OutcomeError{Outcome: message.PlatformUnknown, Cause: &ResponseTooLargeError{Limit: maxAnswer}}
+	if len(content) > maxResponseSize {
+		return httpResponse{}, &OutcomeError{Outcome: message.PlatformUnknown, Cause: &ResponseTooLargeError{Limit: maxResponseSize}}
 	}
-	return answer{status: response.StatusCode, version: versionOf(response), body: content}, nil
+	return httpResponse{status: response.StatusCode, version: versionOf(response), body: content}, nil
 }
 
-func (p *HTTPService) newRequest(ctx context.Context, method, path string, body []byte) (*http.Request, error) {
+func (s *HTTPService) newRequest(ctx context.Context, method, path string, body []byte) (*http.Request, error) {
 	var content io.Reader
 	if method != http.MethodGet {
 		content = bytes.NewReader(body)
 	}
-	request, err := http.NewRequestWithContext(ctx, method, p.base+path, content)
+	request, err := http.NewRequestWithContext(ctx, method, s.baseURL+path, content)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	// Without it, the transport has no way to send a body a second time.
+	// Without GetBody, the transport cannot send the body a second time.
 	request.GetBody = nil
-	if p.token != "" {
-		request.Header.Set("Authorization", "Bearer "+p.token)
+	if s.token != "" {
+		request.Header.Set("Authorization", "Bearer "+s.token)
 	}
 	if method == http.MethodPost {
 		request.Header.Set("Content-Type", "application/json")
@@ -342,18 +345,19 @@
 	return request, nil
 }
 
-func lost(sent *sending) message.PlatformErr {
-	if sent.isUnsent() {
+func outcomeWithoutResponse(tracker *sendTracker) message.PlatformErr {
+	if tracker.isUnsent() {
 		return message.PlatformUnreachable
 	}
 	return message.PlatformUnknown
 }
 
-// versionOf is the row's version: the entity tag without its quotes.
+// versionOf returns the row's version: the entity tag without its quotes.
 func versionOf(response *http.Response) string {
 	return strings.Trim(strings.TrimPrefix(response.Header.Get("ETag"), "W/"), `"`)
 }
 
-func unreadable(outcome message.PlatformErr, cause error) error {
+// undecodable returns the error of a response whose body cannot be used.
+func undecodable(outcome message.PlatformErr, cause error) error {
 	return &OutcomeError{Outcome: outcome, Cause: errors.WithStack(cause)}
 }
--- a/internal/edge/platform/standin_test.go
+++ b/internal/edge/platform/standin_test.go
@@ -13,21 +13,21 @@
 )
 
 // -----------------------------------------------------------------------------
-// The stand-in platform.
+// Simulated platform.
 
-func TestRowsOfAStandIn(t *testing.T) {
+func TestRowsOfASimulatedPlatform(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	service := standin.NewPlatform(standin.Options{Listen: netip.MustParseAddrPort("127.0.0.1:0")})
-	over, err := service.Start(ctx)
+	simulated := standin.NewPlatform(standin.Options{Listen: netip.MustParseAddrPort("127.0.0.1:0")})
+	stopped, err := simulated.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { cancel(); <-over })
-	port := platform.NewHTTPService(platform.HTTPOptions{Address: service.Address()})
-	edge, events := startEdge(t, platform.Options{Service: port})
-	put := func(action message.Action) message.Event { edge.HandleAction(action); return <-events }
+	t.Cleanup(func() { cancel(); <-stopped })
+	service := platform.NewHTTPService(platform.HTTPOptions{Address: simulated.Address()})
+	client, events := startClient(t, platform.Options{Service: service})
+	perform := func(action message.Action) message.Event { client.HandleAction(action); return <-events }
 	read := func() message.Row {
-		rows := put(message.ReadRow{Table: "groups", Key: "a/b c", Timeout: long}).(message.RowsRead)
+		rows := perform(message.ReadRow{Table: "groups", Key: "a/b c", Timeout: unreachedTimeout}).(message.RowsRead)
 		if rows.Err != message.PlatformOK {
 			return message.Row{Body: []byte(rows.Err.String())}
 		}
@@ -46,7 +46,7 @@
 		{"changed", standin.FaultNone{}, false, "2", message.PlatformOK, "2"},
 		{"stale", standin.FaultNone{}, true, "3", message.PlatformConflict, "2"},
 		{"outage", standin.FaultOutage{}, false, "4", message.PlatformUnknown, "2"},
-		{"answer lost", standin.FaultDropResponse{}, false, "5", message.PlatformUnknown, "5"},
+		{"response lost", standin.FaultDropResponse{}, false, "5", message.PlatformUnknown, "5"},
 		{"read and changed again", standin.FaultNone{}, false, "6", message.PlatformOK, "6"},
 	}
 	for _, c := range cases {
@@ -55,16 +55,16 @@
 			if c.stale {
 				row.Version = "stale"
 			}
-			before := service.Stats().Writes
-			service.SetFault(c.fault)
-			written := put(message.WriteRows{Rows: []message.Row{row}, Timeout: long}).(message.RowsWritten)
+			writesBefore := simulated.Stats().Writes
+			simulated.SetFault(c.fault)
+			written := perform(message.WriteRows{Rows: []message.Row{row}, Timeout: unreachedTimeout}).(message.RowsWritten)
 			if diff := cmp.Diff(c.outcome.String(), written.Err.String()); diff != "" {
 				t.Error(diff)
 			}
-			if writes := service.Stats().Writes - before; writes > 1 {
-				t.Errorf("the platform got %d writes for one question", writes)
+			if writes := simulated.Stats().Writes - writesBefore; writes > 1 {
+				t.Errorf("the platform received %d writes for one request", writes)
 			}
-			service.SetFault(standin.FaultNone{})
+			simulated.SetFault(standin.FaultNone{})
 			stored := read()
 			if diff := cmp.Diff(c.stored, string(stored.Body)); diff != "" {
 				t.Error(diff)
@@ -77,23 +77,23 @@
 			version = stored.Version
 		})
 	}
-	scanned := put(message.ScanRows{Table: "groups", Prefix: "a/", Timeout: long}).(message.RowsRead)
+	scanned := perform(message.ScanRows{Table: "groups", Prefix: "a/", Timeout: unreachedTimeout}).(message.RowsRead)
 	if diff := cmp.Diff([]message.Row{read()}, scanned.Rows); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestObjectsAndInstancesOfAStandIn(t *testing.T) {
+func TestObjectsAndInstancesOfASimulatedPlatform(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	service := standin.NewPlatform(standin.Options{Listen: netip.MustParseAddrPort("127.0.0.1:0")})
-	over, err := service.Start(ctx)
+	simulated := standin.NewPlatform(standin.Options{Listen: netip.MustParseAddrPort("127.0.0.1:0")})
+	stopped, err := simulated.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { cancel(); <-over })
-	edge, events := startEdge(t, platform.Options{Service: platform.NewHTTPService(platform.HTTPOptions{Address: service.Address()})})
+	t.Cleanup(func() { cancel(); <-stopped })
+	client, events := startClient(t, platform.Options{Service: platform.NewHTTPService(platform.HTTPOptions{Address: simulated.Address()})})
 	peer := netip.MustParseAddrPort("127.0.0.1:7")
-	service.SetInstances([]standin.Instance{{ID: "i1", Zone: "lanier", Peer: peer, Leaving: true}})
+	simulated.SetInstances([]standin.Instance{{ID: "i1", Zone: "lanier", Peer: peer, Leaving: true}})
 	steps := []struct {
 		action message.Action
 		want   message.Event
@@ -101,13 +101,13 @@
 		{readObject, message.ObjectRead{CorrelationID: 7, Name: "sum", Err: message.PlatformNotFound}},
 		{writeObject, message.ObjectWritten{CorrelationID: 7, Name: "sum"}},
 		{readObject, message.ObjectRead{CorrelationID: 7, Name: "sum", Body: []byte("body")}},
-		{list, message.InstancesListed{CorrelationID: 7, Instances: []message.ListedInstance{
+		{listInstances, message.InstancesListed{CorrelationID: 7, Instances: []message.ListedInstance{
 			{Instance: "i1", Zone: "lanier", PeerAddress: peer, Leaving: true},
 		}}},
 	}
 	compare := cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })
 	for _, step := range steps {
-		edge.HandleAction(step.action)
+		client.HandleAction(step.action)
 		if diff := cmp.Diff(step.want, <-events, compare); diff != "" {
 			t.Error(diff)
 		}
