--- a/internal/edge/operator/client.go
+++ b/internal/edge/operator/client.go
@@ -15,87 +15,89 @@
 )
 
 const (
-	// maxAnswer bounds an instance's answer, in bytes.
-	maxAnswer = 16 << 20
-	// clientTime is the longest time of a whole request.
-	clientTime = 45 * time.Second
+	// maxResponseSize is the maximum size of a response body, in bytes.
+	maxResponseSize = 16 << 20
+	// clientTimeout is the maximum duration of a request with its response.
+	clientTimeout = 45 * time.Second
 )
 
 // -----------------------------------------------------------------------------
-// The client.
+// Client.
 
-// Client asks one instance. Its errors are *AnswerError, *SizeError, and those
-// of the connection.
+// Client sends requests of an operator to one instance. Its errors are *StatusError,
+// *ResponseTooLargeError, and those of the connection.
 type Client struct {
-	base  string
-	token string
-	http  *http.Client
+	baseURL    string
+	token      string
+	httpClient *http.Client
 }
 
-// NewClient returns a client of the instance at address. The token may be
-// empty where nothing is changed.
+// NewClient returns a client of the instance at address. The token may be empty if
+// neither Drain nor Submit is called.
 func NewClient(address netip.AddrPort, token string) *Client {
 	return &Client{
-		base:  "http://" + address.String(),
-		token: token,
-		http:  &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: clientTime},
+		baseURL:    "http://" + address.String(),
+		token:      token,
+		httpClient: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: clientTimeout},
 	}
 }
 
-// Health asks whether the instance is alive.
+// Health returns an error unless the instance responds with status 200.
 func (c *Client) Health(ctx context.Context) error {
 	_, err := c.get(ctx, "/health")
 	return err
 }
 
-// Ready asks whether the instance takes callers' work. Where it does not, the
-// error is an *AnswerError with status 503.
+// Ready returns an error if the instance does not accept callers' requests. If the
+// instance responds, the error is a *StatusError with status 503.
 func (c *Client) Ready(ctx context.Context) error {
 	_, err := c.get(ctx, "/ready")
 	return err
 }
 
-// Status returns the report on groups, databases, ranks and peers.
+// Status returns the status report on groups, databases, ranks and peers as JSON.
 func (c *Client) Status(ctx context.Context) (json.RawMessage, error) { return c.get(ctx, "/status") }
 
-// Logbook returns the promotions of a group, or of all where group is empty.
+// Logbook returns the promotion records of a group, or of all groups if group is
+// empty, as JSON.
 func (c *Client) Logbook(ctx context.Context, group string) (json.RawMessage, error) {
 	return c.get(ctx, "/logbook?group="+url.QueryEscape(group))
 }
 
-// Manifest returns the manifest in force.
+// Manifest returns the manifest in force as JSON.
 func (c *Client) Manifest(ctx context.Context) (json.RawMessage, error) {
 	return c.get(ctx, "/manifest")
 }
 
-// Vars returns the instance's counters.
+// Vars returns the instance's counters as JSON.
 func (c *Client) Vars(ctx context.Context) (json.RawMessage, error) {
 	return c.get(ctx, "/debug/vars")
 }
 
-// Drain asks the instance to finish its work and leave.
+// Drain makes the instance start draining. It returns as soon as the instance has
+// accepted the request.
 func (c *Client) Drain(ctx context.Context) error {
 	status, body, err := c.do(ctx, http.MethodPost, "/drain", "", nil)
 	if err == nil && status != http.StatusAccepted {
-		err = answerError(status, body)
+		err = newStatusError(status, body)
 	}
 	return err
 }
 
-// Submit asks for a manifest to be accepted, against the number that was
-// reviewed. The decision says how it went, also where it was not accepted; the
-// error tells that there is none.
-func (c *Client) Submit(ctx context.Context, body []byte, expected uint64, who string) (SubmissionResult, error) {
+// Submit submits body as the next manifest. expected is the number of the manifest
+// against which the change was reviewed. A rejected submission is reported by the
+// result, without an error. An error is returned if there is no result.
+func (c *Client) Submit(ctx context.Context, body []byte, expected uint64, submitter string) (SubmissionResult, error) {
 	path := "/manifest?expected=" + strconv.FormatUint(expected, 10)
-	status, answer, err := c.do(ctx, http.MethodPost, path, who, body)
+	status, response, err := c.do(ctx, http.MethodPost, path, submitter, body)
 	if err != nil {
 		return SubmissionResult{}, err
 	}
-	var decision SubmissionResult
-	if json.Unmarshal(answer, &decision) != nil || decision.Outcome == "" {
-		return SubmissionResult{}, answerError(status, answer)
+	var result SubmissionResult
+	if json.Unmarshal(response, &result) != nil || result.Outcome == "" {
+		return SubmissionResult{}, newStatusError(status, response)
 	}
-	return decision, nil
+	return result, nil
 }
 
 // -----------------------------------------------------------------------------
@@ -104,7 +106,7 @@
 func (c *Client) get(ctx context.Context, path string) (json.RawMessage, error) {
 	status, body, err := c.do(ctx, http.MethodGet, path, "", nil)
 	if err == nil && status != http.StatusOK {
-		err = answerError(status, body)
+		err = newStatusError(status, body)
 	}
 	if err != nil {
 		return nil, err
@@ -112,37 +114,37 @@
 	return body, nil
 }
 
-func (c *Client) do(ctx context.Context, method, path, who string, body []byte) (int, []byte, error) {
-	request, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+func (c *Client) do(ctx context.Context, method, path, submitter string, body []byte) (int, []byte, error) {
+	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, errors.WithStack(err)
 	}
 	if c.token != "" {
 		request.Header.Set("Authorization", "Bearer "+c.token)
 	}
-	if who != "" {
-		request.Header.Set(headerWho, who)
+	if submitter != "" {
+		request.Header.Set(submitterHeader, submitter)
 	}
-	response, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return 0, nil, errors.WithStack(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer+1))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize+1))
 	if err != nil {
 		return 0, nil, errors.WithStack(err)
 	}
-	if len(answer) > maxAnswer {
-		return 0, nil, &AnswerTooLargeError{Limit: maxAnswer}
+	if len(content) > maxResponseSize {
+		return 0, nil, &ResponseTooLargeError{Limit: maxResponseSize}
 	}
-	return response.StatusCode, answer, nil
+	return response.StatusCode, content, nil
 }
 
-// answerError reads the explanation out of an answer.
-func answerError(status int, body []byte) error {
-	var answered failure
-	if json.Unmarshal(body, &answered) != nil {
-		answered.Detail = string(bytes.TrimSpace(body))
+// newStatusError returns a *StatusError with the detail that the body contains.
+func newStatusError(status int, body []byte) error {
+	var errorBody detailBody
+	if json.Unmarshal(body, &errorBody) != nil {
+		errorBody.Detail = string(bytes.TrimSpace(body))
 	}
-	return &StatusError{Status: status, Detail: answered.Detail}
+	return &StatusError{Status: status, Detail: errorBody.Detail}
 }
--- a/internal/edge/operator/edge.go
+++ b/internal/edge/operator/edge.go
@@ -1,32 +1,34 @@
-// Package operator lets operators ask an instance and change things, over
-// HTTP. It holds the client of the command line, too.
+// Package operator is the operators' HTTP API of an instance: reports, submission of
+// manifests, and draining. It also contains the client that the command line uses.
 //
 // # What flows in and out
 //
-//	GET  /health                 alive at all
-//	GET  /ready                  200 when it takes callers' work, else 503
-//	GET  /status                 ReportRequested  -> Reported, JSON
-//	GET  /logbook?group=G        ReportRequested  -> Reported, JSON
-//	GET  /manifest               ReportRequested  -> Reported, JSON
-//	GET  /debug/vars             expvar's counters, JSON
+//	GET  /health                 200 while the process serves HTTP
+//	GET  /ready                  200 if it accepts callers' requests, else 503
+//	GET  /status                 ReportRequested -> ReportAnswered, JSON
+//	GET  /logbook?group=G        ReportRequested -> ReportAnswered, JSON
+//	GET  /manifest               ReportRequested -> ReportAnswered, JSON
+//	GET  /debug/vars             counters of expvar, JSON
 //	POST /drain                  DrainRequested
 //	POST /manifest?expected=N    ManifestSubmitted -> ManifestDecided
 //
-// A submission carries the manifest as its body and the submitter's name in
-// the header Who. Its answer is a Decision in JSON, with status 200 (accepted),
-// 400 (invalid), 409 (conflict), 503 (the platform was not reached, nothing
+// A submission carries the manifest as its body and the submitter's name in the
+// header Who. The response is a SubmissionResult in JSON, with status 200 (accepted),
+// 400 (invalid), 409 (conflict), 503 (the platform was not reached and nothing was
 // changed) or 504 (the outcome is unknown).
 //
-// Changes need the bearer token of the options, and are refused where there is
-// none. The edge binds to a loopback address unless told otherwise. Bodies,
-// headers, questions at once and all times are bounded.
+// The POST requests require the bearer token of the options, and are rejected if no
+// token is configured. The server listens on a loopback address by default. The
+// sizes of bodies and headers, the number of concurrent queries to the core, and
+// all durations are bounded.
 //
 // # Usage
 //
-//	edge := operator.NewEdge(operator.Options{Token: token, Ready: ready}, sink, log)
-//	ended, err := edge.Start(ctx)
-//	client := operator.NewClient(edge.Address(), token)
-//	decision, err := client.Submit(ctx, body, 4, "pipeline")
+//	options := operator.Options{Token: token, IsReady: isReady}
+//	server := operator.NewServer(options, sink, log)
+//	stopped, err := server.Start(ctx)
+//	client := operator.NewClient(server.Address(), token)
+//	result, err := client.Submit(ctx, body, 4, "pipeline")
 package operator
 
 import (
@@ -47,64 +49,67 @@
 )
 
 const (
-	// defaultWait is how long the core's answer is waited for.
-	defaultWait = 20 * time.Second
-	// maxAsks bounds the questions that wait for the core at once.
-	maxAsks = 64
-	// maxHeaders bounds the headers of a request, in bytes.
-	maxHeaders = 16 << 10
-	// requestTime is the longest time in which a request may arrive.
-	requestTime = 10 * time.Second
-	// answerTime is the longest time in which an answer may be taken.
-	answerTime = 10 * time.Second
-	// idleTime is how long an unused connection is kept.
-	idleTime = 30 * time.Second
-	// shutdownTime is how long answers may take to go out at the end.
-	shutdownTime = time.Second
+	// defaultAnswerTimeout is the maximum time to wait for the core's answer.
+	defaultAnswerTimeout = 20 * time.Second
+	// maxPendingQueries is the maximum number of queries that wait for the core.
+	maxPendingQueries = 64
+	// maxHeaderSize is the maximum size of the headers of a request, in bytes.
+	maxHeaderSize = 16 << 10
+	// readTimeout is the maximum duration of receiving a request.
+	readTimeout = 10 * time.Second
+	// writeTimeout is the maximum duration of sending a response.
+	writeTimeout = 10 * time.Second
+	// idleTimeout is the time after which an idle connection is closed.
+	idleTimeout = 30 * time.Second
+	// shutdownTimeout is the maximum time to finish open requests at shutdown.
+	shutdownTimeout = time.Second
 )
 
-// defaultAddress takes a free port of the loopback interface.
+// defaultAddress is a free port of the loopback interface.
 var defaultAddress = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
 
 // -----------------------------------------------------------------------------
-// The edge.
+// Server.
 
-// Options are the settings of an Edge.
+// Options are the settings of a Server.
 type Options struct {
-	// Address is where operators connect to; a free port of the loopback
-	// interface where it is zero.
+	// Address is the address on which operators are served. The zero value means
+	// a free port of the loopback interface.
 	Address netip.AddrPort
-	// Token is the bearer token of those that may change things. Without one
-	// nobody may.
+	// Token is the bearer token that POST requests require. If it is empty, all
+	// POST requests are rejected.
 	Token string
-	// IsReady tells whether the instance takes callers' work.
+	// IsReady reports whether the instance accepts callers' requests. If it is
+	// nil, the instance is reported as not ready.
 	IsReady func() bool
-	// AnswerTimeout is how long the core's answer is waited for; 0 means 20 s.
+	// AnswerTimeout is the maximum time to wait for the core's answer; 0 means
+	// 20 s.
 	AnswerTimeout time.Duration
 }
 
-// Server serves operators. NewEdge makes one.
+// Server serves the operators' HTTP API. It is created by NewServer.
 type Server struct {
 	options Options
 	sink    message.Sink
-	lines   logr.Logger
+	logger  logr.Logger
 	log     *eventlog.Writer
 
 	mu      sync.Mutex
 	address netip.AddrPort
-	// last is the number of the last question.
-	last uint64
-	// asks holds where the answer to each open question goes.
-	asks map[uint64]chan message.Action
+	// lastID is the correlation ID of the last query.
+	lastID uint64
+	// pending contains the channel for the answer to each pending query, by
+	// correlation ID.
+	pending map[uint64]chan message.Action
 }
 
-// NewServer returns an edge that posts what operators want to sink.
+// NewServer returns a server that posts operators' requests to sink.
 func NewServer(options Options, sink message.Sink, log logr.Logger) *Server {
 	if !options.Address.IsValid() {
 		options.Address = defaultAddress
 	}
 	if options.AnswerTimeout == 0 {
-		options.AnswerTimeout = defaultWait
+		options.AnswerTimeout = defaultAnswerTimeout
 	}
 	if options.IsReady == nil {
 		options.IsReady = func() bool { return false }
@@ -112,60 +117,60 @@
 	return &Server{
 		options: options,
 		sink:    sink,
-		lines:   log,
+		logger:  log,
 		log:     eventlog.NewWriter(log, eventlog.DefaultLinesPerSecond),
-		asks:    map[uint64]chan message.Action{},
+		pending: map[uint64]chan message.Action{},
 	}
 }
 
-// Start listens until ctx ends. The channel is closed when all requests have
-// ended, after an error where serving failed before.
-func (e *Server) Start(ctx context.Context) (<-chan error, error) {
+// Start listens until ctx ends. The returned channel is closed when the server has
+// stopped; if serving failed, the channel receives the error before.
+func (s *Server) Start(ctx context.Context) (<-chan error, error) {
 	var config net.ListenConfig
-	listener, err := config.Listen(ctx, "tcp", e.options.Address.String())
+	listener, err := config.Listen(ctx, "tcp", s.options.Address.String())
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	e.mu.Lock()
-	e.address = listener.Addr().(*net.TCPAddr).AddrPort()
-	e.mu.Unlock()
-	e.log.Write(time.Now(), event.OperatorListening, event.F("address", listener.Addr().String()))
-	server := e.newServer(ctx)
+	s.mu.Lock()
+	s.address = listener.Addr().(*net.TCPAddr).AddrPort()
+	s.mu.Unlock()
+	s.log.Write(time.Now(), event.OperatorListening, event.F("address", listener.Addr().String()))
+	server := s.newServer(ctx)
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(listener) }()
-	over := make(chan error, 1)
+	stopped := make(chan error, 1)
 	go func() {
-		defer close(over)
-		if err := e.supervise(ctx, server, served); err != nil {
-			over <- err
+		defer close(stopped)
+		if err := s.supervise(ctx, server, served); err != nil {
+			stopped <- err
 		}
 	}()
-	return over, nil
+	return stopped, nil
 }
 
-func (e *Server) newServer(ctx context.Context) *http.Server {
+func (s *Server) newServer(ctx context.Context) *http.Server {
 	return &http.Server{
-		Handler:           e.newHandler(),
+		Handler:           s.newHandler(),
 		BaseContext:       func(net.Listener) context.Context { return ctx },
-		ReadHeaderTimeout: requestTime,
-		ReadTimeout:       requestTime,
-		WriteTimeout:      requestTime + e.options.AnswerTimeout + answerTime,
-		IdleTimeout:       idleTime,
-		MaxHeaderBytes:    maxHeaders,
-		ErrorLog:          slog.NewLogLogger(logr.ToSlogHandler(e.lines), slog.LevelWarn),
+		ReadHeaderTimeout: readTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      readTimeout + s.options.AnswerTimeout + writeTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderSize,
+		ErrorLog:          slog.NewLogLogger(logr.ToSlogHandler(s.logger), slog.LevelWarn),
 	}
 }
 
-// supervise ends the server when ctx is over.
-func (e *Server) supervise(ctx context.Context, server *http.Server, served <-chan error) error {
+// supervise stops the server when ctx ends. It returns an error if serving failed.
+func (s *Server) supervise(ctx context.Context, server *http.Server, served <-chan error) error {
 	select {
 	case err := <-served:
 		return errors.WithStack(err)
 	case <-ctx.Done():
 	}
-	grace, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTime)
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
-	if server.Shutdown(grace) != nil {
+	if server.Shutdown(shutdownCtx) != nil {
 		_ = server.Close()
 	}
 	if err := <-served; !errors.Is(err, http.ErrServerClosed) {
@@ -174,21 +179,22 @@
 	return nil
 }
 
-// Address is where the edge listens. It is valid after Start.
-func (e *Server) Address() netip.AddrPort {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	return e.address
+// Address returns the address on which operators are served. It is valid after
+// Start.
+func (s *Server) Address() netip.AddrPort {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.address
 }
 
-// HandleAction takes an action and reports whether it is one of this edge. It never
-// blocks.
-func (e *Server) HandleAction(action message.Action) bool {
+// HandleAction handles action if it is an answer to a query, and reports whether it
+// is one. It never blocks.
+func (s *Server) HandleAction(action message.Action) bool {
 	switch a := action.(type) {
 	case message.ReportAnswered:
-		e.answer(a.CorrelationID, a)
+		s.deliverAnswer(a.CorrelationID, a)
 	case message.ManifestDecided:
-		e.answer(a.CorrelationID, a)
+		s.deliverAnswer(a.CorrelationID, a)
 	default:
 		return false
 	}
@@ -196,48 +202,51 @@
 }
 
 // -----------------------------------------------------------------------------
-// Questions to the core.
-
-// open begins a question. It reports false where too many are open.
-func (e *Server) open() (uint64, <-chan message.Action, bool) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if len(e.asks) >= maxAsks {
+// Queries to the core.
+
+// beginQuery registers a query. It returns its correlation ID and the channel for its
+// answer, or false if too many queries are pending.
+func (s *Server) beginQuery() (uint64, <-chan message.Action, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.pending) >= maxPendingQueries {
 		return 0, nil, false
 	}
-	e.last++
-	answers := make(chan message.Action, 1)
-	e.asks[e.last] = answers
-	return e.last, answers, true
+	s.lastID++
+	answer := make(chan message.Action, 1)
+	s.pending[s.lastID] = answer
+	return s.lastID, answer, true
 }
 
-// answer hands an answer to its question, if that is still open.
-func (e *Server) answer(ask uint64, action message.Action) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	if answers, found := e.asks[ask]; found {
-		delete(e.asks, ask)
-		answers <- action
+// deliverAnswer passes an answer to the query with the correlation ID id, if it is
+// still pending.
+func (s *Server) deliverAnswer(id uint64, action message.Action) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if answer, found := s.pending[id]; found {
+		delete(s.pending, id)
+		answer <- action
 	}
 }
 
-// put asks the core and waits for its answer. Without one it returns nil, and
-// whether the question was put at all.
-func (e *Server) put(ctx context.Context, question func(ask uint64) message.Event) (answer message.Action, asked bool) {
-	ask, answers, free := e.open()
-	if !free {
+// query posts an event to the core and waits for the answer. If there is none in
+// time, the answer is nil. posted tells whether the event was posted; it is not if
+// too many queries are pending.
+func (s *Server) query(ctx context.Context, newEvent func(id uint64) message.Event) (answer message.Action, posted bool) {
+	id, answered, hasRoom := s.beginQuery()
+	if !hasRoom {
 		return nil, false
 	}
-	ctx, cancel := context.WithTimeout(ctx, e.options.AnswerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.options.AnswerTimeout)
 	defer cancel()
-	e.sink.Post(question(ask))
+	s.sink.Post(newEvent(id))
 	select {
-	case answer := <-answers:
+	case answer := <-answered:
 		return answer, true
 	case <-ctx.Done():
-		e.mu.Lock()
-		defer e.mu.Unlock()
-		delete(e.asks, ask)
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		delete(s.pending, id)
 		return nil, true
 	}
 }
--- a/internal/edge/operator/edge_test.go
+++ b/internal/edge/operator/edge_test.go
@@ -19,54 +19,54 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/edge/operator"
 )
 
-// long is a time that no passing test waits for.
-const long = time.Minute
+// unreachedTimeout is a timeout that does not expire in a passing test.
+const unreachedTimeout = time.Minute
 
-// core answers questions as a test says, and keeps the events.
-type core struct {
-	edge   *operator.Server
+// fakeCore responds to events with the actions of answer, and records the events.
+type fakeCore struct {
+	server *operator.Server
 	answer func(event message.Event) []message.Action
 	events chan message.Event
 }
 
-func (c *core) Post(event message.Event) {
+func (c *fakeCore) Post(event message.Event) {
 	c.events <- event
 	for _, action := range c.answer(event) {
-		c.edge.HandleAction(action)
+		c.server.HandleAction(action)
 	}
 }
 
-func silent(message.Event) []message.Action { return nil }
+func noAnswer(message.Event) []message.Action { return nil }
 
-func start(t *testing.T, options operator.Options, answer func(message.Event) []message.Action) (*core, *operator.Client) {
+func start(t *testing.T, options operator.Options, answer func(message.Event) []message.Action) (*fakeCore, *operator.Client) {
 	t.Helper()
-	c := &core{answer: answer, events: make(chan message.Event, 1000)}
-	c.edge = operator.NewServer(options, c, logr.Discard())
+	c := &fakeCore{answer: answer, events: make(chan message.Event, 1000)}
+	c.server = operator.NewServer(options, c, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
-	over, err := c.edge.Start(ctx)
+	stopped, err := c.server.Start(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
 		cancel()
-		if err := <-over; err != nil {
+		if err := <-stopped; err != nil {
 			t.Error(err)
 		}
 	})
-	return c, operator.NewClient(c.edge.Address(), "secret")
+	return c, operator.NewClient(c.server.Address(), "secret")
 }
 
-// waiting holds what the core got, without blocking.
-func (c *core) waiting() []message.Event {
-	var all []message.Event
+// receivedEvents returns the events that were posted so far. It does not block.
+func (c *fakeCore) receivedEvents() []message.Event {
+	var events []message.Event
 	for len(c.events) > 0 {
-		all = append(all, <-c.events)
+		events = append(events, <-c.events)
 	}
-	return all
+	return events
 }
 
 // -----------------------------------------------------------------------------
-// The client against the edge.
+// Client and server.
 
 func TestSubmissions(t *testing.T) {
 	cases := []struct {
@@ -90,7 +90,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			core, client := start(t, operator.Options{Token: "secret", AnswerTimeout: long}, func(event message.Event) []message.Action {
+			core, client := start(t, operator.Options{Token: "secret", AnswerTimeout: unreachedTimeout}, func(event message.Event) []message.Action {
 				decided := c.decided
 				decided.CorrelationID = event.(message.ManifestSubmitted).CorrelationID
 				return []message.Action{message.ManifestDecided{CorrelationID: decided.CorrelationID + 1000}, decided, decided}
@@ -103,7 +103,7 @@
 				t.Error(diff)
 			}
 			want := []message.Event{message.ManifestSubmitted{CorrelationID: 1, Body: []byte("service = 'x'"), ExpectedNumber: 4, Submitter: "pipeline"}}
-			if diff := cmp.Diff(want, core.waiting()); diff != "" {
+			if diff := cmp.Diff(want, core.receivedEvents()); diff != "" {
 				t.Error(diff)
 			}
 		})
@@ -111,19 +111,19 @@
 }
 
 func TestReports(t *testing.T) {
-	core, client := start(t, operator.Options{AnswerTimeout: long}, func(event message.Event) []message.Action {
-		wanted := event.(message.ReportRequested)
-		return []message.Action{message.ReportAnswered{CorrelationID: wanted.CorrelationID, Body: map[string]any{"topic": wanted.Topic}}}
+	core, client := start(t, operator.Options{AnswerTimeout: unreachedTimeout}, func(event message.Event) []message.Action {
+		request := event.(message.ReportRequested)
+		return []message.Action{message.ReportAnswered{CorrelationID: request.CorrelationID, Body: map[string]any{"topic": request.Topic}}}
 	})
 	ctx := context.Background()
-	asks := []func() (json.RawMessage, error){
+	queries := []func() (json.RawMessage, error){
 		func() (json.RawMessage, error) { return client.Status(ctx) },
 		func() (json.RawMessage, error) { return client.Logbook(ctx, "a b&c") },
 		func() (json.RawMessage, error) { return client.Manifest(ctx) },
 	}
 	var topics []int
-	for _, ask := range asks {
-		body, err := ask()
+	for _, query := range queries {
+		body, err := query()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -141,20 +141,20 @@
 		message.ReportRequested{CorrelationID: 2, Topic: message.TopicLogbook, Group: "a b&c"},
 		message.ReportRequested{CorrelationID: 3, Topic: message.TopicManifest},
 	}
-	if diff := cmp.Diff(want, core.waiting()); diff != "" {
+	if diff := cmp.Diff(want, core.receivedEvents()); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func TestHealthReadinessDrainAndCounters(t *testing.T) {
 	ready := false
-	core, client := start(t, operator.Options{Token: "secret", IsReady: func() bool { return ready }}, silent)
+	core, client := start(t, operator.Options{Token: "secret", IsReady: func() bool { return ready }}, noAnswer)
 	ctx := context.Background()
 	if err := client.Health(ctx); err != nil {
 		t.Error(err)
 	}
-	var refused *operator.StatusError
-	if err := client.Ready(ctx); !errors.As(err, &refused) || refused.Status != http.StatusServiceUnavailable {
+	var statusErr *operator.StatusError
+	if err := client.Ready(ctx); !errors.As(err, &statusErr) || statusErr.Status != http.StatusServiceUnavailable {
 		t.Errorf("not ready: %v", err)
 	}
 	ready = true
@@ -164,7 +164,7 @@
 	if err := client.Drain(ctx); err != nil {
 		t.Error(err)
 	}
-	if diff := cmp.Diff([]message.Event{message.DrainRequested{}}, core.waiting()); diff != "" {
+	if diff := cmp.Diff([]message.Event{message.DrainRequested{}}, core.receivedEvents()); diff != "" {
 		t.Error(diff)
 	}
 	vars, err := client.Vars(ctx)
@@ -174,14 +174,14 @@
 }
 
 func TestBindsLoopbackByDefault(t *testing.T) {
-	core, _ := start(t, operator.Options{}, silent)
-	if diff := cmp.Diff(true, core.edge.Address().Addr().IsLoopback()); diff != "" {
+	core, _ := start(t, operator.Options{}, noAnswer)
+	if diff := cmp.Diff(true, core.server.Address().Addr().IsLoopback()); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // -----------------------------------------------------------------------------
-// Faulty requests, and a core that does not answer.
+// Invalid requests, and a core that does not answer.
 
 func TestFaultyRequests(t *testing.T) {
 	bearer := "Bearer secret"
@@ -193,14 +193,14 @@
 		{name: "drain without a token", method: "POST", path: "/drain", status: 401},
 		{name: "drain with another token", method: "POST", path: "/drain", authorization: "Bearer secre", status: 401},
 		{name: "drain with another scheme", method: "POST", path: "/drain", authorization: "Basic secret", status: 401},
-		{name: "drain where none may", method: "POST", path: "/drain", authorization: "Bearer ", noToken: true, status: 401},
+		{name: "drain without a configured token", method: "POST", path: "/drain", authorization: "Bearer ", noToken: true, status: 401},
 		{name: "drain by GET", method: "GET", path: "/drain", authorization: bearer, status: 405},
 		{name: "submit without a token", method: "POST", path: "/manifest?expected=1", who: "me", status: 401},
 		{name: "submit without a number", method: "POST", path: "/manifest", authorization: bearer, who: "me", status: 400},
 		{name: "submit with a bad number", method: "POST", path: "/manifest?expected=-1", authorization: bearer, who: "me", status: 400},
 		{name: "submit without a name", method: "POST", path: "/manifest?expected=1", authorization: bearer, status: 400},
 		{name: "submit with a long name", method: "POST", path: "/manifest?expected=1", authorization: bearer, who: strings.Repeat("x", 201), status: 400},
-		{name: "submit too much", method: "POST", path: "/manifest?expected=1", authorization: bearer, who: "me", body: strings.Repeat("x", 1_000_001), status: 413},
+		{name: "submit too large a manifest", method: "POST", path: "/manifest?expected=1", authorization: bearer, who: "me", body: strings.Repeat("x", 1_000_001), status: 413},
 		{name: "headers too large", method: "GET", path: "/health", who: strings.Repeat("x", 64<<10), status: 431},
 		{name: "unknown path", method: "GET", path: "/other", status: 404},
 		{name: "status by POST", method: "POST", path: "/status", authorization: bearer, status: 405},
@@ -211,8 +211,8 @@
 			if c.noToken {
 				options.Token = ""
 			}
-			core, _ := start(t, options, silent)
-			url := "http://" + core.edge.Address().String() + c.path
+			fake, _ := start(t, options, noAnswer)
+			url := "http://" + fake.server.Address().String() + c.path
 			request := httptest.NewRequest(c.method, url, strings.NewReader(c.body))
 			request.RequestURI = ""
 			request.Header.Set("Authorization", c.authorization)
@@ -226,20 +226,21 @@
 			if diff := cmp.Diff(c.status, response.StatusCode); diff != "" {
 				t.Error(diff)
 			}
-			if diff := cmp.Diff([]message.Event(nil), core.waiting()); diff != "" {
-				t.Errorf("the core got: %s", diff)
+			if diff := cmp.Diff([]message.Event(nil), fake.receivedEvents()); diff != "" {
+				t.Errorf("events posted to the core: %s", diff)
 			}
 		})
 	}
 }
 
 func TestCoreDoesNotAnswer(t *testing.T) {
-	_, client := start(t, operator.Options{Token: "secret", AnswerTimeout: time.Millisecond}, silent)
+	_, client := start(t, operator.Options{Token: "secret", AnswerTimeout: time.Millisecond}, noAnswer)
 	ctx := context.Background()
-	// More than may be open at once: each question makes room when it ends.
+	// More queries than may be pending at once: each must be removed when it times
+	// out.
 	for range 70 {
-		var refused *operator.StatusError
-		if _, err := client.Status(ctx); !errors.As(err, &refused) || refused.Status != http.StatusServiceUnavailable {
+		var statusErr *operator.StatusError
+		if _, err := client.Status(ctx); !errors.As(err, &statusErr) || statusErr.Status != http.StatusServiceUnavailable {
 			t.Fatalf("status: %v", err)
 		}
 	}
@@ -253,8 +254,8 @@
 	}
 }
 
-func TestTooManyQuestionsAreRefusedUnasked(t *testing.T) {
-	core, client := start(t, operator.Options{Token: "secret", AnswerTimeout: long}, silent)
+func TestTooManyQueriesAreRejectedWithoutPosting(t *testing.T) {
+	core, client := start(t, operator.Options{Token: "secret", AnswerTimeout: unreachedTimeout}, noAnswer)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
 	for range 64 {
@@ -274,8 +275,8 @@
 	if diff := cmp.Diff(want, decision); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]message.Event(nil), core.waiting()); diff != "" {
-		t.Errorf("the core got: %s", diff)
+	if diff := cmp.Diff([]message.Event(nil), core.receivedEvents()); diff != "" {
+		t.Errorf("events posted to the core: %s", diff)
 	}
 	cancel()
 	for range 64 {
@@ -288,6 +289,6 @@
 	address := netip.MustParseAddrPort(server.Listener.Addr().String())
 	server.Close()
 	if err := operator.NewClient(address, "").Health(context.Background()); err == nil {
-		t.Error("no error without an instance")
+		t.Error("no error although no instance listens")
 	}
 }
--- a/internal/edge/operator/errors.go
+++ b/internal/edge/operator/errors.go
@@ -6,9 +6,9 @@
 )
 
 // -----------------------------------------------------------------------------
-// Failures.
+// Errors.
 
-// StatusError is an instance's answer other than a success.
+// StatusError reports a response of an instance with an unexpected status.
 type StatusError struct {
 	// Status is the HTTP status.
 	Status int
@@ -21,13 +21,13 @@
 	return fmt.Sprintf("the instance answered %d %s: %s", e.Status, http.StatusText(e.Status), e.Detail)
 }
 
-// AnswerTooLargeError reports an answer above its bound.
-type AnswerTooLargeError struct {
-	// Limit is the bound in bytes.
+// ResponseTooLargeError reports a response body above the size limit.
+type ResponseTooLargeError struct {
+	// Limit is in bytes.
 	Limit int
 }
 
 // Error implements error.
-func (e *AnswerTooLargeError) Error() string {
-	return fmt.Sprintf("answer larger than %d bytes", e.Limit)
+func (e *ResponseTooLargeError) Error() string {
+	return fmt.Sprintf("response larger than %d bytes", e.Limit)
 }
--- a/internal/edge/operator/handler.go
+++ b/internal/edge/operator/handler.go
@@ -18,33 +18,32 @@
 )
 
 const (
-	// maxManifest bounds a submitted manifest, in bytes, so that it fits
-	// into one message between peers.
-	maxManifest = 1_000_000
-	// maxWho bounds the name of a submitter, in bytes.
-	maxWho = 200
-	// headerWho is the header with the submitter's name.
-	headerWho = "Who"
+	// maxManifestSize is the maximum size of a submitted manifest, in bytes, so
+	// that it fits into one message between peers.
+	maxManifestSize = 1_000_000
+	// maxSubmitterSize is the maximum length of a submitter's name, in bytes.
+	maxSubmitterSize = 200
+	// submitterHeader is the header with the submitter's name.
+	submitterHeader = "Who"
 )
 
-// SubmissionResult is the answer to a submission.
+// SubmissionResult is the response to a submission.
 type SubmissionResult struct {
-	// ManifestNumber is that of the manifest now accepted.
+	// ManifestNumber is the number of the latest accepted manifest.
 	ManifestNumber uint64 `json:"number"`
-	// Outcome names the outcome: "ok", "invalid", "conflict", "unavailable" or
-	// "unknown".
+	// Outcome is "ok", "invalid", "conflict", "unavailable" or "unknown".
 	Outcome string `json:"error"`
-	// Detail explains it.
+	// Detail explains the outcome.
 	Detail string `json:"detail"`
 }
 
-// failure is the answer to other requests that failed.
-type failure struct {
+// detailBody is the body of other responses that carry no report.
+type detailBody struct {
 	Detail string `json:"detail"`
 }
 
-// decisionStatus is the HTTP status of each outcome of a submission.
-var decisionStatus = map[message.SubmitErr]int{
+// submissionStatus maps each outcome of a submission to its HTTP status.
+var submissionStatus = map[message.SubmitErr]int{
 	message.SubmitOK:          http.StatusOK,
 	message.SubmitInvalid:     http.StatusBadRequest,
 	message.SubmitConflict:    http.StatusConflict,
@@ -55,139 +54,141 @@
 // -----------------------------------------------------------------------------
 // Routes.
 
-func (e *Server) newHandler() http.Handler {
+func (s *Server) newHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /health", e.health)
-	mux.HandleFunc("GET /ready", e.ready)
-	mux.HandleFunc("GET /status", e.report(message.TopicStatus))
-	mux.HandleFunc("GET /logbook", e.report(message.TopicLogbook))
-	mux.HandleFunc("GET /manifest", e.report(message.TopicManifest))
+	mux.HandleFunc("GET /health", s.health)
+	mux.HandleFunc("GET /ready", s.ready)
+	mux.HandleFunc("GET /status", s.report(message.TopicStatus))
+	mux.HandleFunc("GET /logbook", s.report(message.TopicLogbook))
+	mux.HandleFunc("GET /manifest", s.report(message.TopicManifest))
 	mux.Handle("GET /debug/vars", expvar.Handler())
-	mux.HandleFunc("POST /drain", e.authorized(e.drain))
-	mux.HandleFunc("POST /manifest", e.authorized(e.submit))
+	mux.HandleFunc("POST /drain", s.requireToken(s.drain))
+	mux.HandleFunc("POST /manifest", s.requireToken(s.submit))
 	return mux
 }
 
-func (e *Server) health(w http.ResponseWriter, _ *http.Request) {
-	reply(w, http.StatusOK, failure{Detail: "alive"})
+func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, http.StatusOK, detailBody{Detail: "alive"})
 }
 
-func (e *Server) ready(w http.ResponseWriter, _ *http.Request) {
-	if !e.options.IsReady() {
-		reply(w, http.StatusServiceUnavailable, failure{Detail: "not ready"})
+func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
+	if !s.options.IsReady() {
+		writeJSON(w, http.StatusServiceUnavailable, detailBody{Detail: "not ready"})
 		return
 	}
-	reply(w, http.StatusOK, failure{Detail: "ready"})
+	writeJSON(w, http.StatusOK, detailBody{Detail: "ready"})
 }
 
-// report returns the handler of one report.
-func (e *Server) report(topic message.ReportTopic) http.HandlerFunc {
+// report returns the handler of requests for the report on topic.
+func (s *Server) report(topic message.ReportTopic) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		group := r.URL.Query().Get("group")
-		answer, _ := e.put(r.Context(), func(ask uint64) message.Event {
-			return message.ReportRequested{CorrelationID: ask, Topic: topic, Group: group}
+		answer, _ := s.query(r.Context(), func(id uint64) message.Event {
+			return message.ReportRequested{CorrelationID: id, Topic: topic, Group: group}
 		})
-		reported, found := answer.(message.ReportAnswered)
+		report, found := answer.(message.ReportAnswered)
 		if !found {
-			reply(w, http.StatusServiceUnavailable, failure{Detail: "the instance gave no report in time"})
+			writeJSON(w, http.StatusServiceUnavailable, detailBody{Detail: "the instance gave no report in time"})
 			return
 		}
-		reply(w, http.StatusOK, reported.Body)
+		writeJSON(w, http.StatusOK, report.Body)
 	}
 }
 
-func (e *Server) drain(w http.ResponseWriter, r *http.Request) {
-	e.sink.Post(message.DrainRequested{})
-	e.note(r, http.StatusAccepted)
-	reply(w, http.StatusAccepted, failure{Detail: "draining"})
+func (s *Server) drain(w http.ResponseWriter, r *http.Request) {
+	s.sink.Post(message.DrainRequested{})
+	s.logRequest(r, http.StatusAccepted)
+	writeJSON(w, http.StatusAccepted, detailBody{Detail: "draining"})
 }
 
 // -----------------------------------------------------------------------------
 // Submissions.
 
-func (e *Server) submit(w http.ResponseWriter, r *http.Request) {
-	submitted, status, detail := readSubmission(w, r)
+func (s *Server) submit(w http.ResponseWriter, r *http.Request) {
+	submission, status, detail := readSubmission(w, r)
 	if status != http.StatusOK {
-		e.note(r, status)
-		reply(w, status, SubmissionResult{Outcome: message.SubmitInvalid.String(), Detail: detail})
+		s.logRequest(r, status)
+		writeJSON(w, status, SubmissionResult{Outcome: message.SubmitInvalid.String(), Detail: detail})
 		return
 	}
-	answer, asked := e.put(r.Context(), func(ask uint64) message.Event {
-		submitted.CorrelationID = ask
-		return submitted
+	answer, posted := s.query(r.Context(), func(id uint64) message.Event {
+		submission.CorrelationID = id
+		return submission
 	})
-	decided, found := answer.(message.ManifestDecided)
+	decision, found := answer.(message.ManifestDecided)
 	switch {
-	case !asked:
-		decided = message.ManifestDecided{Err: message.SubmitUnavailable, Detail: "too many requests wait"}
+	case !posted:
+		decision = message.ManifestDecided{Err: message.SubmitUnavailable, Detail: "too many requests wait"}
 	case !found:
-		decided = message.ManifestDecided{Err: message.SubmitUnknown, Detail: "no decision in time"}
+		decision = message.ManifestDecided{Err: message.SubmitUnknown, Detail: "no decision in time"}
 	}
-	status = decisionStatus[decided.Err]
-	e.note(r, status)
-	reply(w, status, SubmissionResult{ManifestNumber: decided.Number, Outcome: decided.Err.String(), Detail: decided.Detail})
+	status = submissionStatus[decision.Err]
+	s.logRequest(r, status)
+	writeJSON(w, status, SubmissionResult{ManifestNumber: decision.Number, Outcome: decision.Err.String(), Detail: decision.Detail})
 }
 
-// readSubmission reads a request. Its status is 200, or that of a refusal with
-// the detail.
-func readSubmission(w http.ResponseWriter, r *http.Request) (submitted message.ManifestSubmitted, status int, detail string) {
+// readSubmission reads a submission from a request. The returned status is 200, or
+// that of the rejection, which detail explains.
+func readSubmission(w http.ResponseWriter, r *http.Request) (submission message.ManifestSubmitted, status int, detail string) {
 	expected, err := strconv.ParseUint(r.URL.Query().Get("expected"), 10, 64)
 	if err != nil {
-		return submitted, http.StatusBadRequest, "expected must be the number of the manifest that was reviewed, 0 for none"
+		return submission, http.StatusBadRequest, "expected must be the number of the manifest that was reviewed, 0 for none"
 	}
-	who := r.Header.Get(headerWho)
-	if who == "" || len(who) > maxWho {
-		return submitted, http.StatusBadRequest, "the header Who must name the submitter in at most 200 bytes"
+	submitter := r.Header.Get(submitterHeader)
+	if submitter == "" || len(submitter) > maxSubmitterSize {
+		return submission, http.StatusBadRequest, "the header Who must name the submitter in at most 200 bytes"
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxManifest))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxManifestSize))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return submitted, http.StatusRequestEntityTooLarge, "a manifest has at most 1000000 bytes"
+		return submission, http.StatusRequestEntityTooLarge, "a manifest has at most 1000000 bytes"
 	case err != nil:
-		return submitted, http.StatusBadRequest, "the body could not be read"
+		return submission, http.StatusBadRequest, "the body could not be read"
 	}
-	return message.ManifestSubmitted{Body: body, ExpectedNumber: expected, Submitter: who}, http.StatusOK, ""
+	return message.ManifestSubmitted{Body: body, ExpectedNumber: expected, Submitter: submitter}, http.StatusOK, ""
 }
 
 // -----------------------------------------------------------------------------
-// All requests.
+// Helpers for all handlers.
 
-// authorized lets requests with the token pass. A browser sends no such header
-// of its own, so that other pages can't act in an operator's name.
-func (e *Server) authorized(next http.HandlerFunc) http.HandlerFunc {
+// requireToken returns a handler that rejects requests without the bearer token. This
+// also prevents cross-site request forgery, since a browser does not add the token
+// to requests on its own.
+func (s *Server) requireToken(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		token, found := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
-		if e.options.Token == "" || !found || !equal(token, e.options.Token) {
-			e.log.Write(time.Now(), event.OperatorDenied,
+		if s.options.Token == "" || !found || !constantTimeEqual(token, s.options.Token) {
+			s.log.Write(time.Now(), event.OperatorDenied,
 				event.F("method", r.Method), event.F("path", r.URL.Path), event.F("from", r.RemoteAddr))
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			reply(w, http.StatusUnauthorized, failure{Detail: "a valid bearer token is needed"})
+			writeJSON(w, http.StatusUnauthorized, detailBody{Detail: "a valid bearer token is needed"})
 			return
 		}
 		next(w, r)
 	}
 }
 
-// equal compares in a time that tells nothing of the contents.
-func equal(a, b string) bool {
+// constantTimeEqual reports whether a equals b. Its duration does not depend on how
+// much of them is equal.
+func constantTimeEqual(a, b string) bool {
 	first, second := sha256.Sum256([]byte(a)), sha256.Sum256([]byte(b))
 	return subtle.ConstantTimeCompare(first[:], second[:]) == 1
 }
 
-func (e *Server) note(r *http.Request, status int) {
-	e.log.Write(time.Now(), event.OperatorRequest,
+func (s *Server) logRequest(r *http.Request, status int) {
+	s.log.Write(time.Now(), event.OperatorRequest,
 		event.F("method", r.Method), event.F("path", r.URL.Path),
-		event.F("who", r.Header.Get(headerWho)), event.F("status", status))
+		event.F("who", r.Header.Get(submitterHeader)), event.F("status", status))
 }
 
-func reply(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	content, err := json.MarshalIndent(body, "", "  ")
 	if err != nil {
 		status, content = http.StatusInternalServerError, []byte(`{"detail": "the report can't be written as JSON"}`)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// An operator that has gone away misses the answer.
+	// A failed write means that the operator has disconnected.
 	_, _ = w.Write(append(content, '\n'))
 }
