--- a/internal/node/runner/request_test.go
+++ b/internal/node/runner/request_test.go
@@ -14,53 +14,54 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/node/runner"
 )
 
-// TestRequestsAreSteppedOnceAndOneAtATime posts the events of requests from many
-// goroutines, and lets an edge post further ones while the engine is stepped.
-func TestRequestsAreSteppedOnceAndOneAtATime(t *testing.T) {
-	const posters, each = 8, 200
-	var inside, overlaps atomic.Int32
-	seen := map[message.Event]int{}
-	whole := make(chan struct{})
+// TestRequestEventsAreSteppedOnceAndSerially guards against lost events,
+// duplicated events and concurrent steps. It posts the events of requests from
+// many goroutines, and a handler posts further ones while the engine is stepped.
+func TestRequestEventsAreSteppedOnceAndSerially(t *testing.T) {
+	const posters, requestsPerPoster = 8, 200
+	var running, overlaps atomic.Int32
+	counts := map[message.Event]int{}
+	allSeen := make(chan struct{})
 	var r *runner.Runner
-	r = runner.NewRunner(engine(func(events []message.Event) []message.Action {
-		if inside.Add(1) > 1 {
+	r = runner.NewRunner(engineFunc(func(events []message.Event) []message.Action {
+		if running.Add(1) > 1 {
 			overlaps.Add(1)
 		}
-		defer inside.Add(-1)
+		defer running.Add(-1)
 		var actions []message.Action
 		for _, incoming := range events {
-			seen[incoming]++
+			counts[incoming]++
 			if ended, ok := incoming.(message.AttemptEnded); ok {
 				actions = append(actions, message.RefuseRequest{Request: ended.Request})
 			}
 		}
-		if len(events) > 0 && len(seen) == 3*posters*each {
-			close(whole)
+		if len(events) > 0 && len(counts) == 3*posters*requestsPerPoster {
+			close(allSeen)
 		}
 		return actions
-	}), runner.Options{MaxStepInterval: long}, logr.Discard(), func(action message.Action) bool {
+	}), runner.Options{MaxStepInterval: longInterval}, logr.Discard(), func(action message.Action) bool {
 		r.Post(message.RequestCanceled{Request: action.(message.RefuseRequest).Request})
 		return true
 	})
 	ctx, cancel := context.WithCancel(context.Background())
-	over := r.Start(ctx)
-	var group sync.WaitGroup
+	done := r.Start(ctx)
+	var wg sync.WaitGroup
 	for p := range posters {
-		group.Go(func() {
-			for i := range each {
-				id := model.RequestID(p*each + i + 1)
+		wg.Go(func() {
+			for i := range requestsPerPoster {
+				id := model.RequestID(p*requestsPerPoster + i + 1)
 				r.Post(message.RequestArrived{Request: id})
 				r.Post(message.AttemptEnded{Request: id})
 			}
 		})
 	}
-	group.Wait()
-	<-whole
+	wg.Wait()
+	<-allSeen
 	cancel()
-	<-over
-	for incoming, times := range seen {
+	<-done
+	for incoming, times := range counts {
 		if times != 1 {
-			t.Errorf("%v was seen %d times", incoming, times)
+			t.Errorf("%v was stepped %d times, want 1", incoming, times)
 		}
 	}
 	if diff := cmp.Diff(int32(0), overlaps.Load()); diff != "" {
@@ -68,19 +69,20 @@
 	}
 }
 
-// TestNoStepAfterTheEnd posts the event of a request to a loop that has ended.
-func TestNoStepAfterTheEnd(t *testing.T) {
+// TestNoStepAfterTheLoopEnds checks that the event of a request, which is stepped
+// on the posting goroutine, does not step the engine after the loop has ended.
+func TestNoStepAfterTheLoopEnds(t *testing.T) {
 	var ended atomic.Bool
-	r := runner.NewRunner(engine(func([]message.Event) []message.Action {
+	r := runner.NewRunner(engineFunc(func([]message.Event) []message.Action {
 		if ended.Load() {
-			t.Error("stepped after the end")
+			t.Error("the engine was stepped after the loop ended")
 		}
 		return nil
-	}), runner.Options{MaxStepInterval: long}, logr.Discard())
+	}), runner.Options{MaxStepInterval: longInterval}, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
-	over := r.Start(ctx)
+	done := r.Start(ctx)
 	cancel()
-	<-over
+	<-done
 	ended.Store(true)
 	r.Post(message.RequestArrived{Request: 1})
 }
--- a/internal/node/runner/runner.go
+++ b/internal/node/runner/runner.go
@@ -1,22 +1,23 @@
-// Package runner owns the core: one loop that gives it what arrived and hands
-// out what it wants done.
+// Package runner runs the core engine: it passes incoming events to the engine
+// and dispatches the actions that the engine returns.
 //
 // # What flows in and out
 //
-// Events flow in by Post, from any goroutine. The loop steps the engine at
-// once with all events that wait, and at least each Options.Tick, so that its
-// timers run. The actions flow out to the attached edges, in order; Note
-// becomes a log line, and Leave ends the loop.
+// Events flow in by Post, from any goroutine. The loop steps the engine with all
+// pending events as soon as one arrives, and at least once per
+// Options.MaxStepInterval, so that the engine's timers run. The actions flow out
+// to the action handlers, in order; LogEvent becomes a log line, and Terminate
+// ends the loop.
 //
-// One goroutine at a time steps the engine: the core needs no locks, and what it
-// decides depends on the order of its events only. That is the loop's goroutine,
-// or the one that posts the event of a request while nobody else steps.
+// One goroutine at a time steps the engine: the core needs no locks, and its
+// decisions depend only on the order of its events. That goroutine is the
+// loop's, or the one that posts the event of a request while no step is running.
 //
 // # Usage
 //
 //	r := runner.NewRunner(engine, runner.Options{}, log)
-//	databases := group.NewEdge(options, r, log)
-//	r.Attach(databases.HandleAction)
+//	databases := group.NewClient(options, r, log)
+//	r.AddHandlers(databases.HandleAction)
 //	ended := r.Start(ctx)
 //	<-ended
 package runner
@@ -36,13 +37,14 @@
 )
 
 const (
-	// defaultTick is the longest time between two steps.
-	defaultTick = 5 * time.Millisecond
-	// maxKept bounds the room for events that is kept after a burst.
-	maxKept = 4096
+	// defaultMaxStepInterval is the default of Options.MaxStepInterval.
+	defaultMaxStepInterval = 5 * time.Millisecond
+	// maxRetainedEvents is the largest capacity of an event slice that is reused;
+	// a larger slice, left by a burst, is released.
+	maxRetainedEvents = 4096
 )
 
-// What the loop has done.
+// Metrics of the loop.
 var (
 	stepCount   = expvar.NewInt("runner.steps")
 	eventCount  = expvar.NewInt("runner.events")
@@ -54,50 +56,52 @@
 // -----------------------------------------------------------------------------
 // The loop.
 
-// Engine decides. Step must not keep the slice of events, which is used again.
+// Engine processes events and returns the actions to carry out. Step must not
+// retain the slice of events, because the runner reuses it.
 type Engine interface {
 	Step(now time.Time, events []message.Event) []message.Action
 }
 
-// ActionHandler takes an action and reports whether it is one that it handles. It must
-// not block.
+// ActionHandler carries out an action and reports whether it handles actions of
+// that type. It must not block.
 type ActionHandler func(action message.Action) bool
 
-// Options are the settings of a Runner. A zero value has the defaults.
+// Options configures a Runner. A zero field selects its default.
 type Options struct {
 	// MaxStepInterval is the longest time between two steps.
 	MaxStepInterval time.Duration
-	// EventLinesPerSecond is the number of log lines that one event may write in a second.
+	// EventLinesPerSecond limits the log lines that one event may write per second.
 	EventLinesPerSecond int
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
 }
 
 // Runner steps an engine. It implements message.Sink.
 type Runner struct {
-	engine  Engine
-	options Options
-	log     *eventlog.Writer
-	acts    []ActionHandler
-	left    chan struct{}
-	// wake has room for one value: events wait.
+	engine   Engine
+	options  Options
+	log      *eventlog.Writer
+	handlers []ActionHandler
+	done     chan struct{}
+	// wake has a buffer of one; a value in it tells the loop that events are
+	// pending.
 	wake chan struct{}
 
 	mu      sync.Mutex
-	waiting []message.Event
+	pending []message.Event
 
-	// stepping is held by the goroutine that steps the engine. It guards what
-	// follows.
-	stepping sync.Mutex
-	running  bool
-	// room is the room for the next events.
-	room []message.Event
+	// stepMu is held by the goroutine that steps the engine. It guards the
+	// fields below.
+	stepMu  sync.Mutex
+	running bool
+	// spare is an empty slice that receives the next pending events.
+	spare []message.Event
 }
 
-// NewRunner returns a runner of engine, with acts to hand its actions to.
-func NewRunner(engine Engine, options Options, log logr.Logger, acts ...ActionHandler) *Runner {
+// NewRunner returns a runner of engine that passes its actions to handlers.
+func NewRunner(engine Engine, options Options, log logr.Logger, handlers ...ActionHandler) *Runner {
 	if options.MaxStepInterval == 0 {
-		options.MaxStepInterval = defaultTick
+		options.MaxStepInterval = defaultMaxStepInterval
 	}
 	if options.EventLinesPerSecond == 0 {
 		options.EventLinesPerSecond = eventlog.DefaultLinesPerSecond
@@ -106,31 +110,33 @@
 		options.Now = time.Now
 	}
 	return &Runner{
-		engine:  engine,
-		options: options,
-		log:     eventlog.NewWriter(log, options.EventLinesPerSecond),
-		acts:    acts,
-		left:    make(chan struct{}),
-		wake:    make(chan struct{}, 1),
+		engine:   engine,
+		options:  options,
+		log:      eventlog.NewWriter(log, options.EventLinesPerSecond),
+		handlers: handlers,
+		done:     make(chan struct{}),
+		wake:     make(chan struct{}, 1),
 	}
 }
 
-// AddHandlers adds edges, which need the runner as their sink to be made. It must
-// be called before Start.
-func (r *Runner) AddHandlers(acts ...ActionHandler) { r.acts = append(r.acts, acts...) }
+// AddHandlers adds action handlers. Edges are added this way because they are
+// created with the runner as their sink, so the runner exists before them.
+// AddHandlers must be called before Start.
+func (r *Runner) AddHandlers(handlers ...ActionHandler) { r.handlers = append(r.handlers, handlers...) }
 
 // Post implements message.Sink. The event of a request steps the engine at once
-// on the goroutine of its session, unless another one is stepping it: that spares
-// the way to the loop's goroutine and back. Sessions hold no lock when they post.
+// on the calling session's goroutine, unless another goroutine is stepping it.
+// This saves a switch to the loop's goroutine and back. It cannot deadlock,
+// because sessions hold no lock when they post.
 func (r *Runner) Post(event message.Event) {
 	r.mu.Lock()
-	r.waiting = append(r.waiting, event)
+	r.pending = append(r.pending, event)
 	r.mu.Unlock()
-	if isOfRequest(event) && r.stepping.TryLock() {
-		began := r.running
-		r.turn()
-		r.stepping.Unlock()
-		if began {
+	if isRequestEvent(event) && r.stepMu.TryLock() {
+		wasRunning := r.running
+		r.stepPending()
+		r.stepMu.Unlock()
+		if wasRunning {
 			return
 		}
 	}
@@ -140,8 +146,8 @@
 	}
 }
 
-// isOfRequest reports whether the event is one that a caller waits for.
-func isOfRequest(event message.Event) bool {
+// isRequestEvent reports whether a caller is waiting for the effect of event.
+func isRequestEvent(event message.Event) bool {
 	switch event.(type) {
 	case message.RequestArrived, message.AttemptEnded:
 		return true
@@ -149,87 +155,88 @@
 	return false
 }
 
-// Done is closed when the core has said that the instance may end.
-func (r *Runner) Done() <-chan struct{} { return r.left }
+// Done returns a channel that is closed when the engine has returned Terminate.
+func (r *Runner) Done() <-chan struct{} { return r.done }
 
-// Start runs the loop until ctx ends or the core leaves. The channel is closed
-// at its end.
+// Start runs the loop in a new goroutine until ctx ends or the engine returns
+// Terminate. The returned channel is closed when the loop has ended.
 func (r *Runner) Start(ctx context.Context) <-chan error {
-	over := make(chan error)
+	ended := make(chan error)
 	go func() {
-		defer close(over)
+		defer close(ended)
 		r.run(ctx)
 	}()
-	return over
+	return ended
 }
 
 func (r *Runner) run(ctx context.Context) {
 	ticker := time.NewTicker(r.options.MaxStepInterval)
 	defer ticker.Stop()
-	defer r.end()
-	r.begin()
+	defer r.disableSteps()
+	r.enableSteps()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.left:
+		case <-r.done:
 			return
 		case <-r.wake:
 		case <-ticker.C:
 		}
-		r.stepping.Lock()
-		r.turn()
-		r.stepping.Unlock()
+		r.stepMu.Lock()
+		r.stepPending()
+		r.stepMu.Unlock()
 	}
 }
 
-// begin lets posting goroutines step the engine.
-func (r *Runner) begin() {
-	r.stepping.Lock()
-	defer r.stepping.Unlock()
+// enableSteps allows the loop and posting goroutines to step the engine.
+func (r *Runner) enableSteps() {
+	r.stepMu.Lock()
+	defer r.stepMu.Unlock()
 	r.running = true
 }
 
-// end waits for a step in progress and allows no further one.
-func (r *Runner) end() {
-	r.stepping.Lock()
-	defer r.stepping.Unlock()
+// disableSteps waits for a step in progress and prevents further ones.
+func (r *Runner) disableSteps() {
+	r.stepMu.Lock()
+	defer r.stepMu.Unlock()
 	r.running = false
 }
 
-// turn steps the engine with all events that wait. The caller holds stepping.
-func (r *Runner) turn() {
+// stepPending steps the engine with all pending events. The caller holds stepMu.
+func (r *Runner) stepPending() {
 	if !r.running {
 		return
 	}
-	events := r.take(r.room)
+	events := r.takePending(r.spare)
 	if r.step(events) {
 		r.running = false
-		close(r.left)
+		close(r.done)
 	}
-	r.room = recycle(events)
+	r.spare = recycle(events)
 }
 
-// take returns the events that wait and leaves room in their place.
-func (r *Runner) take(room []message.Event) []message.Event {
+// takePending returns the pending events and replaces them by empty.
+func (r *Runner) takePending(empty []message.Event) []message.Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	events := r.waiting
-	r.waiting = room
+	events := r.pending
+	r.pending = empty
 	return events
 }
 
-// recycle empties a slice of events for its next use.
+// recycle clears a slice of events for reuse. It returns nil for a slice above
+// maxRetainedEvents.
 func recycle(events []message.Event) []message.Event {
-	if cap(events) > maxKept {
+	if cap(events) > maxRetainedEvents {
 		return nil
 	}
 	clear(events)
 	return events[:0]
 }
 
-// step steps the engine and hands out its actions. It reports whether the core
-// leaves.
+// step steps the engine and dispatches its actions. It reports whether one of
+// them was Terminate.
 func (r *Runner) step(events []message.Event) bool {
 	now := r.options.Now()
 	actions := r.engine.Step(now, events)
@@ -237,47 +244,49 @@
 	eventCount.Add(int64(len(events)))
 	actionCount.Add(int64(len(actions)))
 	stepTime.Add(int64(r.options.Now().Sub(now)))
-	leaving := false
+	terminating := false
 	for _, action := range actions {
 		switch action := action.(type) {
 		case message.LogEvent:
 			r.log.Write(now, action.Event, action.Fields...)
 		case message.IncrementCounter:
-			count(action)
+			incrementCounter(action)
 		case message.Terminate:
 			r.log.Write(now, event.RunnerStopped)
-			leaving = true
+			terminating = true
 		default:
-			r.hand(now, action)
+			r.dispatch(now, action)
 		}
 	}
 	r.log.Flush(now)
-	return leaving
+	return terminating
 }
 
-// counters holds the maps that the core counts in. The core names few.
+// counters holds the expvar maps that the core increments, by name. The core
+// uses a small, fixed set of names.
 var counters = struct {
 	sync.Mutex
 	maps map[string]*expvar.Map
 }{maps: map[string]*expvar.Map{}}
 
-// count adds one to a counter of the core.
-func count(action message.IncrementCounter) {
+// incrementCounter adds one to the counter that action names.
+func incrementCounter(action message.IncrementCounter) {
 	counters.Lock()
-	counted, found := counters.maps[action.Name]
+	counter, found := counters.maps[action.Name]
 	if !found {
-		counted = expvar.NewMap(action.Name)
-		counters.maps[action.Name] = counted
+		counter = expvar.NewMap(action.Name)
+		counters.maps[action.Name] = counter
 	}
 	counters.Unlock()
-	counted.Add(action.Key, 1)
+	counter.Add(action.Key, 1)
 }
 
-// hand offers an action to every edge: some concern more than one.
-func (r *Runner) hand(now time.Time, action message.Action) {
+// dispatch passes an action to every handler, because some actions concern more
+// than one edge. An action that no handler handles is logged.
+func (r *Runner) dispatch(now time.Time, action message.Action) {
 	handled := false
-	for _, act := range r.acts {
-		if act(action) {
+	for _, handler := range r.handlers {
+		if handler(action) {
 			handled = true
 		}
 	}
--- a/internal/node/runner/runner_test.go
+++ b/internal/node/runner/runner_test.go
@@ -16,45 +16,45 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/eventlog"
 )
 
-// long is a time that no passing test waits for.
-const long = time.Hour
+// longInterval is a step interval that does not elapse during a passing test.
+const longInterval = time.Hour
 
-// engine decides by a function.
-type engine func(events []message.Event) []message.Action
+// engineFunc implements runner.Engine by a function.
+type engineFunc func(events []message.Event) []message.Action
 
-func (e engine) Step(_ time.Time, events []message.Event) []message.Action { return e(events) }
+func (e engineFunc) Step(_ time.Time, events []message.Event) []message.Action { return e(events) }
 
-func closed(session uint64) message.Event {
+func sessionClosed(session uint64) message.Event {
 	return message.SessionClosed{Session: model.SessionID(session)}
 }
 
-func TestEventsOfOneStepAreThoseThatWait(t *testing.T) {
+func TestStepReceivesAllPendingEvents(t *testing.T) {
 	batches, proceed := make(chan []message.Event), make(chan struct{})
-	r := runner.NewRunner(engine(func(events []message.Event) []message.Action {
+	r := runner.NewRunner(engineFunc(func(events []message.Event) []message.Action {
 		batches <- append([]message.Event(nil), events...)
 		<-proceed
 		return nil
-	}), runner.Options{MaxStepInterval: long}, logr.Discard())
+	}), runner.Options{MaxStepInterval: longInterval}, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
-	over := r.Start(ctx)
-	r.Post(closed(1))
-	if diff := cmp.Diff([]message.Event{closed(1)}, <-batches); diff != "" {
+	done := r.Start(ctx)
+	r.Post(sessionClosed(1))
+	if diff := cmp.Diff([]message.Event{sessionClosed(1)}, <-batches); diff != "" {
 		t.Error(diff)
 	}
-	r.Post(closed(2))
-	r.Post(closed(3))
+	r.Post(sessionClosed(2))
+	r.Post(sessionClosed(3))
 	proceed <- struct{}{}
-	if diff := cmp.Diff([]message.Event{closed(2), closed(3)}, <-batches); diff != "" {
+	if diff := cmp.Diff([]message.Event{sessionClosed(2), sessionClosed(3)}, <-batches); diff != "" {
 		t.Error(diff)
 	}
 	cancel()
 	proceed <- struct{}{}
-	<-over
+	<-done
 }
 
 func TestStepsWithoutEvents(t *testing.T) {
 	steps := make(chan int, 1)
-	r := runner.NewRunner(engine(func(events []message.Event) []message.Action {
+	r := runner.NewRunner(engineFunc(func(events []message.Event) []message.Action {
 		select {
 		case steps <- len(events):
 		default:
@@ -62,39 +62,39 @@
 		return nil
 	}), runner.Options{MaxStepInterval: time.Millisecond}, logr.Discard())
 	ctx, cancel := context.WithCancel(context.Background())
-	over := r.Start(ctx)
+	done := r.Start(ctx)
 	for range 3 {
 		if diff := cmp.Diff(0, <-steps); diff != "" {
 			t.Error(diff)
 		}
 	}
 	cancel()
-	<-over
+	<-done
 }
 
-func TestActionsReachEveryEdgeUntilLeave(t *testing.T) {
+func TestActionsReachEveryHandlerUntilTerminate(t *testing.T) {
 	var first, second []message.Action
-	note := event.Event{Number: 9981, Name: "noted"}
-	before := eventlog.Count(note.Number)
+	logged := event.Event{Number: 9981, Name: "noted"}
+	countBefore := eventlog.Count(logged.Number)
 	actions := []message.Action{
 		message.Drain{},
-		message.LogEvent{Event: note},
+		message.LogEvent{Event: logged},
 		message.SetDatabases{},
 		message.Terminate{},
 		message.SetPeers{},
 	}
-	r := runner.NewRunner(engine(func([]message.Event) []message.Action { return actions }),
-		runner.Options{MaxStepInterval: long}, logr.Discard(),
+	r := runner.NewRunner(engineFunc(func([]message.Event) []message.Action { return actions }),
+		runner.Options{MaxStepInterval: longInterval}, logr.Discard(),
 		func(a message.Action) bool { first = append(first, a); return true })
 	r.AddHandlers(func(a message.Action) bool {
 		second = append(second, a)
 		_, found := a.(message.SetDatabases)
 		return found
 	})
-	over := r.Start(context.Background())
-	r.Post(closed(1))
+	done := r.Start(context.Background())
+	r.Post(sessionClosed(1))
 	<-r.Done()
-	<-over
+	<-done
 	want := []message.Action{message.Drain{}, message.SetDatabases{}, message.SetPeers{}}
 	if diff := cmp.Diff(want, first); diff != "" {
 		t.Error(diff)
@@ -102,56 +102,56 @@
 	if diff := cmp.Diff(want, second); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(before+1, eventlog.Count(note.Number)); diff != "" {
-		t.Errorf("notes: %s", diff)
+	if diff := cmp.Diff(countBefore+1, eventlog.Count(logged.Number)); diff != "" {
+		t.Errorf("logged events: %s", diff)
 	}
 }
 
 func TestUnhandledActionIsCounted(t *testing.T) {
-	before := eventlog.Count(event.ActionUnhandled.Number)
-	r := runner.NewRunner(engine(func([]message.Event) []message.Action {
+	countBefore := eventlog.Count(event.ActionUnhandled.Number)
+	r := runner.NewRunner(engineFunc(func([]message.Event) []message.Action {
 		return []message.Action{message.Drain{}, message.Terminate{}}
-	}), runner.Options{MaxStepInterval: long}, logr.Discard(), func(message.Action) bool { return false })
-	over := r.Start(context.Background())
-	r.Post(closed(1))
-	<-over
-	if diff := cmp.Diff(before+1, eventlog.Count(event.ActionUnhandled.Number)); diff != "" {
+	}), runner.Options{MaxStepInterval: longInterval}, logr.Discard(), func(message.Action) bool { return false })
+	done := r.Start(context.Background())
+	r.Post(sessionClosed(1))
+	<-done
+	if diff := cmp.Diff(countBefore+1, eventlog.Count(event.ActionUnhandled.Number)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestNoEventIsLostOrDoubled(t *testing.T) {
-	const posters, each = 8, 2000
-	seen := map[message.Event]int{}
-	r := runner.NewRunner(engine(func(events []message.Event) []message.Action {
+func TestNoEventIsLostOrDuplicated(t *testing.T) {
+	const posters, eventsPerPoster = 8, 2000
+	counts := map[message.Event]int{}
+	r := runner.NewRunner(engineFunc(func(events []message.Event) []message.Action {
 		for _, e := range events {
-			seen[e]++
+			counts[e]++
 		}
-		if len(seen) == posters*each {
+		if len(counts) == posters*eventsPerPoster {
 			return []message.Action{message.Terminate{}}
 		}
 		return nil
 	}), runner.Options{}, logr.Discard())
-	over := r.Start(context.Background())
-	var group sync.WaitGroup
+	done := r.Start(context.Background())
+	var wg sync.WaitGroup
 	for p := range posters {
-		group.Go(func() {
-			for i := range each {
-				r.Post(closed(uint64(p*each + i)))
+		wg.Go(func() {
+			for i := range eventsPerPoster {
+				r.Post(sessionClosed(uint64(p*eventsPerPoster + i)))
 			}
 		})
 	}
-	group.Wait()
-	<-over
-	for e, times := range seen {
+	wg.Wait()
+	<-done
+	for e, times := range counts {
 		if times != 1 {
-			t.Errorf("%v was seen %d times", e, times)
+			t.Errorf("%v was stepped %d times, want 1", e, times)
 		}
 	}
 }
 
-// BenchmarkLoop measures one event from Post to an edge, alone and with many
-// waiting.
+// BenchmarkLoop measures the way of one event from Post to an action handler,
+// alone and in bursts.
 func BenchmarkLoop(b *testing.B) {
 	for _, c := range []struct {
 		name  string
@@ -160,7 +160,7 @@
 		b.Run(c.name, func(b *testing.B) {
 			handled := make(chan struct{}, c.burst)
 			actions := make([]message.Action, 0, c.burst)
-			r := runner.NewRunner(engine(func(events []message.Event) []message.Action {
+			r := runner.NewRunner(engineFunc(func(events []message.Event) []message.Action {
 				actions = actions[:0]
 				for range events {
 					actions = append(actions, message.Drain{})
@@ -168,8 +168,8 @@
 				return actions
 			}), runner.Options{}, logr.Discard(), func(message.Action) bool { handled <- struct{}{}; return true })
 			ctx, cancel := context.WithCancel(context.Background())
-			over := r.Start(ctx)
-			arrived := closed(1)
+			done := r.Start(ctx)
+			arrived := sessionClosed(1)
 			b.ReportAllocs()
 			for b.Loop() {
 				for range c.burst {
@@ -180,7 +180,7 @@
 				}
 			}
 			cancel()
-			<-over
+			<-done
 		})
 	}
 }
--- a/internal/node/serve/errors.go
+++ b/internal/node/serve/errors.go
@@ -16,7 +16,7 @@
 // Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Cause }
 
-// StopError reports that a part did not end in time.
+// StopError reports that a component did not end in time.
 type StopError struct{ Cause error }
 
 // Error implements error.
@@ -25,7 +25,7 @@
 // Unwrap returns the cause.
 func (e *StopError) Unwrap() error { return e.Cause }
 
-// ComponentError reports that a part of the process ended with an error.
+// ComponentError reports that a component of the process ended with an error.
 type ComponentError struct {
 	Component string
 	Cause     error
@@ -37,16 +37,16 @@
 // Unwrap returns the cause.
 func (e *ComponentError) Unwrap() error { return e.Cause }
 
-// InterruptedError reports that a second signal ended the process before it was
-// drained.
+// InterruptedError reports that a second signal ended the process before the
+// drain was complete.
 type InterruptedError struct{ Signal os.Signal }
 
 // Error implements error.
 func (e *InterruptedError) Error() string {
-	return fmt.Sprintf("ended at once by %s, before the drain was over", e.Signal)
+	return fmt.Sprintf("ended at once by %s, before the drain was complete", e.Signal)
 }
 
-// CertificateError reports certificates that can't be loaded.
+// CertificateError reports a certificate file that can't be loaded.
 type CertificateError struct {
 	// Path is the file.
 	Path   string
@@ -56,5 +56,5 @@
 // Error implements error.
 func (e *CertificateError) Error() string { return e.Path + ": " + e.Reason }
 
-// rootCause takes off what fx wraps around the error of a constructor.
+// rootCause returns the error of a constructor without the wrapping that fx adds.
 func rootCause(err error) error { return dig.RootCause(err) }
--- a/internal/node/serve/memory.go
+++ b/internal/node/serve/memory.go
@@ -5,16 +5,16 @@
 	"runtime/debug"
 )
 
-// collectPercent is how much the heap may grow, in percent of what is in use,
-// until garbage is collected. An instance holds little and makes much garbage,
-// 2 KB a read in the core alone, so that the runtime's own 100 costs processor
-// time for little memory.
-const collectPercent = 200
+// gcPercent is the garbage collector's target percentage: how much the heap may
+// grow beyond the live data before a collection. An instance has little live data
+// and allocates much, 2 KB per read in the core alone, so the runtime's default
+// of 100 would spend processor time to save little memory.
+const gcPercent = 200
 
-// relaxCollector lets garbage be collected less often, unless the operator has
-// chosen by the environment variable GOGC.
-func relaxCollector() {
+// setGCPercent makes garbage collections less frequent, unless the operator has
+// set the environment variable GOGC.
+func setGCPercent() {
 	if _, isChosen := os.LookupEnv("GOGC"); !isChosen {
-		debug.SetGCPercent(collectPercent)
+		debug.SetGCPercent(gcPercent)
 	}
 }
--- a/internal/node/serve/module.go
+++ b/internal/node/serve/module.go
@@ -25,32 +25,33 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/log"
 )
 
-// startLength is the number of characters that tell one start of an instance
-// from another.
-const startLength = 8
+// startIDLength is the number of characters of the identifier that distinguishes
+// one start of an instance from another.
+const startIDLength = 8
 
-// module tells fx how the parts are made and in which order they start.
+// module tells fx how to construct the components and in which order to start
+// them.
 var module = fx.Options(
 	fx.Provide(
 		newIdentity,
 		newLogger,
-		newEvents,
+		newEventWriter,
 		newEngine,
 		newRunner,
 		func(r *runner.Runner) message.Sink { return r },
 		newPool,
-		newGroupEdge,
-		newPlatformEdge,
-		newPeerEdge,
+		newGroupClient,
+		newPlatformClient,
+		newPeerTransport,
 		newReadiness,
-		newOperatorEdge,
-		newCallerEdge,
+		newOperatorServer,
+		newCallerServer,
 	),
 	fx.Invoke(register),
 )
 
-// parts are all parts of an instance.
-type parts struct {
+// components holds all components of an instance.
+type components struct {
 	fx.In
 	Pool      *database.Pool
 	Group     *group.Client
@@ -62,34 +63,35 @@
 	Caller    *caller.Server
 }
 
-// register attaches the edges to the runner and puts all parts under the
-// lifecycle, in the order in which they start.
-func register(lifecycle fx.Lifecycle, ends chan<- partEnd, p parts) {
+// register adds the edges' action handlers to the runner and registers all
+// components with the lifecycle, in the order in which they start.
+func register(lifecycle fx.Lifecycle, exits chan<- componentExit, p components) {
 	p.Runner.AddHandlers(
 		p.Caller.HandleAction, p.Pool.HandleAction, p.Group.HandleAction, p.Platform.HandleAction, p.Peer.HandleAction, p.Operator.HandleAction, p.Readiness.HandleAction,
 	)
-	supervise(lifecycle, ends, partPool, p.Pool)
-	supervise(lifecycle, ends, partGroup, p.Group)
-	supervise(lifecycle, ends, partPlatform, p.Platform)
-	supervise(lifecycle, ends, partPeer, p.Peer)
-	supervise(lifecycle, ends, partOperator, p.Operator)
-	supervise(lifecycle, ends, partRunner, looper{p.Runner})
-	supervise(lifecycle, ends, partCaller, p.Caller)
+	supervise(lifecycle, exits, componentPool, p.Pool)
+	supervise(lifecycle, exits, componentGroup, p.Group)
+	supervise(lifecycle, exits, componentPlatform, p.Platform)
+	supervise(lifecycle, exits, componentPeer, p.Peer)
+	supervise(lifecycle, exits, componentOperator, p.Operator)
+	supervise(lifecycle, exits, componentRunner, runnerComponent{p.Runner})
+	supervise(lifecycle, exits, componentCaller, p.Caller)
 }
 
 // -----------------------------------------------------------------------------
 // Identity, log, core.
 
-// identity names this start of the instance.
+// identity identifies this start of the instance.
 type identity struct {
 	instance model.InstanceID
-	start    string
+	startID  string
 }
 
-// newIdentity makes a name that no other start of any instance has.
+// newIdentity returns an identity that is unique among all starts of all
+// instances.
 func newIdentity(s *settings.Settings) identity {
-	start := uuid.NewString()[:startLength]
-	return identity{instance: model.InstanceID(s.Name + "-" + start), start: start}
+	startID := uuid.NewString()[:startIDLength]
+	return identity{instance: model.InstanceID(s.Name + "-" + startID), startID: startID}
 }
 
 func newLogger(options Options, id identity) logr.Logger {
@@ -99,7 +101,7 @@
 	})
 }
 
-func newEvents(logger logr.Logger) *eventlog.Writer {
+func newEventWriter(logger logr.Logger) *eventlog.Writer {
 	return eventlog.NewWriter(logger, eventlog.DefaultLinesPerSecond)
 }
 
@@ -109,7 +111,7 @@
 		Zone:          s.Zone,
 		PeerAddress:   s.Listen.Peers,
 		SeedAddresses: s.SeedAddresses,
-		StartID:       id.start,
+		StartID:       id.startID,
 	})
 }
 
@@ -117,11 +119,13 @@
 	return runner.NewRunner(core, runner.Options{MaxStepInterval: s.TickInterval}, logger)
 }
 
-// looper gives the runner the common shape of the parts.
-type looper struct{ runner *runner.Runner }
+// runnerComponent adapts the runner to the starter interface.
+type runnerComponent struct{ runner *runner.Runner }
 
 // Start implements starter.
-func (l looper) Start(ctx context.Context) (<-chan error, error) { return l.runner.Start(ctx), nil }
+func (l runnerComponent) Start(ctx context.Context) (<-chan error, error) {
+	return l.runner.Start(ctx), nil
+}
 
 // -----------------------------------------------------------------------------
 // Edges.
@@ -134,7 +138,7 @@
 	return database.NewPool(database.PoolOptions{User: s.Database.User, Password: password}, logger), nil
 }
 
-func newGroupEdge(s *settings.Settings, sink message.Sink, logger logr.Logger) (*group.Client, error) {
+func newGroupClient(s *settings.Settings, sink message.Sink, logger logr.Logger) (*group.Client, error) {
 	password, err := s.Database.Password.Load()
 	if err != nil {
 		return nil, err
@@ -142,7 +146,7 @@
 	return group.NewClient(group.Options{User: s.Database.User, Password: password}, sink, logger), nil
 }
 
-func newPlatformEdge(s *settings.Settings, sink message.Sink, logger logr.Logger) (*platform.Client, error) {
+func newPlatformClient(s *settings.Settings, sink message.Sink, logger logr.Logger) (*platform.Client, error) {
 	token, err := s.Platform.Token.Load()
 	if err != nil {
 		return nil, err
@@ -158,20 +162,20 @@
 	return platform.NewClient(platform.Options{Service: platform.NewHTTPService(options)}, sink, logger), nil
 }
 
-func newPeerEdge(s *settings.Settings, id identity, sink message.Sink, logger logr.Logger) (*peer.Transport, error) {
+func newPeerTransport(s *settings.Settings, id identity, sink message.Sink, logger logr.Logger) (*peer.Transport, error) {
 	key, err := s.Peer.SharedKey.Load()
 	if err != nil {
 		return nil, err
 	}
-	secure, err := peerTLS(s.Peer.TLS)
+	tlsConfig, err := peerTLS(s.Peer.TLS)
 	if err != nil {
 		return nil, err
 	}
-	options := peer.Options{Instance: id.instance, Listen: s.Listen.Peers, Key: []byte(key), TLS: secure}
+	options := peer.Options{Instance: id.instance, Listen: s.Listen.Peers, Key: []byte(key), TLS: tlsConfig}
 	return peer.NewTransport(options, sink, logger), nil
 }
 
-func newOperatorEdge(s *settings.Settings, ready *readiness, sink message.Sink, logger logr.Logger) (*operator.Server, error) {
+func newOperatorServer(s *settings.Settings, ready *readiness, sink message.Sink, logger logr.Logger) (*operator.Server, error) {
 	token, err := s.Operator.Token.Load()
 	if err != nil {
 		return nil, err
@@ -180,19 +184,19 @@
 	return operator.NewServer(options, sink, logger), nil
 }
 
-func newCallerEdge(s *settings.Settings, id identity, pool *database.Pool, sink message.Sink, logger logr.Logger) (*caller.Server, error) {
+func newCallerServer(s *settings.Settings, id identity, pool *database.Pool, sink message.Sink, logger logr.Logger) (*caller.Server, error) {
 	users, err := loadUsers(s.Caller.Users)
 	if err != nil {
 		return nil, err
 	}
-	secure, err := callerTLS(s.Caller.TLS)
+	tlsConfig, err := callerTLS(s.Caller.TLS)
 	if err != nil {
 		return nil, err
 	}
 	options := caller.Options{
 		ListenAddress:        s.Listen.Callers,
 		IdempotencyKeyPrefix: string(id.instance),
-		TLS:                  secure,
+		TLS:                  tlsConfig,
 		RequireTLS:           s.Caller.RequireTLS,
 		Users:                users,
 		Trust:                s.Caller.TrustAnyUser,
@@ -204,16 +208,16 @@
 // -----------------------------------------------------------------------------
 // Readiness.
 
-// readiness remembers whether the instance takes callers.
+// readiness stores whether the instance accepts callers.
 type readiness struct{ ready atomic.Bool }
 
 func newReadiness() *readiness { return &readiness{} }
 
-// HandleAction takes message.Readiness, and reports whether action was that.
+// HandleAction stores a message.Readiness, and reports whether action is one.
 func (r *readiness) HandleAction(action message.Action) bool {
-	told, is := action.(message.Readiness)
-	if is {
-		r.ready.Store(told.Ready)
+	change, ok := action.(message.Readiness)
+	if ok {
+		r.ready.Store(change.Ready)
 	}
-	return is
+	return ok
 }
--- a/internal/node/serve/part.go
+++ b/internal/node/serve/part.go
@@ -6,72 +6,76 @@
 	"go.uber.org/fx"
 )
 
-// maxParts bounds the number of parts.
-const maxParts = 16
+// maxComponents is an upper bound of the number of components. It is the buffer
+// size of the channel on which they report their exit.
+const maxComponents = 16
 
-// The names of the parts.
+// The names of the components, as errors and log lines show them.
 const (
-	partPool     = "database edge"
-	partGroup    = "group edge"
-	partPlatform = "platform edge"
-	partPeer     = "peer edge"
-	partOperator = "operator edge"
-	partRunner   = "runner"
-	partCaller   = "caller edge"
+	componentPool     = "database edge"
+	componentGroup    = "group edge"
+	componentPlatform = "platform edge"
+	componentPeer     = "peer edge"
+	componentOperator = "operator edge"
+	componentRunner   = "runner"
+	componentCaller   = "caller edge"
 )
 
-// starter is the common shape of all parts: Start runs the part until the
-// context ends, and the channel reports its end.
+// starter is implemented by all components. Start runs the component until ctx
+// ends; the returned channel reports how it ended.
 type starter interface {
 	Start(ctx context.Context) (<-chan error, error)
 }
 
-// partEnd tells that a part has ended; err is nil where it was asked to.
-type partEnd struct {
+// componentExit reports that a component has ended. err is nil if it ended on
+// request.
+type componentExit struct {
 	name string
 	err  error
 }
 
-// part is one part under the supervision of the lifecycle.
-type part struct {
+// component is one component that the lifecycle starts and stops.
+type component struct {
 	name   string
-	starts starter
-	ends   chan<- partEnd
+	impl   starter
+	exits  chan<- componentExit
 	cancel context.CancelFunc
-	ended  chan struct{}
+	done   chan struct{}
 }
 
-// supervise lets the lifecycle start and stop a part.
-func supervise(lifecycle fx.Lifecycle, ends chan<- partEnd, name string, starts starter) {
-	p := &part{name: name, starts: starts, ends: ends, ended: make(chan struct{})}
+// supervise registers a component with the lifecycle, which starts and stops it.
+func supervise(lifecycle fx.Lifecycle, exits chan<- componentExit, name string, impl starter) {
+	p := &component{name: name, impl: impl, exits: exits, done: make(chan struct{})}
 	lifecycle.Append(fx.Hook{OnStart: p.start, OnStop: p.stop})
 }
 
-// start starts the part under a context that outlives the start of the process.
-func (p *part) start(ctx context.Context) error {
-	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
+// start starts the component. Its context does not end with ctx, which covers
+// only the startup phase.
+func (p *component) start(ctx context.Context) error {
+	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	p.cancel = cancel
-	end, err := p.starts.Start(running)
+	exited, err := p.impl.Start(runCtx)
 	if err != nil {
 		cancel()
 		return err
 	}
-	go p.forward(end)
+	go p.reportExit(exited)
 	return nil
 }
 
-// forward reports the end of the part.
-func (p *part) forward(end <-chan error) {
-	err := <-end
-	p.ends <- partEnd{name: p.name, err: err}
-	close(p.ended)
+// reportExit waits until the component has ended and reports how.
+func (p *component) reportExit(exited <-chan error) {
+	err := <-exited
+	p.exits <- componentExit{name: p.name, err: err}
+	close(p.done)
 }
 
-// stop ends the part and waits for its report.
-func (p *part) stop(ctx context.Context) error {
+// stop cancels the component's context and waits until its exit is reported. The
+// error is a *ComponentError if ctx ends first.
+func (p *component) stop(ctx context.Context) error {
 	p.cancel()
 	select {
-	case <-p.ended:
+	case <-p.done:
 		return nil
 	case <-ctx.Done():
 		return &ComponentError{Component: p.name, Cause: ctx.Err()}
--- a/internal/node/serve/secure.go
+++ b/internal/node/serve/secure.go
@@ -11,10 +11,11 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/edge/caller"
 )
 
-// hashPrefix begins a password that is kept as a hash.
+// hashPrefix is the prefix of a password that is stored as a hash.
 const hashPrefix = "pbkdf2-sha256$"
 
-// callerTLS returns the setting for callers' connections, or nil.
+// callerTLS returns the TLS configuration for callers' connections, or nil if
+// files names no certificate.
 func callerTLS(files settings.TLSFiles) (*tls.Config, error) {
 	if !files.IsSet() {
 		return nil, nil
@@ -22,8 +23,9 @@
 	return loadTLS(files)
 }
 
-// peerTLS returns the setting for links between instances, or nil. Both ends
-// have to show a certificate of the authority.
+// peerTLS returns the TLS configuration for links between instances, or nil if
+// files names no certificate. Both ends must present a certificate that the
+// certificate authority has signed.
 func peerTLS(files settings.TLSFiles) (*tls.Config, error) {
 	if !files.IsSet() {
 		return nil, nil
@@ -38,7 +40,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return nil, &CertificateError{Path: files.CAFile, Reason: "holds no certificate"}
+		return nil, &CertificateError{Path: files.CAFile, Reason: "contains no certificate"}
 	}
 	config.RootCAs = pool
 	config.ClientCAs = pool
@@ -54,8 +56,8 @@
 	return &tls.Config{Certificates: []tls.Certificate{certificate}, MinVersion: tls.VersionTLS12}, nil
 }
 
-// loadUsers loads the passwords of those who may connect. A password may be
-// kept as its hash.
+// loadUsers loads the passwords of the users who may connect. A password may be
+// stored as its hash.
 func loadUsers(users []settings.User) (caller.Users, error) {
 	loaded := caller.Users{}
 	for _, user := range users {
--- a/internal/node/serve/serve.go
+++ b/internal/node/serve/serve.go
@@ -1,20 +1,20 @@
-// Package serve puts one instance together and runs it.
+// Package serve assembles the components of one instance and runs them.
 //
 // # What flows in and out
 //
-// Settings flow in. The parts are built by fx from them: the logger, the core's
-// engine, an edge for each protocol, and the runner that carries events to the
+// Settings flow in. From them fx builds the components: the logger, the core
+// engine, an edge for each protocol, and the runner that passes events to the
 // engine and its actions to the edges. Signals flow in: the first asks the
 // engine to drain, the second ends the process at once. Run returns when the
-// engine has left and every part has reported its end.
+// engine has terminated and every component has reported its exit.
 //
-// Parts start in the order in which they need each other and end in the reverse
-// order: the edge towards callers starts last, once the instance has somewhere
-// to send their work, and ends first.
+// Components start in the order of their dependencies and stop in the reverse
+// order: the edge towards callers starts last, when the instance can forward
+// their requests, and stops first.
 //
 // # Usage
 //
-//	err := serve.Run(ctx, serve.Options{Settings: read, Version: "0.1.0"})
+//	err := serve.Run(ctx, serve.Options{Settings: parsed, Version: "0.1.0"})
 package serve
 
 import (
@@ -32,62 +32,63 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/eventlog"
 )
 
-// stopLimit bounds the end of all parts together.
-const stopLimit = 10 * time.Second
+// stopTimeout is the time within which all components together must stop.
+const stopTimeout = 10 * time.Second
 
-// Options are what Run needs.
+// Options holds the arguments of Run.
 type Options struct {
 	Settings *settings.Settings
-	// Version goes into the log.
+	// Version is logged when the instance starts.
 	Version string
-	// Signals carries the signals that ask the process to end.
+	// Signals delivers the signals that ask the process to end.
 	Signals <-chan os.Signal
-	// LogWriter takes the log lines; nil stands for standard error.
+	// LogWriter receives the log lines; nil selects standard error.
 	LogWriter io.Writer
 }
 
-// Run runs an instance until it has drained, a part fails, a second signal
-// comes or ctx ends.
+// Run runs an instance until it has drained, a component fails, a second signal
+// arrives or ctx ends. It returns a *StartError, a *StopError, a *ComponentError
+// or an *InterruptedError, and nil after a drain or when ctx ends.
 func Run(ctx context.Context, options Options) error {
-	relaxCollector()
-	ends := make(chan partEnd, maxParts)
-	var made assembly
+	setGCPercent()
+	exits := make(chan componentExit, maxComponents)
+	var deps runDependencies
 	app := fx.New(
 		fx.NopLogger,
 		fx.Supply(options, options.Settings),
-		fx.Provide(func() chan<- partEnd { return ends }),
+		fx.Provide(func() chan<- componentExit { return exits }),
 		module,
-		fx.Populate(&made),
+		fx.Populate(&deps),
 	)
 	if err := app.Start(ctx); err != nil {
 		return &StartError{Cause: rootCause(err)}
 	}
-	made.noteStarted(options)
-	failure := made.wait(ctx, options.Signals, ends)
-	stopping, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopLimit)
+	deps.logStarted(options)
+	runErr := deps.wait(ctx, options.Signals, exits)
+	stopCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), stopTimeout)
 	defer cancel()
-	if err := app.Stop(stopping); err != nil && failure == nil {
-		failure = &StopError{Cause: err}
+	if err := app.Stop(stopCtx); err != nil && runErr == nil {
+		runErr = &StopError{Cause: err}
 	}
-	made.note(event.InstanceStopped)
-	return failure
+	deps.logEvent(event.InstanceStopped)
+	return runErr
 }
 
-// assembly is what Run itself uses of the parts.
-type assembly struct {
+// runDependencies holds the components that Run itself uses.
+type runDependencies struct {
 	fx.In
 	Sink   message.Sink
 	Log    logr.Logger
 	Events *eventlog.Writer
 }
 
-func (a *assembly) note(e event.Event, fields ...event.Field) {
+func (a *runDependencies) logEvent(e event.Event, fields ...event.Field) {
 	a.Events.Write(time.Now(), e, fields...)
 }
 
-func (a *assembly) noteStarted(options Options) {
+func (a *runDependencies) logStarted(options Options) {
 	s := options.Settings
-	a.note(event.InstanceStarted,
+	a.logEvent(event.InstanceStarted,
 		event.F("version", options.Version),
 		event.F("callers", s.Listen.Callers.String()),
 		event.F("peers", s.Listen.Peers.String()),
@@ -95,25 +96,26 @@
 		event.F("platform", s.Platform.URL.String()))
 }
 
-// wait returns when the instance shall stop: nil where it has drained.
-func (a *assembly) wait(ctx context.Context, signals <-chan os.Signal, ends <-chan partEnd) error {
+// wait returns when the instance must stop. The error is nil if the instance has
+// drained or ctx has ended.
+func (a *runDependencies) wait(ctx context.Context, signals <-chan os.Signal, exits <-chan componentExit) error {
 	draining := false
 	for {
 		select {
 		case signal := <-signals:
 			if draining {
-				a.note(event.SignalCaught, event.F("signal", signal.String()), event.F("meaning", "end at once"))
+				a.logEvent(event.SignalCaught, event.F("signal", signal.String()), event.F("meaning", "end at once"))
 				return &InterruptedError{Signal: signal}
 			}
 			draining = true
-			a.note(event.SignalCaught, event.F("signal", signal.String()), event.F("meaning", "drain"))
+			a.logEvent(event.SignalCaught, event.F("signal", signal.String()), event.F("meaning", "drain"))
 			a.Sink.Post(message.DrainRequested{})
-		case end := <-ends:
-			if end.err != nil {
-				a.note(event.PartFailed, event.F("part", end.name), event.F("error", end.err.Error()))
-				return &ComponentError{Component: end.name, Cause: end.err}
+		case exit := <-exits:
+			if exit.err != nil {
+				a.logEvent(event.PartFailed, event.F("part", exit.name), event.F("error", exit.err.Error()))
+				return &ComponentError{Component: exit.name, Cause: exit.err}
 			}
-			if end.name == partRunner {
+			if exit.name == componentRunner {
 				return nil
 			}
 		case <-ctx.Done():
--- a/internal/node/serve/serve_test.go
+++ b/internal/node/serve/serve_test.go
@@ -24,33 +24,34 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/platform"
 )
 
-// testLimit bounds a test that hangs; no verdict depends on it.
-const testLimit = 60 * time.Second
+// testTimeout ends a test that hangs. The result of a passing test does not
+// depend on it.
+const testTimeout = 60 * time.Second
 
 // testSecret is the operators' token, the key between instances, and the
 // password of the databases.
 const testSecret = "a secret of this test"
 
-// fixture is an instance before a stand-in platform and three databases.
+// fixture is an instance with a simulated platform and three simulated databases.
 type fixture struct {
 	settings *settings.Settings
 	signals  chan os.Signal
-	ended    chan error
+	runErr   chan error
 	manifest string
 }
 
 func newFixture(t *testing.T) (*fixture, context.Context) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), testLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
-	shop := platform.NewPlatform(platform.Options{Listen: loopback(t)})
-	ended, err := shop.Start(ctx)
-	await(t, ended, err)
-	secret := filepath.Join(t.TempDir(), "secret")
-	if err := os.WriteFile(secret, []byte(testSecret), 0o600); err != nil {
+	simulated := platform.NewPlatform(platform.Options{Listen: freeLoopbackAddress(t)})
+	ended, err := simulated.Start(ctx)
+	requireStarted(t, ended, err)
+	secretPath := filepath.Join(t.TempDir(), "secret")
+	if err := os.WriteFile(secretPath, []byte(testSecret), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	text := fmt.Sprintf(`name = "a"
+	settingsText := fmt.Sprintf(`name = "a"
 zone = "z"
 listen = { callers = %q, peers = %q, operators = %q }
 platform = { url = "http://%s" }
@@ -58,21 +59,21 @@
 operator = { token = "file:%s" }
 database = { password = "file:%s" }
 caller = { trust = true }
-`, loopback(t), loopback(t), loopback(t), shop.Address(), secret, secret, secret)
-	read, err := settings.Parse([]byte(text))
+`, freeLoopbackAddress(t), freeLoopbackAddress(t), freeLoopbackAddress(t), simulated.Address(), secretPath, secretPath, secretPath)
+	parsed, err := settings.Parse([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return &fixture{
-		settings: read,
+		settings: parsed,
 		signals:  make(chan os.Signal, 2),
-		ended:    make(chan error, 1),
+		runErr:   make(chan error, 1),
 		manifest: startDatabases(ctx, t),
 	}, ctx
 }
 
-// loopback returns an address that nothing listens on now.
-func loopback(t *testing.T) netip.AddrPort {
+// freeLoopbackAddress returns a loopback address whose port is currently unused.
+func freeLoopbackAddress(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,7 +83,7 @@
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-func await(t *testing.T, ended <-chan error, err error) {
+func requireStarted(t *testing.T, ended <-chan error, err error) {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -104,11 +105,11 @@
 		name := fmt.Sprintf("ratings-%d", i)
 		db := database.NewDatabase(database.Options{
 			Name: model.DatabaseID(name), Group: "ratings", Zone: "z",
-			Listen: loopback(t), AdminListen: loopback(t), Slots: 3, Connections: 20,
+			Listen: freeLoopbackAddress(t), AdminListen: freeLoopbackAddress(t), Slots: 3, Connections: 20,
 			Primary: i == 0, Term: 1, Source: source, Password: testSecret,
 		})
 		ended, err := db.Start(ctx)
-		await(t, ended, err)
+		requireStarted(t, ended, err)
 		if i == 0 {
 			source = db.Address()
 		}
@@ -119,12 +120,12 @@
 
 func (f *fixture) run(ctx context.Context) {
 	go func() {
-		f.ended <- Run(ctx, Options{Settings: f.settings, Signals: f.signals, LogWriter: io.Discard})
+		f.runErr <- Run(ctx, Options{Settings: f.settings, Signals: f.signals, LogWriter: io.Discard})
 	}()
 }
 
-// serveManifest submits the manifest and waits until the instance is ready.
-func (f *fixture) serveManifest(ctx context.Context, t *testing.T) {
+// submitManifest submits the manifest and waits until the instance is ready.
+func (f *fixture) submitManifest(ctx context.Context, t *testing.T) {
 	t.Helper()
 	client := operator.NewClient(f.settings.Listen.Operators, testSecret)
 	retry(ctx, t, func() error {
@@ -137,19 +138,19 @@
 	retry(ctx, t, func() error { return client.Ready(ctx) })
 }
 
-func retry(ctx context.Context, t *testing.T, step func() error) {
+func retry(ctx context.Context, t *testing.T, attempt func() error) {
 	t.Helper()
 	ticker := time.NewTicker(10 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		err := step()
+		err := attempt()
 		if err == nil {
 			return
 		}
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
-			t.Fatalf("gave up: %v", err)
+			t.Fatalf("timed out, last error: %v", err)
 		}
 	}
 }
@@ -169,7 +170,7 @@
 func TestRunServesAndDrains(t *testing.T) {
 	f, ctx := newFixture(t)
 	f.run(ctx)
-	f.serveManifest(ctx, t)
+	f.submitManifest(ctx, t)
 	conn := f.connect(ctx, t)
 	tx, err := conn.Begin(ctx)
 	if err != nil {
@@ -186,19 +187,19 @@
 		}
 		return nil
 	})
-	// The transaction that was open when the drain began goes on to its end.
+	// The transaction was open when the drain began, so it may still commit.
 	if err := tx.Commit(ctx); err != nil {
 		t.Fatalf("commit during the drain: %v", err)
 	}
-	if err := <-f.ended; err != nil {
-		t.Fatalf("Run = %v, want the end of a drain", err)
+	if err := <-f.runErr; err != nil {
+		t.Fatalf("Run = %v, want nil after the drain", err)
 	}
 }
 
 func TestSecondSignalEndsAtOnce(t *testing.T) {
 	f, ctx := newFixture(t)
 	f.run(ctx)
-	f.serveManifest(ctx, t)
+	f.submitManifest(ctx, t)
 	conn := f.connect(ctx, t)
 	if _, err := conn.Begin(ctx); err != nil {
 		t.Fatal(err)
@@ -206,7 +207,7 @@
 	f.signals <- syscall.SIGTERM
 	f.signals <- syscall.SIGINT
 	var interrupted *InterruptedError
-	if err := <-f.ended; !errors.As(err, &interrupted) {
+	if err := <-f.runErr; !errors.As(err, &interrupted) {
 		t.Fatalf("Run = %v, want an *InterruptedError", err)
 	}
 	if diff := cmp.Diff(syscall.SIGINT, interrupted.Signal); diff != "" {
@@ -215,15 +216,15 @@
 }
 
 // -----------------------------------------------------------------------------
-// Starts that fail.
+// Failures to start.
 
 func TestStartFailures(t *testing.T) {
 	cases := map[string]struct {
-		spoil func(t *testing.T, s *settings.Settings)
-		want  string
+		misconfigure func(t *testing.T, s *settings.Settings)
+		want         string
 	}{
 		"address in use": {
-			spoil: func(t *testing.T, s *settings.Settings) {
+			misconfigure: func(t *testing.T, s *settings.Settings) {
 				listener, err := net.Listen("tcp", s.Listen.Callers.String())
 				if err != nil {
 					t.Fatal(err)
@@ -233,13 +234,13 @@
 			want: "address already in use",
 		},
 		"no secret": {
-			spoil: func(_ *testing.T, s *settings.Settings) {
+			misconfigure: func(_ *testing.T, s *settings.Settings) {
 				s.Peer.SharedKey, _ = settings.ParseSecretReference("env:SECRET_OF_NOBODY")
 			},
 			want: "secret env:SECRET_OF_NOBODY: is empty",
 		},
 		"no certificate": {
-			spoil: func(_ *testing.T, s *settings.Settings) {
+			misconfigure: func(_ *testing.T, s *settings.Settings) {
 				s.Caller.TLS = settings.TLSFiles{CertificateFile: "absent.pem", PrivateKeyFile: "absent.key"}
 			},
 			want: "absent.pem",
@@ -248,7 +249,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			f, ctx := newFixture(t)
-			c.spoil(t, f.settings)
+			c.misconfigure(t, f.settings)
 			err := Run(ctx, Options{Settings: f.settings, Signals: f.signals, LogWriter: io.Discard})
 			var start *StartError
 			if !errors.As(err, &start) || !strings.Contains(err.Error(), c.want) {
