--- a/internal/report/eventlog/sparing_test.go
+++ b/internal/report/eventlog/sparing_test.go
@@ -13,7 +13,8 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/log"
 )
 
-// Routine lines are left out before those that warn.
+// TestSparingWriterKeepsWarnings checks that, in a flood, the lines of routine
+// events are omitted before those of warnings.
 func TestSparingWriterKeepsWarnings(t *testing.T) {
 	var out bytes.Buffer
 	writer := eventlog.NewWriterWithLimits(log.NewLogger(log.Options{Level: event.LevelInfo, Writer: &out}), 2, 5)
--- a/internal/report/eventlog/writer.go
+++ b/internal/report/eventlog/writer.go
@@ -7,13 +7,13 @@
 // "events" counts every event by its number, whether or not its line was
 // written.
 //
-// A flood of one event must not drown the others or slow the process, so each
-// event has a limit of lines a second. What was left out is told by one line
-// (lines-left-out) in the next second.
+// Frequent occurrences of one event must not hide the others or slow the process,
+// so each event has a limit of lines per second. One line (lines-left-out) in the
+// next second reports how many lines were omitted.
 //
 // # Usage
 //
-//	writer := eventlog.NewWriter(log, eventlog.DefaultLimit)
+//	writer := eventlog.NewWriter(log, eventlog.DefaultLinesPerSecond)
 //	writer.Write(time.Now(), event.PeerLinked, event.F("peer", id))
 package eventlog
 
@@ -30,139 +30,144 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// DefaultLinesPerSecond is the number of lines that one event may write in one second.
+// DefaultLinesPerSecond is the default limit of lines that one event may write
+// per second.
 const DefaultLinesPerSecond = 50
 
-// window is the time over which lines are counted against the limit.
-const window = time.Second
+// limitWindow is the period over which lines are counted against the limit.
+const limitWindow = time.Second
 
-// counts holds the number of times that each event happened.
-var counts = expvar.NewMap("events")
+// eventCounts holds the number of occurrences of each event, by its number.
+var eventCounts = expvar.NewMap("events")
 
-// Count returns how often the event of that number happened in this process.
+// Count returns the number of occurrences of the event with that number in this
+// process.
 func Count(number int) int64 {
-	value, found := counts.Get(strconv.Itoa(number)).(*expvar.Int)
+	value, found := eventCounts.Get(strconv.Itoa(number)).(*expvar.Int)
 	if !found {
 		return 0
 	}
 	return value.Value()
 }
 
-// counter returns the count of the event of that number, which it begins where
-// there is none.
+// counter returns the counter of the event with that number. It creates the
+// counter at 0 if there is none.
 func counter(number int) *expvar.Int {
 	key := strconv.Itoa(number)
-	counts.Add(key, 0)
-	return counts.Get(key).(*expvar.Int)
+	eventCounts.Add(key, 0)
+	return eventCounts.Get(key).(*expvar.Int)
 }
 
-// Writer writes events. It may be used from many goroutines.
+// Writer writes events. It is safe for concurrent use.
 type Writer struct {
 	handler slog.Handler
-	// routine is the limit of events that do not warn, limit that of all others.
-	routine, limit int
+	// routineLimit is the limit of events below LevelWarn, limit that of all others.
+	routineLimit, limit int
 
 	mu      sync.Mutex
-	windows map[int]*lines
-	// left counts events whose lines were left out and not yet told.
-	left int
+	windows map[int]*eventWindow
+	// unreportedLines is the number of omitted lines, of all events, that no
+	// lines-left-out line has reported yet.
+	unreportedLines int
 }
 
-// lines counts the lines of one event in the present window.
-type lines struct {
+// eventWindow counts the lines of one event in the current window.
+type eventWindow struct {
 	event event.Event
-	// count is the event's entry in counts.
-	count   *expvar.Int
-	began   time.Time
-	written int
-	left    int
+	// count is the event's entry in eventCounts.
+	count        *expvar.Int
+	startedAt    time.Time
+	writtenLines int
+	omittedLines int
 }
 
-// NewWriter returns a writer that lets each event have limit lines a second.
+// NewWriter returns a writer that allows each event limit lines per second.
 func NewWriter(log logr.Logger, limit int) *Writer {
 	return NewWriterWithLimits(log, limit, limit)
 }
 
-// NewWriterWithLimits returns a writer that lets each routine event have other
-// lines a second than events that warn: what went wrong is left out last.
-func NewWriterWithLimits(log logr.Logger, routine, limit int) *Writer {
+// NewWriterWithLimits returns a writer that allows each event below LevelWarn
+// routineLimit lines per second and each other event limit. With a lower
+// routineLimit, the lines that report problems are omitted last.
+func NewWriterWithLimits(log logr.Logger, routineLimit, limit int) *Writer {
 	return &Writer{
-		handler: logr.ToSlogHandler(log),
-		routine: routine,
-		limit:   limit,
-		windows: map[int]*lines{},
+		handler:      logr.ToSlogHandler(log),
+		routineLimit: routineLimit,
+		limit:        limit,
+		windows:      map[int]*eventWindow{},
 	}
 }
 
-// Write counts the event e and writes its line, unless the event has used up
-// its lines of this second.
+// Write counts the event e and writes its line, unless the event has reached its
+// limit for this second.
 func (w *Writer) Write(now time.Time, e event.Event, fields ...event.Field) {
 	w.mu.Lock()
-	entry := w.entry(now, e)
-	entry.count.Add(1)
-	w.roll(now, entry)
-	full := entry.written >= w.limitOf(e)
-	if full {
-		entry.left++
-		w.left++
+	window := w.windowOf(now, e)
+	window.count.Add(1)
+	w.rollWindow(now, window)
+	limited := window.writtenLines >= w.limitOf(e)
+	if limited {
+		window.omittedLines++
+		w.unreportedLines++
 	} else {
-		entry.written++
+		window.writtenLines++
 	}
 	w.mu.Unlock()
-	if full {
+	if limited {
 		return
 	}
-	w.line(now, e, fields)
+	w.writeLine(now, e, fields)
 }
 
-// limitOf returns the number of lines that an event may write in one second.
+// limitOf returns the number of lines that an event may write per second.
 func (w *Writer) limitOf(e event.Event) int {
 	if e.Level < event.LevelWarn {
-		return w.routine
+		return w.routineLimit
 	}
 	return w.limit
 }
 
-// Flush tells, for each event whose second is over, how many of its lines were
-// left out.
+// Flush reports, for each event whose window has ended, how many of its lines
+// were omitted.
 func (w *Writer) Flush(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.left == 0 {
+	if w.unreportedLines == 0 {
 		return
 	}
-	for _, entry := range w.windows {
-		w.roll(now, entry)
+	for _, window := range w.windows {
+		w.rollWindow(now, window)
 	}
 }
 
-func (w *Writer) entry(now time.Time, e event.Event) *lines {
-	entry, found := w.windows[e.Number]
+func (w *Writer) windowOf(now time.Time, e event.Event) *eventWindow {
+	window, found := w.windows[e.Number]
 	if !found {
-		entry = &lines{event: e, count: counter(e.Number), began: now}
-		w.windows[e.Number] = entry
+		window = &eventWindow{event: e, count: counter(e.Number), startedAt: now}
+		w.windows[e.Number] = window
 	}
-	return entry
+	return window
 }
 
-// roll begins a new window where the old one is over.
-func (w *Writer) roll(now time.Time, entry *lines) {
-	if now.Sub(entry.began) < window {
+// rollWindow starts a new window if the old one has ended, and reports the lines
+// that were omitted in the old one.
+func (w *Writer) rollWindow(now time.Time, window *eventWindow) {
+	if now.Sub(window.startedAt) < limitWindow {
 		return
 	}
-	if entry.left > 0 {
-		w.line(now, event.LinesLeftOut, []event.Field{
-			event.F("of", entry.event.Number),
-			event.F("count", entry.left),
+	if window.omittedLines > 0 {
+		w.writeLine(now, event.LinesLeftOut, []event.Field{
+			event.F("of", window.event.Number),
+			event.F("count", window.omittedLines),
 		})
-		w.left -= entry.left
+		w.unreportedLines -= window.omittedLines
 	}
-	entry.began = now
-	entry.written = 0
-	entry.left = 0
+	window.startedAt = now
+	window.writtenLines = 0
+	window.omittedLines = 0
 }
 
-func (w *Writer) line(now time.Time, e event.Event, fields []event.Field) {
+func (w *Writer) writeLine(now time.Time, e event.Event, fields []event.Field) {
 	level := levels[e.Level]
 	if !w.handler.Enabled(context.Background(), level) {
 		return
@@ -172,7 +177,7 @@
 	for _, field := range fields {
 		record.AddAttrs(slog.Any(field.Name, field.Value))
 	}
-	// A line that can't be written has nowhere to be reported.
+	// An error is ignored, because there is no other place to report it.
 	_ = w.handler.Handle(context.Background(), record)
 }
 
--- a/internal/report/eventlog/writer_test.go
+++ b/internal/report/eventlog/writer_test.go
@@ -15,8 +15,9 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/eventlog"
 )
 
-// newLog returns a writer of lines without times, and where they go.
-func newLog(limit int) (*eventlog.Writer, *bytes.Buffer) {
+// newTestWriter returns a writer of lines without timestamps, and the buffer that
+// receives them.
+func newTestWriter(limit int) (*eventlog.Writer, *bytes.Buffer) {
 	var out bytes.Buffer
 	handler := slog.NewTextHandler(&out, &slog.HandlerOptions{
 		Level: slog.LevelDebug,
@@ -33,7 +34,7 @@
 func TestWriterLimitsLinesOfOneEvent(t *testing.T) {
 	flood := event.Event{Number: 9991, Name: "flood", Level: event.LevelWarn}
 	other := event.Event{Number: 9992, Name: "other", Level: event.LevelError}
-	writer, out := newLog(2)
+	writer, out := newTestWriter(2)
 	before := eventlog.Count(9991)
 	start := time.Unix(100, 0)
 	for i := range 5 {
@@ -59,8 +60,8 @@
 	}
 }
 
-// BenchmarkWrite measures one event whose line is not written, because of its
-// level or its limit.
+// BenchmarkWrite measures Write for an event whose line is not written, because
+// of its level or of its limit.
 func BenchmarkWrite(b *testing.B) {
 	silent := slog.NewTextHandler(&bytes.Buffer{}, &slog.HandlerOptions{Level: slog.LevelError})
 	numbered := event.Event{Number: 9993, Name: "measured", Level: event.LevelDebug}
--- a/internal/report/log/buffer.go
+++ b/internal/report/log/buffer.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// bufferLines is the number of lines that wait for a reader that is slow: a
-	// few seconds of them at the limits of the events.
-	bufferLines = 4096
-	// batchBytes bounds the lines that are written together: the system writes
-	// as much to a pipe in one piece.
-	batchBytes = 4 << 10
+	// maxBufferedLines is the number of lines that are buffered while the reader is
+	// slow: a few seconds of output at the per-event limits.
+	maxBufferedLines = 4096
+	// maxBatchBytes limits the lines that are written together. The operating
+	// system writes up to this size to a pipe atomically.
+	maxBatchBytes = 4 << 10
 )
 
-// AsyncWriter writes lines behind the caller's back: a reader that stops reading costs
-// lines, and never blocks. NewAsyncWriter makes one.
+// AsyncWriter writes lines from a separate goroutine. If the reader of the output
+// stops reading, lines are dropped and Write does not block. NewAsyncWriter
+// creates one.
 type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	ended   chan struct{}
 }
 
-// NewAsyncWriter returns a buffer that writes to out until it is closed.
+// NewAsyncWriter returns an AsyncWriter that writes to out until it is closed.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
-	b := &AsyncWriter{lines: make(chan []byte, bufferLines), ended: make(chan struct{})}
+	b := &AsyncWriter{lines: make(chan []byte, maxBufferedLines), ended: make(chan struct{})}
 	go b.run(out)
 	return b
 }
 
-// Write implements io.Writer. It takes whole lines, and drops one where the
-// buffer is full.
+// Write implements io.Writer. It expects whole lines, and drops the line if the
+// buffer is full. It does not return an error.
 func (b *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case b.lines <- append([]byte(nil), line...):
@@ -41,8 +42,9 @@
 	return len(line), nil
 }
 
-// Close writes what is left, unless the reader has stopped, and ends the buffer.
-// Nothing may be written after it.
+// Close ends the writer. The returned channel is closed when the remaining lines
+// are written, which does not happen if the reader has stopped reading. Write must
+// not be called after Close.
 func (b *AsyncWriter) Close() <-chan struct{} {
 	close(b.lines)
 	return b.ended
@@ -53,11 +55,11 @@
 	for line := range b.lines {
 		batch := line
 		for {
-			next, more := b.poll()
-			if !more {
+			next, ok := b.tryReceive()
+			if !ok {
 				break
 			}
-			if len(batch)+len(next) > batchBytes {
+			if len(batch)+len(next) > maxBatchBytes {
 				b.flush(out, batch)
 				batch = nil
 			}
@@ -67,17 +69,18 @@
 	}
 }
 
-// flush writes lines, and tells how many were dropped.
+// flush writes a batch of lines, and a line with the number of dropped lines if
+// there are any.
 func (b *AsyncWriter) flush(out io.Writer, batch []byte) {
-	// Standard output that is closed leaves nobody to tell.
+	// An error is ignored, because there is no other place to report it.
 	_, _ = out.Write(batch)
 	if dropped := b.dropped.Swap(0); dropped > 0 {
 		_, _ = out.Write([]byte(`{"level":"WARN","msg":"lines-dropped","count":` + strconv.FormatInt(dropped, 10) + "}\n"))
 	}
 }
 
-// poll returns a line that waits, and whether there was one.
-func (b *AsyncWriter) poll() ([]byte, bool) {
+// tryReceive returns a buffered line without blocking, and whether there was one.
+func (b *AsyncWriter) tryReceive() ([]byte, bool) {
 	select {
 	case line, open := <-b.lines:
 		return line, open
--- a/internal/report/log/buffer_test.go
+++ b/internal/report/log/buffer_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// blockedWriter takes nothing until it is released.
+// blockedWriter blocks every write until release is closed.
 type blockedWriter struct {
 	release chan struct{}
 	out     bytes.Buffer
@@ -19,11 +19,12 @@
 	return w.out.Write(body)
 }
 
-// A reader that has stopped costs lines, and blocks nobody.
+// TestBufferNeverBlocks checks that a reader that has stopped reading causes
+// dropped lines and does not block Write.
 func TestBufferNeverBlocks(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	b := NewAsyncWriter(out)
-	const written = 3 * bufferLines
+	const written = 3 * maxBufferedLines
 	for range written {
 		if _, err := b.Write([]byte("line\n")); err != nil {
 			t.Fatal(err)
@@ -32,11 +33,11 @@
 	close(out.release)
 	<-b.Close()
 	lines := strings.Count(out.out.String(), "line\n")
-	if lines < bufferLines || lines >= written {
+	if lines < maxBufferedLines || lines >= written {
 		t.Errorf("%d of %d lines were written", lines, written)
 	}
 	if !strings.Contains(out.out.String(), `"lines-dropped"`) {
-		t.Error("nothing tells of the lines that were dropped")
+		t.Error("no line reports the number of dropped lines")
 	}
 }
 
--- a/internal/report/log/log.go
+++ b/internal/report/log/log.go
@@ -4,16 +4,16 @@
 //
 // Log records flow in through logr. One line for each flows out, to standard
 // error unless another writer is given, as JSON or as key=value text, with the
-// instance and its availability zone on every line. Instances have no disks:
-// whoever starts the process keeps the lines.
+// instance and its availability zone on every line. Instances have no disks, so
+// whatever starts the process has to store the lines.
 //
-// Numbered events come in by package eventlog, which gives each its level;
+// Numbered events arrive through package eventlog, which sets the level of each;
 // records below the level of the settings are dropped here.
 //
 // # Usage
 //
 //	logger := log.NewLogger(log.Options{Level: event.LevelInfo, Format: settings.FormatJSON})
-//	writer := eventlog.NewWriter(logger, eventlog.DefaultLimit)
+//	writer := eventlog.NewWriter(logger, eventlog.DefaultLinesPerSecond)
 package log
 
 import (
@@ -28,16 +28,16 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// Options tells what a logger writes, and where.
+// Options configures a logger.
 type Options struct {
 	// Level is the lowest level that is written.
 	Level event.Level
 	// Format is the form of the lines.
 	Format settings.Format
-	// Instance and Zone stand on every line where they are not empty.
+	// Instance and Zone are added to every line, each unless it is empty.
 	Instance model.InstanceID
 	Zone     model.ZoneID
-	// Writer takes the lines; nil stands for standard error.
+	// Writer receives the lines; nil selects standard error.
 	Writer io.Writer
 }
 
@@ -57,11 +57,11 @@
 }
 
 func newHandler(options Options) slog.Handler {
-	handling := &slog.HandlerOptions{Level: levels[options.Level]}
+	handlerOptions := &slog.HandlerOptions{Level: levels[options.Level]}
 	if options.Format == settings.FormatText {
-		return slog.NewTextHandler(options.Writer, handling)
+		return slog.NewTextHandler(options.Writer, handlerOptions)
 	}
-	return slog.NewJSONHandler(options.Writer, handling)
+	return slog.NewJSONHandler(options.Writer, handlerOptions)
 }
 
 // levels maps the levels of the catalogue to those of the log.
--- a/internal/report/log/log_test.go
+++ b/internal/report/log/log_test.go
@@ -14,7 +14,7 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/log"
 )
 
-var clock = regexp.MustCompile(`"?time"?[=:]"?[^ ,"]+"?[ ,]`)
+var timeField = regexp.MustCompile(`"?time"?[=:]"?[^ ,"]+"?[ ,]`)
 
 func TestNewLogger(t *testing.T) {
 	quiet := event.Event{Number: 9801, Name: "quiet", Level: event.LevelInfo}
@@ -35,7 +35,7 @@
 			writer := eventlog.NewWriter(logger, 1)
 			writer.Write(time.Unix(100, 0), quiet)
 			writer.Write(time.Unix(100, 0), loud, event.F("n", 1))
-			if diff := cmp.Diff(c.want, clock.ReplaceAllString(out.String(), "")); diff != "" {
+			if diff := cmp.Diff(c.want, timeField.ReplaceAllString(out.String(), "")); diff != "" {
 				t.Errorf("lines (-want +got):\n%s", diff)
 			}
 		})
--- a/internal/report/metrics/metrics.go
+++ b/internal/report/metrics/metrics.go
@@ -1,12 +1,12 @@
-// Package metrics holds counters and histograms of latency, and serves them as
-// text.
+// Package metrics holds latency histograms, and serves them and all expvar
+// counters as text.
 //
 // # What flows in and out
 //
-// Durations flow in, by name and labels; they go into histograms of hdrhistogram.
-// All instruments are expvar's, so that /debug/vars shows the same: the text has a
-// line for each number of an expvar map, and for each histogram its count and
-// quantiles in milliseconds.
+// Durations flow in, by name and label, and are recorded in histograms of
+// hdrhistogram. All metrics are expvar variables, so /debug/vars shows the same
+// data. The text has one line for each number in an expvar map, and for each
+// histogram lines with its count and its quantiles in milliseconds.
 //
 // # Usage
 //
@@ -26,30 +26,32 @@
 )
 
 const (
-	// longest is the longest time that is told apart, and digits the precision.
-	longest = time.Minute
-	digits  = 2
+	// maxDuration is the longest recorded duration, and significantDigits the
+	// precision of the histograms in decimal digits.
+	maxDuration       = time.Minute
+	significantDigits = 2
 )
 
-// quantiles are those that the text gives, in percent.
+// quantiles lists the reported quantiles, in percent.
 var quantiles = []float64{50, 90, 99}
 
-// Histogram is a distribution of times. It implements expvar.Var.
+// Histogram is a distribution of durations. It implements expvar.Var.
 type Histogram struct {
 	mu     sync.Mutex
 	values *hdrhistogram.Histogram
 }
 
 func newHistogram() *Histogram {
-	return &Histogram{values: hdrhistogram.New(1, longest.Microseconds(), digits)}
+	return &Histogram{values: hdrhistogram.New(1, maxDuration.Microseconds(), significantDigits)}
 }
 
-// Observe takes in a time; longer ones count as the longest.
-func (h *Histogram) Observe(took time.Duration) {
+// Observe records a duration. A duration above maxDuration is recorded as
+// maxDuration.
+func (h *Histogram) Observe(duration time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// A value inside the bounds is always taken.
-	_ = h.values.RecordValue(min(max(took.Microseconds(), 1), longest.Microseconds()))
+	// RecordValue fails only for a value outside the histogram's bounds.
+	_ = h.values.RecordValue(min(max(duration.Microseconds(), 1), maxDuration.Microseconds()))
 }
 
 // String implements expvar.Var.
@@ -59,14 +61,14 @@
 	defer h.mu.Unlock()
 	fmt.Fprintf(&out, `{"count": %d`, h.values.TotalCount())
 	for _, q := range quantiles {
-		fmt.Fprintf(&out, `, "p%g_ms": %.2f`, q, h.at(q))
+		fmt.Fprintf(&out, `, "p%g_ms": %.2f`, q, h.quantileMS(q))
 	}
 	out.WriteByte('}')
 	return out.String()
 }
 
-// at returns a quantile in milliseconds.
-func (h *Histogram) at(percent float64) float64 {
+// quantileMS returns the quantile at percent, in milliseconds.
+func (h *Histogram) quantileMS(percent float64) float64 {
 	return float64(h.values.ValueAtQuantile(percent)) / 1000
 }
 
@@ -75,8 +77,8 @@
 	histograms = expvar.NewMap("latency")
 )
 
-// Observe takes a time into the histogram of a name and label.
-func Observe(name, label string, took time.Duration) {
+// Observe records a duration in the histogram of a name and label.
+func Observe(name, label string, duration time.Duration) {
 	key := name + "/" + label
 	mu.Lock()
 	h, found := histograms.Get(key).(*Histogram)
@@ -85,23 +87,23 @@
 		histograms.Set(key, h)
 	}
 	mu.Unlock()
-	h.Observe(took)
+	h.Observe(duration)
 }
 
-// Handler serves all instruments as text.
+// Handler returns a handler that serves all entries of expvar maps as text.
 func Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		expvar.Do(func(kv expvar.KeyValue) {
 			if table, is := kv.Value.(*expvar.Map); is {
-				table.Do(func(entry expvar.KeyValue) { write(w, kv.Key, entry) })
+				table.Do(func(entry expvar.KeyValue) { writeInstrument(w, kv.Key, entry) })
 			}
 		})
 	})
 }
 
-// write writes the lines of one instrument.
-func write(w http.ResponseWriter, name string, entry expvar.KeyValue) {
+// writeInstrument writes the lines of one entry of an expvar map.
+func writeInstrument(w http.ResponseWriter, name string, entry expvar.KeyValue) {
 	h, is := entry.Value.(*Histogram)
 	if !is {
 		_, _ = fmt.Fprintf(w, "%s{name=%q} %s\n", name, entry.Key, entry.Value)
@@ -111,6 +113,6 @@
 	defer h.mu.Unlock()
 	_, _ = fmt.Fprintf(w, "%s_count{name=%q} %d\n", name, entry.Key, h.values.TotalCount())
 	for _, q := range quantiles {
-		_, _ = fmt.Fprintf(w, "%s_ms{name=%q,quantile=\"%g\"} %.2f\n", name, entry.Key, q, h.at(q))
+		_, _ = fmt.Fprintf(w, "%s_ms{name=%q,quantile=\"%g\"} %.2f\n", name, entry.Key, q, h.quantileMS(q))
 	}
 }
--- a/internal/report/metrics/metrics_test.go
+++ b/internal/report/metrics/metrics_test.go
@@ -13,7 +13,7 @@
 	for range 10 {
 		Observe("statements", "entries/ok", 20*time.Millisecond)
 	}
-	Observe("statements", "entries/ok", 2*longest)
+	Observe("statements", "entries/ok", 2*maxDuration)
 	out := httptest.NewRecorder()
 	Handler().ServeHTTP(out, httptest.NewRequest("GET", "/metrics", nil))
 	for _, line := range []string{
--- a/internal/report/status/status.go
+++ b/internal/report/status/status.go
@@ -4,7 +4,7 @@
 //
 // The core fills the types; the operators' edge sends them as JSON, and the
 // command line reads and prints them. Keys are short names of one word, times
-// are of the reporting instance's clock, durations are in nanoseconds.
+// are read from the reporting instance's clock, durations are in nanoseconds.
 //
 // # Usage
 //
@@ -17,15 +17,15 @@
 	"time"
 )
 
-// Status is the whole state of one instance, as it believes it.
+// Status is the state of one instance, as that instance last observed it.
 type Status struct {
 	Instance string `json:"instance"`
 	Zone     string `json:"zone"`
-	// ManifestNumber is the number of the manifest in force; 0 where there is none.
+	// ManifestNumber is the number of the manifest in force, or 0 if there is none.
 	ManifestNumber uint64 `json:"manifest"`
 	ManifestDigest string `json:"digest"`
 	Draining       bool   `json:"draining"`
-	// OpenSessions and Requests count what is open now.
+	// OpenSessions and OpenRequests are the current numbers of sessions and requests.
 	OpenSessions int     `json:"sessions"`
 	OpenRequests int     `json:"requests"`
 	Groups       []Group `json:"groups"`
@@ -38,21 +38,22 @@
 	Name    string `json:"name"`
 	Term    uint64 `json:"term"`
 	Primary string `json:"primary"`
-	// DurablePosition is the newest position that survives a promotion.
+	// DurablePosition is the newest position that is replicated to a majority, so
+	// that it survives any promotion.
 	DurablePosition string `json:"proven"`
-	// TermConfirmationAge is the age of the proof of the term.
+	// TermConfirmationAge is the time since a majority last confirmed the term.
 	TermConfirmationAge time.Duration `json:"proof"`
-	// CommitsAwaitingQuorum and Settling count commits that wait for a proof, and those
-	// whose outcome is being asked for.
+	// CommitsAwaitingQuorum is the number of commits that are not yet durable, and
+	// InDoubtCommits that of commits whose outcome is being queried.
 	CommitsAwaitingQuorum int `json:"proving"`
 	InDoubtCommits        int `json:"settling"`
-	// FailoverStep names the step of a change of primary conducted here.
+	// FailoverStep names the current step of a failover that this instance runs.
 	FailoverStep string     `json:"change"`
 	Evidence     []string   `json:"evidence,omitempty"`
 	Databases    []Database `json:"databases"`
 }
 
-// Database is one database as the instance last heard of it.
+// Database is the last observed state of one database.
 type Database struct {
 	Name             string         `json:"name"`
 	Zone             string         `json:"zone"`
@@ -64,11 +65,11 @@
 	Streaming        bool           `json:"streaming"`
 	Leaving          bool           `json:"leaving"`
 	Reachable        bool           `json:"reachable"`
-	// TimeSinceAnswer is the time since the last answer.
+	// TimeSinceAnswer is the time since the database last answered.
 	TimeSinceAnswer time.Duration `json:"silent"`
 	ReplicationLag  time.Duration `json:"lag"`
 	Latency         time.Duration `json:"latency"`
-	// RunningRequests counts this instance's requests at the database.
+	// RunningRequests is the number of this instance's requests at the database.
 	RunningRequests int `json:"running"`
 }
 
@@ -83,11 +84,11 @@
 	TimeSinceHeartbeat time.Duration  `json:"silent"`
 }
 
-// Logbook is a list of changes of primary.
+// Logbook is a list of promotion records.
 type Logbook struct {
 	Records []any `json:"records"`
-	// Source tells whether the platform was asked lately; without it the
-	// records are what this instance and its peers know.
+	// QueriedAt is the time of the last successful query of the platform. If it is
+	// not recent, the records are those that this instance and its peers know.
 	QueriedAt time.Time `json:"asked"`
 }
 
--- a/internal/report/story/story.go
+++ b/internal/report/story/story.go
@@ -1,16 +1,17 @@
-// Package story tells what happened to one request, or at one change of primary,
-// from the logs of all instances.
+// Package story reconstructs the timeline of one request, or of one group's
+// failovers, from the logs of all instances.
 //
 // # What flows in and out
 //
 // Log lines flow in, in any order and from any number of instances; text before
-// the first brace of a line is passed over. Lines of a story flow out by time:
-// those that name the request or the group, and, around the lines of a request,
-// what the same instances said of primaries, leases and what they depend on.
+// the first brace of a line is ignored. The lines of the timeline flow out,
+// ordered by time: those that name the request or the group, and, close to the
+// lines of a request, the events of the same instances that concern primaries,
+// leases and dependencies.
 //
 // # Usage
 //
-//	err := story.Tell(os.Stdin, os.Stdout, "5c0e7a21d94b36f8")
+//	err := story.WriteTimeline(os.Stdin, os.Stdout, "5c0e7a21d94b36f8")
 package story
 
 import (
@@ -27,24 +28,25 @@
 const (
 	// maxLine bounds a log line, in bytes.
 	maxLine = 1 << 20
-	// around is the time before and after a request's lines of which the
-	// circumstances are told.
-	around = 2 * time.Second
+	// contextWindow is the time before and after a matching line within which
+	// context events of the same instance are included.
+	contextWindow = 2 * time.Second
 )
 
-// circumstances are the events of an instance that explain what became of a
+// contextEvents lists the events of an instance that may explain the outcome of a
 // request there.
-var circumstances = map[string]bool{
+var contextEvents = map[string]bool{
 	"group-row-seen": true, "change-begun": true, "change-ended": true, "change-failed": true,
 	"leases-revoked": true, "promotion-called": true, "primary-stepped-down": true,
 	"dependency-lost": true, "dependency-back": true, "readiness-changed": true,
 	"configuration-adopted": true, "database-known": true, "database-gone": true, "signal-caught": true,
 }
 
-// common are the fields that every line has; they are told apart.
-var common = []string{"time", "level", "msg", "instance", "zone", "event"}
+// commonFields lists the fields that every line has. They are not printed as
+// name=value pairs.
+var commonFields = []string{"time", "level", "msg", "instance", "zone", "event"}
 
-// line is one log line.
+// line is one parsed log line.
 type line struct {
 	at       time.Time
 	name     string
@@ -52,23 +54,24 @@
 	fields   map[string]any
 }
 
-// NotFoundError reports that no line names what was asked for.
+// NotFoundError reports that no log line names the request or group.
 type NotFoundError struct{ Name string }
 
 // Error implements error.
 func (e *NotFoundError) Error() string { return "no log line names " + e.Name }
 
-// WriteTimeline reads log lines and writes the story of a request or of a group. Its
-// errors are *NotFoundError and those of reading and writing.
+// WriteTimeline reads log lines from in and writes the timeline of the request or
+// group called name to out. It returns a *NotFoundError if no line names it, or
+// an error of reading or writing.
 func WriteTimeline(in io.Reader, out io.Writer, name string) error {
-	named, others, err := read(in, name)
+	matching, contextLines, err := readLines(in, name)
 	if err != nil {
 		return err
 	}
-	if len(named) == 0 {
+	if len(matching) == 0 {
 		return &NotFoundError{Name: name}
 	}
-	for _, l := range merge(named, others) {
+	for _, l := range merge(matching, contextLines) {
 		if _, err := fmt.Fprintln(out, l.String()); err != nil {
 			return err
 		}
@@ -76,25 +79,26 @@
 	return nil
 }
 
-// read returns the lines that name what is asked for, and the circumstances.
-func read(in io.Reader, name string) (named, others []line, err error) {
+// readLines returns the lines that name the request or group called name, and
+// those of context events.
+func readLines(in io.Reader, name string) (matching, contextLines []line, err error) {
 	scanner := bufio.NewScanner(in)
 	scanner.Buffer(nil, maxLine)
 	for scanner.Scan() {
-		l, is := parse(scanner.Text())
+		l, valid := parseLine(scanner.Text())
 		switch {
-		case !is:
+		case !valid:
 		case l.fields["request"] == name || l.fields["group"] == name:
-			named = append(named, l)
-		case circumstances[l.name]:
-			others = append(others, l)
+			matching = append(matching, l)
+		case contextEvents[l.name]:
+			contextLines = append(contextLines, l)
 		}
 	}
-	return named, others, scanner.Err()
+	return matching, contextLines, scanner.Err()
 }
 
-// parse reads a log line; other lines are none.
-func parse(text string) (line, bool) {
+// parseLine parses a line of text. It returns false if the text is not a log line.
+func parseLine(text string) (line, bool) {
 	brace := strings.IndexByte(text, '{')
 	if brace < 0 {
 		return line{}, false
@@ -103,34 +107,35 @@
 	if json.Unmarshal([]byte(text[brace:]), &l.fields) != nil {
 		return line{}, false
 	}
-	stamp, _ := l.fields["time"].(string)
+	timestamp, _ := l.fields["time"].(string)
 	var err error
-	if l.at, err = time.Parse(time.RFC3339Nano, stamp); err != nil {
+	if l.at, err = time.Parse(time.RFC3339Nano, timestamp); err != nil {
 		return line{}, false
 	}
 	l.name, _ = l.fields["msg"].(string)
 	l.instance, _ = l.fields["instance"].(string)
-	for _, field := range common {
+	for _, field := range commonFields {
 		delete(l.fields, field)
 	}
 	return l, true
 }
 
-// merge returns the story by time, with the circumstances at the same instances.
-func merge(named, others []line) []line {
-	whole := slices.Clone(named)
-	for _, other := range others {
-		if slices.ContainsFunc(named, func(l line) bool {
-			return l.instance == other.instance && l.at.Sub(other.at).Abs() <= around
+// merge returns matching, together with those contextLines that the same instances
+// logged within contextWindow of a matching line, ordered by time.
+func merge(matching, contextLines []line) []line {
+	timeline := slices.Clone(matching)
+	for _, candidate := range contextLines {
+		if slices.ContainsFunc(matching, func(l line) bool {
+			return l.instance == candidate.instance && l.at.Sub(candidate.at).Abs() <= contextWindow
 		}) {
-			whole = append(whole, other)
+			timeline = append(timeline, candidate)
 		}
 	}
-	sort.SliceStable(whole, func(i, j int) bool { return whole[i].at.Before(whole[j].at) })
-	return whole
+	sort.SliceStable(timeline, func(i, j int) bool { return timeline[i].at.Before(timeline[j].at) })
+	return timeline
 }
 
-// String formats a line with its fields in the order of their names.
+// String formats a line, with its fields ordered by name.
 func (l line) String() string {
 	names := make([]string, 0, len(l.fields))
 	for name := range l.fields {
--- a/internal/report/story/story_test.go
+++ b/internal/report/story/story_test.go
@@ -11,17 +11,17 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-func TestTell(t *testing.T) {
-	for name, asked := range map[string]string{"request": "r1", "group": "ratings"} {
+func TestWriteTimeline(t *testing.T) {
+	for name, target := range map[string]string{"request": "r1", "group": "ratings"} {
 		t.Run(name, func(t *testing.T) {
 			in, err := os.ReadFile("testdata/change.log")
 			if err != nil {
 				t.Fatal(err)
 			}
 			var out bytes.Buffer
-			if err := WriteTimeline(bytes.NewReader(in), &out, asked); err != nil {
+			if err := WriteTimeline(bytes.NewReader(in), &out, target); err != nil {
 				t.Fatal(err)
 			}
 			path := "testdata/" + name + ".golden"
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestTellKnowsNothing(t *testing.T) {
+func TestWriteTimelineWithoutMatch(t *testing.T) {
 	var missing *NotFoundError
 	if err := WriteTimeline(strings.NewReader("{}\n"), &bytes.Buffer{}, "r9"); !errors.As(err, &missing) {
 		t.Errorf("%v", err)
