--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -1,4 +1,5 @@
-// Command demo shows eelgrassfold at work on one machine, with stand-ins.
+// Command demo demonstrates eelgrassfold on one machine, with simulated databases
+// and a simulated platform.
 package main
 
 import (
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,5 +1,5 @@
-// Command drill measures eelgrassfold under faults on one machine, with
-// stand-ins.
+// Command drill runs fault-injection benchmarks of eelgrassfold on one machine,
+// with simulated databases and a simulated platform.
 package main
 
 import (
--- a/cmd/eelgrassfold/main.go
+++ b/cmd/eelgrassfold/main.go
@@ -1,4 +1,4 @@
-// Command eelgrassfold is the database proxy and its operators' tool.
+// Command eelgrassfold runs the database proxy and its tools for operators.
 package main
 
 import (
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,4 +1,5 @@
-// Command standin holds stand-ins for the systems that eelgrassfold serves.
+// Command standin runs simulated versions of the systems that eelgrassfold works
+// with: the platform, databases, and the load of callers.
 package main
 
 import (
--- a/internal/command/proxy/docs_test.go
+++ b/internal/command/proxy/docs_test.go
@@ -10,9 +10,9 @@
 )
 
 // -----------------------------------------------------------------------------
-// Documents: in each block of ```console, the commands after "$ " are run in
-// the root of the repository, and what follows has to be their output. With
-// -update, it is written anew.
+// Documents: the commands after "$ " in each ```console block are run in the root
+// of the repository, and the text that follows them has to be their output. With
+// -update, that text is rewritten.
 
 const (
 	consoleFence = "```console"
@@ -38,7 +38,7 @@
 			}
 			text := string(body)
 			if strings.Contains(text, consoleFence) {
-				compareFile(t, page, renderPage(t, text))
+				compareOrUpdate(t, page, renderPage(t, text))
 			}
 		})
 	}
@@ -47,26 +47,26 @@
 func TestEventsPage(t *testing.T) {
 	t.Chdir("../../..")
 	out, _, _ := runLine("events --format markdown")
-	compareFile(t, "docs/EVENTS.md", out)
+	compareOrUpdate(t, "docs/EVENTS.md", out)
 }
 
-// renderPage returns the page with the output of its commands replaced.
+// renderPage returns the page with the current output of its commands.
 func renderPage(t *testing.T, page string) string {
 	t.Helper()
 	var rendered strings.Builder
-	inside := false
+	inConsole := false
 	for _, line := range strings.SplitAfter(page, "\n") {
 		switch {
 		case strings.HasPrefix(line, consoleFence):
-			inside = true
+			inConsole = true
 			rendered.WriteString(line)
-		case inside && strings.HasPrefix(line, fence):
-			inside = false
+		case inConsole && strings.HasPrefix(line, fence):
+			inConsole = false
 			rendered.WriteString(line)
-		case inside && strings.HasPrefix(line, prompt):
+		case inConsole && strings.HasPrefix(line, prompt):
 			rendered.WriteString(line)
 			rendered.WriteString(runDocumented(t, strings.TrimPrefix(line, prompt)))
-		case !inside:
+		case !inConsole:
 			rendered.WriteString(line)
 		}
 	}
@@ -76,7 +76,7 @@
 func runDocumented(t *testing.T, line string) string {
 	t.Helper()
 	if !strings.HasPrefix(line, program+" ") {
-		t.Fatalf("%q is no command of %s", line, program)
+		t.Fatalf("%q is not a command of %s", line, program)
 	}
 	out, failures, code := runLine(line)
 	if code != ExitOK {
--- a/internal/command/proxy/exit.go
+++ b/internal/command/proxy/exit.go
@@ -2,7 +2,7 @@
 
 import "errors"
 
-// ExitCode is the code that the process ends with.
+// ExitCode is the exit code of the process.
 type ExitCode int
 
 // The exit codes.
@@ -15,29 +15,30 @@
 	ExitOutcomeUnknown
 )
 
-// exits lists the exit codes for help and documents.
-var exits = []struct {
+// exitCodes lists the exit codes with their meanings, for the help.
+var exitCodes = []struct {
 	code    ExitCode
 	meaning string
 }{
 	{ExitOK, "done"},
-	{ExitFailed, "failed, for a reason that is none of those below"},
+	{ExitFailed, "failed for any reason other than those below"},
 	{ExitInvalidInput, "bad input: a wrong argument, or a file with faults"},
 	{ExitConflict, "conflict: another manifest than expected is accepted; nothing changed"},
 	{ExitUnavailable, "unavailable: the instance or the platform was not reached; nothing changed"},
-	{ExitOutcomeUnknown, "unknown outcome: the change may have happened; look before trying again"},
+	{ExitOutcomeUnknown, "unknown outcome: the change may have happened; check before trying again"},
 }
 
 // -----------------------------------------------------------------------------
-// Failures. Each has the exit code of its kind.
+// Errors. Each type has its exit code.
 
-// failure is the sealed interface of what a verb may fail with.
-type failure interface {
+// exitError is implemented by the errors of this package that determine the exit
+// code. It is sealed by the unexported method.
+type exitError interface {
 	error
-	exit() ExitCode
+	exitCode() ExitCode
 }
 
-// UsageError reports arguments that make no sense.
+// UsageError reports invalid arguments.
 type UsageError struct{ Reason string }
 
 // Error implements error.
@@ -45,8 +46,8 @@
 	return e.Reason + "; see '" + program + " help'"
 }
 
-// InputError reports a file that can't be read or has faults. The faults have
-// been printed.
+// InputError reports invalid input, such as a file that can't be read or has
+// errors. The errors of a file have already been printed.
 type InputError struct{ Reason string }
 
 // Error implements error.
@@ -71,23 +72,24 @@
 // Error implements error.
 func (e *OutcomeUnknownError) Error() string { return "outcome unknown: " + e.Reason }
 
-// InvalidResponseError reports an instance's answer that makes no sense here.
+// InvalidResponseError reports an unexpected or undecodable response of an
+// instance.
 type InvalidResponseError struct{ Reason string }
 
 // Error implements error.
 func (e *InvalidResponseError) Error() string { return e.Reason }
 
-func (*UsageError) exit() ExitCode           { return ExitInvalidInput }
-func (*InputError) exit() ExitCode           { return ExitInvalidInput }
-func (*ConflictError) exit() ExitCode        { return ExitConflict }
-func (*UnavailableError) exit() ExitCode     { return ExitUnavailable }
-func (*OutcomeUnknownError) exit() ExitCode  { return ExitOutcomeUnknown }
-func (*InvalidResponseError) exit() ExitCode { return ExitFailed }
+func (*UsageError) exitCode() ExitCode           { return ExitInvalidInput }
+func (*InputError) exitCode() ExitCode           { return ExitInvalidInput }
+func (*ConflictError) exitCode() ExitCode        { return ExitConflict }
+func (*UnavailableError) exitCode() ExitCode     { return ExitUnavailable }
+func (*OutcomeUnknownError) exitCode() ExitCode  { return ExitOutcomeUnknown }
+func (*InvalidResponseError) exitCode() ExitCode { return ExitFailed }
 
-func exitOf(err error) ExitCode {
-	var typed failure
+func exitCodeOf(err error) ExitCode {
+	var typed exitError
 	if errors.As(err, &typed) {
-		return typed.exit()
+		return typed.exitCode()
 	}
 	return ExitFailed
 }
--- a/internal/command/proxy/operator_http.go
+++ b/internal/command/proxy/operator_http.go
@@ -14,47 +14,48 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/status"
 )
 
-// httpInstance asks an instance over HTTP and tells its failures apart.
-type httpInstance struct {
+// httpClient implements instanceClient over HTTP. It maps failures to the errors
+// of this package.
+type httpClient struct {
 	address netip.AddrPort
 	client  *operator.Client
 }
 
-func newHTTPInstance(address netip.AddrPort, token string) *httpInstance {
-	return &httpInstance{address: address, client: operator.NewClient(address, token)}
+func newHTTPClient(address netip.AddrPort, token string) *httpClient {
+	return &httpClient{address: address, client: operator.NewClient(address, token)}
 }
 
-// Status implements instance.
-func (h *httpInstance) Status(ctx context.Context) (report status.Status, err error) {
+// Status implements instanceClient.
+func (h *httpClient) Status(ctx context.Context) (report status.Status, err error) {
 	body, err := h.client.Status(ctx)
 	return report, h.decode(body, err, &report)
 }
 
-// Logbook implements instance.
-func (h *httpInstance) Logbook(ctx context.Context, group string) (report status.Logbook, err error) {
+// Logbook implements instanceClient.
+func (h *httpClient) Logbook(ctx context.Context, group string) (report status.Logbook, err error) {
 	body, err := h.client.Logbook(ctx, group)
 	return report, h.decode(body, err, &report)
 }
 
-// Manifest implements instance.
-func (h *httpInstance) Manifest(ctx context.Context) (report status.Manifest, err error) {
+// Manifest implements instanceClient.
+func (h *httpClient) Manifest(ctx context.Context) (report status.Manifest, err error) {
 	body, err := h.client.Manifest(ctx)
 	return report, h.decode(body, err, &report)
 }
 
-// Drain implements instance.
-func (h *httpInstance) Drain(ctx context.Context) error {
+// Drain implements instanceClient.
+func (h *httpClient) Drain(ctx context.Context) error {
 	if err := h.client.Drain(ctx); err != nil {
-		return h.changeFailure(err)
+		return h.changeError(err)
 	}
 	return nil
 }
 
-// Submit implements instance.
-func (h *httpInstance) Submit(ctx context.Context, body []byte, expected uint64, who string) (uint64, error) {
+// Submit implements instanceClient.
+func (h *httpClient) Submit(ctx context.Context, body []byte, expected uint64, who string) (uint64, error) {
 	decision, err := h.client.Submit(ctx, body, expected, who)
 	if err != nil {
-		return 0, h.changeFailure(err)
+		return 0, h.changeError(err)
 	}
 	switch decision.Outcome {
 	case message.SubmitOK.String():
@@ -70,10 +71,11 @@
 	}
 }
 
-// decode reads the answer to a question that changes nothing.
-func (h *httpInstance) decode(body json.RawMessage, err error, result any) error {
+// decode decodes the response to a read-only request. err is the error of that
+// request.
+func (h *httpClient) decode(body json.RawMessage, err error, result any) error {
 	if err != nil {
-		return h.questionFailure(err)
+		return h.readError(err)
 	}
 	if err := json.Unmarshal(body, result); err != nil {
 		return &InvalidResponseError{Reason: "the answer can't be read: " + err.Error()}
@@ -81,38 +83,41 @@
 	return nil
 }
 
-func (h *httpInstance) questionFailure(err error) error {
-	if failure, found := answerFailure(err); found {
+func (h *httpClient) readError(err error) error {
+	if failure, found := responseError(err); found {
 		return failure
 	}
-	return h.unreachable()
+	return h.unreachableError()
 }
 
-// changeFailure tells whether a change without an answer may have happened.
-func (h *httpInstance) changeFailure(err error) error {
-	if failure, found := answerFailure(err); found {
+// changeError returns the error of a request for a change. A request whose
+// connection was never established changed nothing; one without a response may
+// have changed something.
+func (h *httpClient) changeError(err error) error {
+	if failure, found := responseError(err); found {
 		return failure
 	}
 	var network *net.OpError
 	if errors.As(err, &network) && network.Op == "dial" {
-		return h.unreachable()
+		return h.unreachableError()
 	}
 	return &OutcomeUnknownError{Reason: fmt.Sprintf("no answer from %s", h.address)}
 }
 
-func (h *httpInstance) unreachable() error {
+func (h *httpClient) unreachableError() error {
 	return &UnavailableError{Reason: fmt.Sprintf("no answer from %s", h.address)}
 }
 
-// answerFailure returns the failure that an instance's answer stands for.
-func answerFailure(err error) (error, bool) {
+// responseError returns the error that corresponds to the status of an instance's
+// response. It returns false if err is not from a response.
+func responseError(err error) (error, bool) {
 	var answer *operator.StatusError
 	if !errors.As(err, &answer) {
 		return nil, false
 	}
 	switch answer.Status {
 	case http.StatusUnauthorized, http.StatusForbidden:
-		return &InputError{Reason: "the instance does not take the token"}, true
+		return &InputError{Reason: "the instance rejected the token"}, true
 	case http.StatusServiceUnavailable:
 		return &UnavailableError{Reason: answer.Detail}, true
 	case http.StatusOK:
--- a/internal/command/proxy/proxy.go
+++ b/internal/command/proxy/proxy.go
@@ -1,19 +1,20 @@
-// Package proxy is the command line of eelgrassfold.
+// Package proxy implements the command line of eelgrassfold.
 //
 // # What flows in and out
 //
-// Arguments flow in. Results flow out on standard output, failures and the log
-// of `serve` on standard error, and the exit code tells a pipeline what kind of
-// failure it was (see the table in exit.go): a conflict calls for another
-// review, an unavailable platform for another try, an unknown outcome for a
-// look at the manifest in force.
+// Arguments flow in. Results flow out on standard output, error messages and the
+// log of `serve` on standard error. The exit code tells a pipeline the kind of
+// failure (see the table in exit.go): a conflict requires another review, an
+// unavailable platform another attempt, an unknown outcome a check of the
+// manifest in force.
 //
 // # How it is laid out
 //
-// Each verb has a file of its own, verb_*.go. The table in verbs.go lists them
-// and feeds the parser, the help and the documents. Help topics are text files
-// in topics/, listed by the table in topics.go; all of it is in the binary and
-// needs no network. Verbs that ask an instance speak to its operators' address.
+// Each subcommand has a file of its own, verb_*.go. The table in verbs.go lists
+// them and is the source for the parser, the help and the documents. Help topics
+// are text files in topics/, listed by the table in topics.go; they are embedded
+// in the binary, so that help needs no network. Subcommands that send requests to
+// an instance connect to its operators' address.
 //
 // # Usage
 //
@@ -34,9 +35,9 @@
 
 const program = "eelgrassfold"
 
-// Console is what verbs read from and write to.
+// Console holds the input and outputs of subcommands.
 type Console struct {
-	// Context ends when the process shall.
+	// Context ends when the process has to end.
 	Context context.Context
 	In      io.Reader
 	Out     io.Writer
@@ -44,20 +45,20 @@
 }
 
 func (c *Console) printf(format string, values ...any) {
-	// Standard output that is closed leaves nobody to tell.
+	// An error is ignored: if standard output is closed, no one reads a report.
 	_, _ = fmt.Fprintf(c.Out, format, values...)
 }
 
 // -----------------------------------------------------------------------------
 // Entry points.
 
-// Main runs the arguments of the process.
+// Main runs the command line of the process.
 func Main() ExitCode {
 	console := &Console{Context: context.Background(), In: os.Stdin, Out: os.Stdout, Err: os.Stderr}
 	return Run(os.Args[1:], console)
 }
 
-// Run runs one command line, without the name of the program.
+// Run runs one command line, given without the name of the program.
 func Run(args []string, console *Console) ExitCode {
 	if len(args) == 0 {
 		args = []string{"help"}
@@ -67,20 +68,20 @@
 		return ExitOK
 	}
 	_, _ = fmt.Fprintf(console.Err, "%s: %v\n", program, err)
-	return exitOf(err)
+	return exitCodeOf(err)
 }
 
-// helpShown ends the parsing once kong has printed help.
+// helpShown is the panic value that ends parsing after kong has printed help.
 type helpShown struct{}
 
 func parseAndRun(args []string, console *Console) (err error) {
 	defer func() {
-		switch stop := recover().(type) {
+		switch recovered := recover().(type) {
 		case nil:
 		case helpShown:
 			err = nil
 		default:
-			panic(stop)
+			panic(recovered)
 		}
 	}()
 	parser, err := newParser(console)
@@ -103,8 +104,8 @@
 		kong.Help(printHelp),
 		kong.ConfigureHelp(kong.HelpOptions{NoExpandSubcommands: true, WrapUpperBound: helpWidth}),
 	}
-	for _, verb := range verbs {
-		options = append(options, kong.DynamicCommand(verb.name, verb.summary, "", verb.newCommand()))
+	for _, command := range subcommands {
+		options = append(options, kong.DynamicCommand(command.name, command.summary, "", command.newCommand()))
 	}
 	return kong.New(&struct{}{}, options...)
 }
--- a/internal/command/proxy/proxy_test.go
+++ b/internal/command/proxy/proxy_test.go
@@ -17,9 +17,9 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/edge/caller"
 )
 
-var update = flag.Bool("update", false, "write expected outputs and documents anew")
+var update = flag.Bool("update", false, "rewrite the expected outputs and the documents")
 
-// runLine runs a command line as a shell would, without quoting.
+// runLine runs a command line, which is split at white space without quoting.
 func runLine(line string) (out, failures string, code ExitCode) {
 	var stdout, stderr bytes.Buffer
 	console := &Console{Context: context.Background(), In: strings.NewReader(""), Out: &stdout, Err: &stderr}
@@ -28,9 +28,9 @@
 }
 
 // -----------------------------------------------------------------------------
-// Regression cases: testdata/cases/NAME holds cmd, expout, experr and expcode,
-// and the files that cmd names. Where it holds a file 'instance', an operators'
-// address is there that gives it as every answer: its first line is the HTTP
+// Regression cases: testdata/cases/NAME contains the files cmd, expout, experr and
+// expcode, and the files that cmd names. If it contains a file 'instance', a fake
+// operators' address answers every request with it: its first line is the HTTP
 // status, the rest the body.
 
 func TestCases(t *testing.T) {
@@ -41,19 +41,19 @@
 	for _, path := range paths {
 		t.Run(filepath.Base(filepath.Dir(path)), func(t *testing.T) {
 			t.Chdir(filepath.Dir(path))
-			address := startInstance(t)
+			address := startFakeInstance(t)
 			t.Setenv("EELGRASSFOLD_OPERATOR", address)
 			line, _ := os.ReadFile("cmd")
 			out, failures, code := runLine(string(line))
-			hide := strings.NewReplacer(address, "INSTANCE")
-			compareFile(t, "expout", hide.Replace(out))
-			compareFile(t, "experr", hide.Replace(failures))
-			compareFile(t, "expcode", strconv.Itoa(int(code))+"\n")
+			redactor := strings.NewReplacer(address, "INSTANCE")
+			compareOrUpdate(t, "expout", redactor.Replace(out))
+			compareOrUpdate(t, "experr", redactor.Replace(failures))
+			compareOrUpdate(t, "expcode", strconv.Itoa(int(code))+"\n")
 		})
 	}
 }
 
-func startInstance(t *testing.T) string {
+func startFakeInstance(t *testing.T) string {
 	t.Helper()
 	answer, err := os.ReadFile("instance")
 	if err != nil {
@@ -72,7 +72,7 @@
 	return server.Listener.Addr().String()
 }
 
-func compareFile(t *testing.T, path, got string) {
+func compareOrUpdate(t *testing.T, path, got string) {
 	t.Helper()
 	if *update {
 		if err := os.WriteFile(path, []byte(got), 0o600); err != nil {
@@ -105,7 +105,7 @@
 		}
 		for _, line := range strings.Split(text, "\n") {
 			if len(line) > helpWidth+2 {
-				t.Errorf("topic %s: a line of %d columns: %s", topic.name, len(line), line)
+				t.Errorf("topic %s: line with %d columns is too long: %s", topic.name, len(line), line)
 			}
 		}
 	}
@@ -117,11 +117,11 @@
 	}
 }
 
-func TestEveryVerbExplainsItself(t *testing.T) {
-	for _, verb := range verbs {
-		out, _, code := runLine("help " + verb.name)
-		if code != ExitOK || !strings.Contains(out, verb.detail) || len(verb.examples) == 0 {
-			t.Errorf("help %s = %d:\n%s", verb.name, code, out)
+func TestEverySubcommandHasHelp(t *testing.T) {
+	for _, command := range subcommands {
+		out, _, code := runLine("help " + command.name)
+		if code != ExitOK || !strings.Contains(out, command.detail) || len(command.examples) == 0 {
+			t.Errorf("help %s = %d:\n%s", command.name, code, out)
 		}
 	}
 }
--- a/internal/command/proxy/table.go
+++ b/internal/command/proxy/table.go
@@ -11,7 +11,7 @@
 // -----------------------------------------------------------------------------
 // Printing.
 
-// columnGap is the number of blanks between two columns.
+// columnGap is the number of spaces between two columns.
 const columnGap = 2
 
 // table collects rows that are printed in aligned columns.
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// printAny prints a decoded JSON value: a list of objects as a table, the rest
-// as JSON.
+// printAny prints a decoded JSON value: a list of objects as a table, any other
+// value as JSON.
 func printAny(console *Console, value any) {
 	list, _ := value.([]any)
 	columns := map[string]bool{}
--- a/internal/command/proxy/verb_check.go
+++ b/internal/command/proxy/verb_check.go
@@ -10,13 +10,13 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/config/toml"
 )
 
-var verbCheck = verb{
+var checkSubcommand = subcommand{
 	name:    "check",
 	summary: "Check settings and manifest files.",
-	detail: "Each fault is printed as FILE:LINE: KEY: TEXT. All faults of all files are listed;\n" +
-		"then the exit code is 2. Warnings don't change the exit code. The kind of a file is\n" +
-		"told by its keys unless --kind names it. Secrets that settings refer to are not\n" +
-		"loaded.",
+	detail: "Each error is printed as FILE:LINE: KEY: TEXT. All errors of all files are listed,\n" +
+		"and the exit code is 2 if there are any. Warnings don't change the exit code. The\n" +
+		"kind of a file is detected from its keys unless --kind gives it. Secrets that\n" +
+		"settings refer to are not loaded.",
 	examples: []string{
 		"eelgrassfold check examples/consortium/manifest.toml",
 		"eelgrassfold check --kind settings /etc/eelgrassfold/settings.toml",
@@ -31,14 +31,14 @@
 
 // Run checks each file.
 func (c *checkCommand) Run(console *Console) error {
-	bad := 0
+	invalidFiles := 0
 	for _, file := range c.Files {
 		if !c.checkFile(console, file) {
-			bad++
+			invalidFiles++
 		}
 	}
-	if bad > 0 {
-		return &InputError{Reason: fmt.Sprintf("%d of %d files have faults", bad, len(c.Files))}
+	if invalidFiles > 0 {
+		return &InputError{Reason: fmt.Sprintf("%d of %d files have faults", invalidFiles, len(c.Files))}
 	}
 	return nil
 }
@@ -51,23 +51,23 @@
 	}
 	kind := c.Kind
 	if kind == "auto" {
-		kind = kindOf(body)
+		kind = detectKind(body)
 	}
-	inspect, found := inspections[kind]
+	check, found := checkers[kind]
 	if !found {
-		console.printf("%s:1: it is not clear whether these are settings or a manifest; name --kind\n", file)
+		console.printf("%s:1: can't detect whether this is a settings file or a manifest; give --kind\n", file)
 		return false
 	}
-	warnings, err := inspect(body)
-	if !printFaults(console, file, warnings, err) {
+	warnings, err := check(body)
+	if !printDiagnostics(console, file, warnings, err) {
 		return false
 	}
 	console.printf("%s: ok (%s)\n", file, kind)
 	return true
 }
 
-// inspections maps the kinds of files to what checks them.
-var inspections = map[string]func(body []byte) ([]toml.Diagnostic, error){
+// checkers maps the kinds of files to the functions that check them.
+var checkers = map[string]func(body []byte) ([]toml.Diagnostic, error){
 	"settings": func(body []byte) ([]toml.Diagnostic, error) {
 		_, warnings, err := settings.ParseWithWarnings(body)
 		return warnings, err
@@ -78,9 +78,10 @@
 	},
 }
 
-// kindOf tells the kind of a file by keys that only this kind has. A file that
-// is no TOML counts as a manifest: both readers report the same fault for it.
-func kindOf(body []byte) string {
+// detectKind returns the kind of a file, detected by keys that only this kind has,
+// or an empty string. A file that is not valid TOML counts as a manifest, because
+// both parsers report the same error for it.
+func detectKind(body []byte) string {
 	root, err := toml.Parse(body)
 	if err != nil {
 		return "manifest"
@@ -98,18 +99,18 @@
 	return ""
 }
 
-// printFaults prints what an inspection found and reports whether the file
-// passed.
-func printFaults(console *Console, file string, warnings []toml.Diagnostic, err error) bool {
+// printDiagnostics prints the warnings and errors of a file and reports whether it
+// is valid.
+func printDiagnostics(console *Console, file string, warnings []toml.Diagnostic, err error) bool {
 	for _, warning := range warnings {
 		console.printf("%s:%d: warning: %s: %s\n", file, warning.Line, warning.Key, warning.Message)
 	}
-	var faults *toml.ValidationError
-	if !errors.As(err, &faults) {
+	var validation *toml.ValidationError
+	if !errors.As(err, &validation) {
 		return err == nil
 	}
-	for _, fault := range faults.Diagnostics {
-		console.printf("%s:%s\n", file, fault)
+	for _, diagnostic := range validation.Diagnostics {
+		console.printf("%s:%s\n", file, diagnostic)
 	}
 	return false
 }
--- a/internal/command/proxy/verb_drain.go
+++ b/internal/command/proxy/verb_drain.go
@@ -1,11 +1,11 @@
 package proxy
 
-var verbDrain = verb{
+var drainSubcommand = subcommand{
 	name:    "drain",
-	summary: "Let an instance finish its work and end.",
-	detail: "The instance accepts no further connection, finishes the requests in flight, closes\n" +
-		"each connection when it is idle, tells its peers that it leaves, and ends. SIGTERM\n" +
-		"does the same. The verb returns as soon as the drain has begun.",
+	summary: "Let an instance finish its requests and end.",
+	detail: "The instance accepts no new connections, finishes the requests in flight, closes each\n" +
+		"connection when it is idle, announces to its peers that it is draining, and ends.\n" +
+		"SIGTERM does the same. The verb returns as soon as the drain has begun.",
 	examples:   []string{"eelgrassfold drain --address 10.1.1.11:7480 --token file:/etc/eelgrassfold/operator.token"},
 	newCommand: func() any { return &drainCommand{} },
 }
@@ -16,7 +16,7 @@
 
 // Run asks the instance to drain.
 func (c *drainCommand) Run(console *Console) error {
-	instance, ctx, cancel, err := c.dial(console)
+	instance, ctx, cancel, err := c.newClient(console)
 	if err != nil {
 		return err
 	}
@@ -24,6 +24,6 @@
 	if err := instance.Drain(ctx); err != nil {
 		return err
 	}
-	console.printf("%s drains\n", c.Address)
+	console.printf("%s is draining\n", c.Address)
 	return nil
 }
--- a/internal/command/proxy/verb_explain.go
+++ b/internal/command/proxy/verb_explain.go
@@ -6,12 +6,12 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/story"
 )
 
-var verbExplain = verb{
+var explainSubcommand = subcommand{
 	name:    "explain",
-	summary: "Tell what happened to one request, or at the changes of one group's primary.",
+	summary: "Show the timeline of one request, or of one group's failovers.",
 	detail: "Reads the logs of any number of instances from standard input and writes the\n" +
-		"story by time: the lines that name the request or the group, and around those of\n" +
-		"a request what the same instances said of primaries, leases and the platform.",
+		"timeline: the lines that name the request or the group, and, close to them, the\n" +
+		"events of the same instances that concern primaries, leases and the platform.",
 	examples:   []string{"cat logs/* | eelgrassfold explain 5c0e7a21d94b36f8", "eelgrassfold explain ratings < instance.log"},
 	newCommand: func() any { return &explainCommand{} },
 }
@@ -20,7 +20,7 @@
 	Name string `arg:"" help:"The request's id as the caller sent it, or the name of a group."`
 }
 
-// Run tells the story.
+// Run writes the timeline.
 func (c *explainCommand) Run(console *Console) error {
 	err := story.WriteTimeline(console.In, console.Out, c.Name)
 	var missing *story.NotFoundError
--- a/internal/command/proxy/verb_hash.go
+++ b/internal/command/proxy/verb_hash.go
@@ -7,11 +7,11 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/edge/caller"
 )
 
-var verbHash = verb{
+var hashSubcommand = subcommand{
 	name:    "hash",
 	summary: "Hash a caller's password from standard input.",
 	detail: "The password is the first line of standard input; its hash is printed. The file that\n" +
-		"a [[user]] of the settings names may hold the hash in place of the password.",
+		"a [[user]] of the settings names may contain the hash instead of the password.",
 	examples:   []string{"eelgrassfold hash < officer.clear > officer.password"},
 	newCommand: func() any { return &hashCommand{} },
 }
@@ -23,7 +23,7 @@
 	line, _ := bufio.NewReader(console.In).ReadString('\n')
 	password := strings.TrimSpace(line)
 	if password == "" {
-		return &InputError{Reason: "standard input holds no password"}
+		return &InputError{Reason: "standard input contains no password"}
 	}
 	hash, err := caller.NewPasswordHash(password)
 	if err != nil {
--- a/internal/command/proxy/verb_help.go
+++ b/internal/command/proxy/verb_help.go
@@ -8,14 +8,14 @@
 	"github.com/alecthomas/kong"
 )
 
-// helpWidth is the number of columns that help is wrapped at.
+// helpWidth is the column at which help is wrapped.
 const helpWidth = 80
 
-var verbHelp = verb{
+var helpSubcommand = subcommand{
 	name:    "help",
 	summary: "Explain a verb or a topic.",
-	detail: "Without a topic it lists the verbs and the exit codes. 'help topics' lists the\n" +
-		"topics. Everything is in the binary; nothing is looked up elsewhere.",
+	detail: "Without an argument it lists the verbs and the exit codes. 'help topics' lists the\n" +
+		"topics. All help is contained in the binary and needs no network.",
 	examples:   []string{"eelgrassfold help", "eelgrassfold help topics", "eelgrassfold help submit", "eelgrassfold help failover"},
 	newCommand: func() any { return &helpCommand{} },
 }
@@ -34,17 +34,17 @@
 		printTopics(console)
 		return nil
 	}
-	_, isVerb := findVerb(c.Topic)
-	if isVerb {
+	_, isSubcommand := findSubcommand(c.Topic)
+	if isSubcommand {
 		if err := parseAndRun([]string{c.Topic, "--help"}, console); err != nil {
 			return err
 		}
 	}
 	text, isTopic := topicText(c.Topic)
-	if isVerb && isTopic {
+	if isSubcommand && isTopic {
 		console.printf("\n")
 	}
-	if isVerb || isTopic {
+	if isSubcommand || isTopic {
 		console.printf("%s", text)
 		return nil
 	}
@@ -53,18 +53,18 @@
 
 func printOverview(console *Console) {
 	console.printf("eelgrassfold: a database proxy with session consistency.\n\nVerbs:\n")
-	for _, verb := range verbs {
-		console.printf("  %-10s %s\n", verb.name, verb.summary)
+	for _, command := range subcommands {
+		console.printf("  %-10s %s\n", command.name, command.summary)
 	}
 	console.printf("\nExit codes:\n")
-	for _, exit := range exits {
+	for _, exit := range exitCodes {
 		console.printf("  %d  %s\n", exit.code, exit.meaning)
 	}
 	console.printf("\n'eelgrassfold help VERB' explains a verb, 'eelgrassfold help topics' lists topics.\n")
 }
 
-// printHelp prints kong's help for a verb, with the detail and the examples of
-// the table below it.
+// printHelp prints kong's help for a subcommand, followed by the detail and the
+// examples from the table of subcommands.
 func printHelp(options kong.HelpOptions, ctx *kong.Context) error {
 	selected := ctx.Selected()
 	if selected == nil {
@@ -74,13 +74,13 @@
 	if err := kong.DefaultHelpPrinter(options, ctx); err != nil {
 		return err
 	}
-	if verb, found := findVerb(selected.Name); found {
-		printDetail(ctx.Stdout, verb)
+	if command, found := findSubcommand(selected.Name); found {
+		printDetail(ctx.Stdout, command)
 	}
 	return nil
 }
 
-func printDetail(out io.Writer, verb verb) {
-	text := "\n" + verb.detail + "\n\nExamples:\n  " + strings.Join(verb.examples, "\n  ") + "\n"
+func printDetail(out io.Writer, command subcommand) {
+	text := "\n" + command.detail + "\n\nExamples:\n  " + strings.Join(command.examples, "\n  ") + "\n"
 	_, _ = io.WriteString(out, text)
 }
--- a/internal/command/proxy/verb_logbook.go
+++ b/internal/command/proxy/verb_logbook.go
@@ -8,12 +8,12 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/engine"
 )
 
-var verbLogbook = verb{
+var logbookSubcommand = subcommand{
 	name:    "logbook",
-	summary: "Print who was primary, who promoted what, when and why.",
-	detail: "Each record is written together with the change that it tells of. Times are of the\n" +
-		"clock of the instance that conducted the change. While the platform is down, the\n" +
-		"instance prints what it and its peers know.",
+	summary: "Print the history of primaries: who promoted which database, when and why.",
+	detail: "Each record is written in one step with the failover that it describes. Times are\n" +
+		"from the clock of the instance that ran the failover. While the platform is down,\n" +
+		"the instance reports the records that it and its peers know.",
 	examples:   []string{"eelgrassfold logbook", "eelgrassfold logbook --group finishes", "eelgrassfold logbook --json"},
 	newCommand: func() any { return &logbookCommand{} },
 }
@@ -26,7 +26,7 @@
 
 // Run asks for the records and prints them.
 func (c *logbookCommand) Run(console *Console) error {
-	instance, ctx, cancel, err := c.dial(console)
+	instance, ctx, cancel, err := c.newClient(console)
 	if err != nil {
 		return err
 	}
--- a/internal/command/proxy/verb_manifest.go
+++ b/internal/command/proxy/verb_manifest.go
@@ -1,6 +1,6 @@
 package proxy
 
-var verbManifest = verb{
+var manifestSubcommand = subcommand{
 	name:    "manifest",
 	summary: "Print the manifest in force at an instance.",
 	detail: "The first line is a comment with the number to submit the next change against. The\n" +
@@ -16,7 +16,7 @@
 
 // Run asks for the manifest and prints it.
 func (c *manifestCommand) Run(console *Console) error {
-	instance, ctx, cancel, err := c.dial(console)
+	instance, ctx, cancel, err := c.newClient(console)
 	if err != nil {
 		return err
 	}
--- a/internal/command/proxy/verb_serve.go
+++ b/internal/command/proxy/verb_serve.go
@@ -12,15 +12,15 @@
 	"github.com/eelgrassfold/eelgrassfold/platform"
 )
 
-// signalRoom is the number of signals that are kept until they are looked at.
-const signalRoom = 4
+// signalBuffer is the number of signals that are buffered until they are handled.
+const signalBuffer = 4
 
-var verbServe = verb{
+var serveSubcommand = subcommand{
 	name:    "serve",
 	summary: "Run one instance.",
-	detail: "The instance runs in the foreground and logs to standard error. SIGTERM or SIGINT\n" +
-		"lets it finish the requests in flight and leave; a second signal ends it at once,\n" +
-		"with exit code 1. It keeps nothing on disk.",
+	detail: "The instance runs in the foreground and logs to standard error. On SIGTERM or SIGINT\n" +
+		"it finishes the requests in flight and ends; a second signal ends it at once, with\n" +
+		"exit code 1. It stores nothing on disk.",
 	examples:   []string{"eelgrassfold serve --settings /etc/eelgrassfold/settings.toml"},
 	newCommand: func() any { return &serveCommand{} },
 }
@@ -30,20 +30,20 @@
 	Platform bool   `required:"" xor:"from" help:"Run on the users' platform, by the settings file that it provides."`
 }
 
-// Run reads the settings and runs the instance until it has left.
+// Run reads the settings and runs the instance until it ends.
 func (c *serveCommand) Run(console *Console) error {
 	if c.Platform {
 		return platform.Serve(console.Context, console.Out)
 	}
-	read, err := c.readSettings(console)
+	parsed, err := c.readSettings(console)
 	if err != nil {
 		return err
 	}
-	signals := make(chan os.Signal, signalRoom)
+	signals := make(chan os.Signal, signalBuffer)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	defer signal.Stop(signals)
 	err = serve.Run(console.Context, serve.Options{
-		Settings:  read,
+		Settings:  parsed,
 		Version:   Version,
 		Signals:   signals,
 		LogWriter: console.Err,
@@ -51,7 +51,8 @@
 	return asInputError(err)
 }
 
-// asInputError marks failures of files that the settings name as bad input.
+// asInputError turns an error about a file that the settings name into an
+// *InputError. It returns other errors unchanged.
 func asInputError(err error) error {
 	var secret *settings.SecretError
 	var certificate *serve.CertificateError
@@ -66,10 +67,10 @@
 	if err != nil {
 		return nil, &InputError{Reason: fmt.Sprintf("%s: %v", c.Settings, errors.Unwrap(err))}
 	}
-	read, warnings, err := settings.ParseWithWarnings(body)
-	onError := &Console{Out: console.Err}
-	if !printFaults(onError, c.Settings, warnings, err) {
+	parsed, warnings, err := settings.ParseWithWarnings(body)
+	stderrConsole := &Console{Out: console.Err}
+	if !printDiagnostics(stderrConsole, c.Settings, warnings, err) {
 		return nil, &InputError{Reason: c.Settings + " has faults"}
 	}
-	return read, nil
+	return parsed, nil
 }
--- a/internal/command/proxy/verb_status.go
+++ b/internal/command/proxy/verb_status.go
@@ -6,12 +6,12 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/status"
 )
 
-var verbStatus = verb{
+var statusSubcommand = subcommand{
 	name:    "status",
-	summary: "Show what an instance believes of its groups, databases and peers.",
-	detail: "It is the belief of one instance, from what it heard itself. 'proof' is the age of\n" +
-		"the proof that a majority of the group is in the term; 'silent' the time since the\n" +
-		"last answer.",
+	summary: "Show the state of groups, databases and peers, as one instance observes it.",
+	detail: "The state is that which the instance last observed itself. 'proven' is the newest\n" +
+		"position that a majority holds; 'proof' is the time since a majority of the group\n" +
+		"last confirmed the term; 'silent' is the time since the last answer.",
 	examples:   []string{"eelgrassfold status", "eelgrassfold status --json", "eelgrassfold status --address 10.1.1.11:7480 --token file:/etc/eelgrassfold/operator.token"},
 	newCommand: func() any { return &statusCommand{} },
 }
@@ -23,7 +23,7 @@
 
 // Run asks for the report and prints it.
 func (c *statusCommand) Run(console *Console) error {
-	instance, ctx, cancel, err := c.dial(console)
+	instance, ctx, cancel, err := c.newClient(console)
 	if err != nil {
 		return err
 	}
@@ -70,7 +70,7 @@
 		console.printf("  evidence: %s\n", evidence)
 	}
 	if group.CommitsAwaitingQuorum+group.InDoubtCommits > 0 {
-		console.printf("  commits waiting for a proof: %d, outcomes being settled: %d\n", group.CommitsAwaitingQuorum, group.InDoubtCommits)
+		console.printf("  commits waiting for a majority: %d, commits in doubt: %d\n", group.CommitsAwaitingQuorum, group.InDoubtCommits)
 	}
 	databases := newTable("database", "zone", "role", "term", "received", "applied", "state", "silent", "lag", "running")
 	for _, database := range group.Databases {
@@ -100,7 +100,7 @@
 	return text
 }
 
-// round shortens a duration to what an operator reads.
+// round rounds a duration to a readable precision.
 func round(d time.Duration) time.Duration {
 	if d < time.Second {
 		return d.Round(100 * time.Microsecond)
--- a/internal/command/proxy/verb_submit.go
+++ b/internal/command/proxy/verb_submit.go
@@ -10,13 +10,13 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/config/manifest"
 )
 
-var verbSubmit = verb{
+var submitSubcommand = subcommand{
 	name:    "submit",
-	summary: "Submit a manifest against the number that was reviewed.",
-	detail: "The file is checked here first. The instance accepts it only if the manifest now\n" +
-		"accepted has the number --expected; of two operators who race, one gets a conflict\n" +
-		"and nothing of it is changed. 0 stands for no manifest. --dry prints what would\n" +
-		"change against the manifest in force, and changes nothing.",
+	summary: "Submit a manifest to replace the one that the change was reviewed against.",
+	detail: "The file is checked locally first. The instance accepts it only if the current\n" +
+		"manifest has the number --expected; if two operators submit at the same time, one\n" +
+		"gets a conflict and changes nothing. 0 means that there is no manifest yet. --dry\n" +
+		"prints the differences from the manifest in force, and changes nothing.",
 	examples: []string{
 		"eelgrassfold submit manifest.toml --expected 0",
 		"eelgrassfold submit manifest.toml --expected 7 --dry",
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	instance, ctx, cancel, err := c.dial(console)
+	instance, ctx, cancel, err := c.newClient(console)
 	if err != nil {
 		return err
 	}
@@ -46,7 +46,7 @@
 	if c.Dry {
 		return c.printChanges(ctx, console, instance, declared)
 	}
-	number, err := instance.Submit(ctx, body, c.Expected, c.who())
+	number, err := instance.Submit(ctx, body, c.Expected, c.submitterName())
 	if err != nil {
 		return err
 	}
@@ -60,13 +60,13 @@
 		return nil, nil, &InputError{Reason: fmt.Sprintf("%s: %v", c.File, errors.Unwrap(err))}
 	}
 	declared, warnings, err := manifest.ParseWithWarnings(body)
-	if !printFaults(console, c.File, warnings, err) {
+	if !printDiagnostics(console, c.File, warnings, err) {
 		return nil, nil, &InputError{Reason: c.File + " has faults"}
 	}
 	return body, declared, nil
 }
 
-func (c *submitCommand) who() string {
+func (c *submitCommand) submitterName() string {
 	if c.Who != "" {
 		return c.Who
 	}
@@ -77,13 +77,13 @@
 	return current.Username
 }
 
-func (c *submitCommand) printChanges(ctx context.Context, console *Console, instance instance, declared *manifest.Manifest) error {
+func (c *submitCommand) printChanges(ctx context.Context, console *Console, instance instanceClient, declared *manifest.Manifest) error {
 	report, err := instance.Manifest(ctx)
 	if err != nil {
 		return err
 	}
 	if report.Number != c.Expected {
-		return &ConflictError{Reason: fmt.Sprintf("manifest %d is in force, and %d was expected", report.Number, c.Expected)}
+		return &ConflictError{Reason: fmt.Sprintf("manifest %d is in force, but %d was expected", report.Number, c.Expected)}
 	}
 	var before *manifest.Manifest
 	if report.Number > 0 {
--- a/internal/command/proxy/verb_version.go
+++ b/internal/command/proxy/verb_version.go
@@ -1,6 +1,6 @@
 package proxy
 
-var verbVersion = verb{
+var versionSubcommand = subcommand{
 	name:       "version",
 	summary:    "Print the version.",
 	detail:     "The version is that of the program, not of the manifest in force.",
--- a/internal/command/proxy/verbs.go
+++ b/internal/command/proxy/verbs.go
@@ -1,37 +1,39 @@
 package proxy
 
-// verb is one command of the command line.
-type verb struct {
+// subcommand describes one subcommand of the command line, which help calls a
+// verb.
+type subcommand struct {
 	name    string
 	summary string
-	// detail explains what the summary leaves open.
+	// detail is the explanation that help prints below the flags.
 	detail   string
 	examples []string
-	// newCommand returns the struct that kong fills and runs.
+	// newCommand returns the struct whose fields kong sets from the arguments and
+	// whose Run method it calls.
 	newCommand func() any
 }
 
-// verbs lists the verbs in the order of the help.
-var verbs = []verb{
-	verbServe,
-	verbCheck,
-	verbSubmit,
-	verbManifest,
-	verbStatus,
-	verbLogbook,
-	verbDrain,
-	verbHash,
-	verbEvents,
-	verbExplain,
-	verbVersion,
-	verbHelp,
+// subcommands lists the subcommands in the order of the help.
+var subcommands = []subcommand{
+	serveSubcommand,
+	checkSubcommand,
+	submitSubcommand,
+	manifestSubcommand,
+	statusSubcommand,
+	logbookSubcommand,
+	drainSubcommand,
+	hashSubcommand,
+	eventsSubcommand,
+	explainSubcommand,
+	versionSubcommand,
+	helpSubcommand,
 }
 
-func findVerb(name string) (verb, bool) {
-	for _, verb := range verbs {
-		if verb.name == name {
-			return verb, true
+func findSubcommand(name string) (subcommand, bool) {
+	for _, candidate := range subcommands {
+		if candidate.name == name {
+			return candidate, true
 		}
 	}
-	return verb{}, false
+	return subcommand{}, false
 }
--- a/internal/config/manifest/manifest_test.go
+++ b/internal/config/manifest/manifest_test.go
@@ -16,7 +16,7 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
 func compareGolden(t *testing.T, path, got string) {
 	t.Helper()
@@ -35,9 +35,9 @@
 }
 
 // -----------------------------------------------------------------------------
-// Faults.
+// Diagnostics.
 
-func TestFaults(t *testing.T) {
+func TestDiagnostics(t *testing.T) {
 	paths, _ := filepath.Glob("testdata/faults/*.toml")
 	if len(paths) == 0 {
 		t.Fatal("no cases")
@@ -47,7 +47,7 @@
 			body, _ := os.ReadFile(path)
 			_, warnings, err := ParseWithWarnings(body)
 			if err == nil {
-				t.Fatal("no faults were found")
+				t.Fatal("no errors were reported")
 			}
 			report := err.Error() + "\n"
 			for _, warning := range warnings {
@@ -69,7 +69,7 @@
 	}
 	m, warnings, err := ParseWithWarnings(body)
 	if err != nil || len(warnings) > 0 {
-		t.Fatalf("Inspect(%s) = %v, warnings %v", name, err, warnings)
+		t.Fatalf("ParseWithWarnings(%s) = %v, warnings %v", name, err, warnings)
 	}
 	return body, m
 }
@@ -109,7 +109,7 @@
 	}
 	compareGolden(t, "testdata/diff.golden", strings.Join(lines, "\n")+"\n")
 	if changes := Diff(after, after); len(changes) > 0 {
-		t.Errorf("a manifest differs from itself: %v", changes)
+		t.Errorf("Diff of a manifest with itself: %v", changes)
 	}
 }
 
@@ -159,7 +159,7 @@
 	return m
 }
 
-func TestFormatIsReadBack(t *testing.T) {
+func TestParseReadsFormatOutput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := drawManifest(t)
 		got, err := Parse(Format(want))
@@ -192,7 +192,7 @@
 			t.Fatalf("Parse of the printed form: %v\n%s", err, Format(m))
 		}
 		if changes := Diff(m, again); len(changes) > 0 {
-			t.Errorf("the printed form differs: %v", changes)
+			t.Errorf("the manifest differs after Format and Parse: %v", changes)
 		}
 	})
 }
@@ -200,11 +200,11 @@
 // -----------------------------------------------------------------------------
 // Cost by size.
 
-// BenchmarkParse measures reading a manifest by the number of its groups, of
+// BenchmarkParse measures Parse for manifests with various numbers of groups, of
 // three databases each.
 func BenchmarkParse(b *testing.B) {
 	for _, groups := range []int{3, 30, 300, 1133} {
-		body := []byte(wideManifest(groups))
+		body := []byte(manifestWithGroups(groups))
 		b.Run(fmt.Sprint(groups), func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
@@ -217,8 +217,8 @@
 	}
 }
 
-// wideManifest returns a manifest with that many groups.
-func wideManifest(groups int) string {
+// manifestWithGroups returns a manifest with the given number of groups.
+func manifestWithGroups(groups int) string {
 	const head = "service = \"handicap-db\"\n[limits]\nslots = 3\nconnections = 20\nreserve = 4\n" +
 		"[[rank]]\nname = \"urgent\"\ntarget = \"200ms\"\nworth = 10\nfloor = 0.5\n"
 	var text strings.Builder
--- a/internal/config/manifest/parse.go
+++ b/internal/config/manifest/parse.go
@@ -11,47 +11,49 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// ValidationError lists everything that is wrong with a document.
+// ValidationError lists all errors of a document.
 type ValidationError = toml.ValidationError
 
 // Diagnostic is one entry of a ValidationError.
 type Diagnostic = toml.Diagnostic
 
 const (
-	// DefaultKind is the kind of requests that name none.
+	// DefaultKind is the kind of requests that name no kind.
 	DefaultKind = "default"
-	// DefaultDeadline is the deadline of DefaultKind where the document
-	// declares no such kind.
+	// DefaultDeadline is the deadline of DefaultKind if the document does not
+	// declare that kind.
 	DefaultDeadline = 10 * time.Second
-	// DefaultConnectTime is the time to open a connection where the document gives
-	// none.
+	// DefaultConnectTime is the time to open a connection if the document does
+	// not give one.
 	DefaultConnectTime = 12 * time.Millisecond
-	// leastDatabases is the number of databases from which on a majority
-	// survives the loss of one.
-	leastDatabases = 3
-	// floorSlack allows for the rounding of floors that add up to 1.
-	floorSlack = 1e-9
+	// minFailoverDatabases is the smallest number of databases of which a majority
+	// remains after the loss of one.
+	minFailoverDatabases = 3
+	// floorTolerance allows for rounding errors in floors that add up to 1.
+	floorTolerance = 1e-9
 )
 
 // -----------------------------------------------------------------------------
 // Reading.
 
-// Parse reads a document and checks it whole. Its error is a *ValidationError.
+// Parse reads a document and validates all of it. Its error is a
+// *ValidationError.
 func Parse(body []byte) (*Manifest, error) {
 	m, _, err := ParseWithWarnings(body)
 	return m, err
 }
 
-// ParseWithWarnings is Parse, with warnings about what is allowed but unwise.
+// ParseWithWarnings is like Parse, and also returns warnings about declarations
+// that are valid but not recommended.
 func ParseWithWarnings(body []byte) (m *Manifest, warnings []Diagnostic, err error) {
 	root, err := toml.Parse(body)
 	if err != nil {
 		return nil, nil, err
 	}
 	r := reader{
-		ranks:     map[string]model.Rank{},
-		databases: map[string]bool{},
-		addresses: map[netip.AddrPort]bool{},
+		rankByName:    map[string]model.Rank{},
+		seenDatabases: map[string]bool{},
+		seenAddresses: map[netip.AddrPort]bool{},
 	}
 	m = r.read(root)
 	if err := root.Finish(); err != nil {
@@ -60,18 +62,18 @@
 	return m, r.warnings, nil
 }
 
-// Digest returns the hexadecimal SHA-256 of a document: the name of its object
-// in the platform's object store.
+// Digest returns the SHA-256 hash of a document in hexadecimal, which is the name
+// of its object in the platform's object store.
 func Digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return hex.EncodeToString(sum[:])
 }
 
 type reader struct {
-	warnings  []Diagnostic
-	ranks     map[string]model.Rank
-	databases map[string]bool
-	addresses map[netip.AddrPort]bool
+	warnings      []Diagnostic
+	rankByName    map[string]model.Rank
+	seenDatabases map[string]bool
+	seenAddresses map[netip.AddrPort]bool
 }
 
 func (r *reader) read(root *toml.Table) *Manifest {
@@ -85,17 +87,18 @@
 	return m
 }
 
-// readName reads a name and notes it in taken; a name noted before is a fault.
-func readName(table *toml.Table, key string, taken map[string]bool) string {
+// readName reads a name and adds it to seenNames. A name that is already there is
+// reported as a duplicate.
+func readName(table *toml.Table, key string, seenNames map[string]bool) string {
 	name, found := table.Text(key)
 	switch {
 	case !found:
 	case !toml.IsValidName(name):
-		table.Errorf(key, "%q is no name: %s", name, toml.NameSyntax)
-	case taken[name]:
+		table.Errorf(key, "%q is not a valid name: %s", name, toml.NameSyntax)
+	case seenNames[name]:
 		table.Errorf(key, "%q is declared twice", name)
 	}
-	taken[name] = true
+	seenNames[name] = true
 	return name
 }
 
@@ -119,10 +122,10 @@
 		table.Errorf("connections", "must be at least 1")
 	}
 	if hasSlots && hasConnections && slots > connections {
-		table.Errorf("slots", "%d slots need as many connections, and there are %d", slots, connections)
+		table.Errorf("slots", "%d slots need at least as many connections, but there are %d", slots, connections)
 	}
 	if limits.ReservedConnections < 0 || hasConnections && limits.ReservedConnections >= connections {
-		table.Errorf("reserve", "must be from 0 to below connections")
+		table.Errorf("reserve", "must be at least 0 and less than connections")
 	}
 	if limits.ConnectTime < 0 {
 		table.Errorf("open", "must not be negative")
@@ -134,26 +137,26 @@
 // Ranks.
 
 func (r *reader) readRanks(tables []*toml.Table) []Rank {
-	taken := map[string]bool{}
+	seenNames := map[string]bool{}
 	var ranks []Rank
-	floors := 0.0
+	floorSum := 0.0
 	for i, table := range tables {
-		rank := readRank(table, taken)
-		if _, found := r.ranks[rank.Name]; !found {
-			r.ranks[rank.Name] = model.Rank(i)
+		rank := readRank(table, seenNames)
+		if _, found := r.rankByName[rank.Name]; !found {
+			r.rankByName[rank.Name] = model.Rank(i)
 		}
 		ranks = append(ranks, rank)
-		if floors <= 1+floorSlack && floors+rank.MinSlotShare > 1+floorSlack {
-			table.Errorf("floor", "all floors together must be at most 1, and here they reach %g", floors+rank.MinSlotShare)
+		if floorSum <= 1+floorTolerance && floorSum+rank.MinSlotShare > 1+floorTolerance {
+			table.Errorf("floor", "the sum of all floors must be at most 1, but it reaches %g", floorSum+rank.MinSlotShare)
 		}
-		floors += rank.MinSlotShare
+		floorSum += rank.MinSlotShare
 	}
 	return ranks
 }
 
-func readRank(table *toml.Table, taken map[string]bool) Rank {
+func readRank(table *toml.Table, seenNames map[string]bool) Rank {
 	table.Require("name", "target", "worth", "floor")
-	rank := Rank{Name: readName(table, "name", taken)}
+	rank := Rank{Name: readName(table, "name", seenNames)}
 	target, hasTarget := table.Duration("target")
 	worth, hasWorth := table.Float("worth")
 	floor, hasFloor := table.Float("floor")
@@ -175,19 +178,19 @@
 // Kinds.
 
 func (r *reader) readKinds(tables []*toml.Table) []RequestKind {
-	taken := map[string]bool{}
+	seenNames := map[string]bool{}
 	var kinds []RequestKind
 	for _, table := range tables {
-		kinds = append(kinds, r.readKind(table, taken))
+		kinds = append(kinds, r.readKind(table, seenNames))
 	}
 	return kinds
 }
 
-func (r *reader) readKind(table *toml.Table, taken map[string]bool) RequestKind {
+func (r *reader) readKind(table *toml.Table, seenNames map[string]bool) RequestKind {
 	table.Require("name", "rank", "access", "deadline")
-	kind := RequestKind{Name: readName(table, "name", taken)}
+	kind := RequestKind{Name: readName(table, "name", seenNames)}
 	if name, found := table.Text("rank"); found {
-		rank, declared := r.ranks[name]
+		rank, declared := r.rankByName[name]
 		if !declared {
 			table.Errorf("rank", "there is no rank %q", name)
 		}
@@ -201,7 +204,7 @@
 	kind.Retryable, _ = table.Bool("repeat")
 	kind.MaxStaleness, kind.HasStalenessBound = table.Duration("stale")
 	if kind.HasStalenessBound && kind.Access != model.AccessRead {
-		table.Errorf("stale", "only reads have a bound of staleness")
+		table.Errorf("stale", "only a kind with access \"read\" may have a maximum staleness")
 	}
 	if kind.MaxStaleness < 0 {
 		table.Errorf("stale", "must not be negative")
@@ -223,8 +226,7 @@
 	return model.AccessRead
 }
 
-// addDefaultKind adds the kind of requests that name none, where the document
-// does not declare it.
+// addDefaultKind adds DefaultKind unless the document declares it.
 func (m *Manifest) addDefaultKind() {
 	for _, kind := range m.Kinds {
 		if kind.Name == DefaultKind {
@@ -243,38 +245,39 @@
 // Groups.
 
 func (r *reader) readGroups(tables []*toml.Table) []Group {
-	taken := map[string]bool{}
+	seenNames := map[string]bool{}
 	var groups []Group
 	for _, table := range tables {
 		table.Require("name", "database")
-		group := Group{Name: model.GroupID(readName(table, "name", taken))}
+		group := Group{Name: model.GroupID(readName(table, "name", seenNames))}
 		for _, database := range table.Tables("database") {
 			group.Databases = append(group.Databases, r.readDatabase(database))
 		}
-		r.checkSize(table, len(group.Databases))
+		r.checkGroupSize(table, len(group.Databases))
 		groups = append(groups, group)
 	}
 	return groups
 }
 
-// checkSize wants an odd number of databases: an even one bears no more losses
-// than the odd number below it.
-func (r *reader) checkSize(table *toml.Table, size int) {
+// checkGroupSize reports an even number of databases, because it tolerates no more
+// failures than the odd number below it, and warns about a group that can't fail
+// over.
+func (r *reader) checkGroupSize(table *toml.Table, size int) {
 	switch {
-	case size == 0 || size >= leastDatabases && size%2 == 1:
-	case size < leastDatabases:
+	case size == 0 || size >= minFailoverDatabases && size%2 == 1:
+	case size < minFailoverDatabases:
 		r.warnings = append(r.warnings, Diagnostic{
 			Line: table.Line(""), Key: "group.database",
 			Message: "with fewer than 3 databases no failover is possible when one is lost",
 		})
 	default:
-		table.Errorf("database", "a group wants an odd number of databases, and here are %d", size)
+		table.Errorf("database", "a group must have an odd number of databases, but has %d", size)
 	}
 }
 
 func (r *reader) readDatabase(table *toml.Table) Database {
 	table.Require("name", "zone", "address")
-	database := Database{Name: model.DatabaseID(readName(table, "name", r.databases))}
+	database := Database{Name: model.DatabaseID(readName(table, "name", r.seenDatabases))}
 	database.Zone = model.ZoneID(readName(table, "zone", map[string]bool{}))
 	database.Leaving, _ = table.Bool("leaving")
 	address, found := table.Address("address")
@@ -282,12 +285,12 @@
 		return database
 	}
 	if address.Port() == 0 || address.Addr().IsUnspecified() {
-		table.Errorf("address", "%s can't be connected to", address)
+		table.Errorf("address", "%s has no port or no specific IP address", address)
 	}
-	if r.addresses[address] {
-		table.Errorf("address", "%s is the address of another database too", address)
+	if r.seenAddresses[address] {
+		table.Errorf("address", "%s is also the address of another database", address)
 	}
-	r.addresses[address] = true
+	r.seenAddresses[address] = true
 	database.Address = address
 	return database
 }
--- a/internal/config/manifest/print.go
+++ b/internal/config/manifest/print.go
@@ -57,8 +57,8 @@
 	Leaving bool           `toml:"leaving"`
 }
 
-// Format prints m as a document with every default written out. Parse reads it
-// to an equal Manifest.
+// Format prints m as a document with all defaults written out. Parse returns an
+// equal Manifest for it.
 func Format(m *Manifest) []byte {
 	printed := printedManifest{Service: m.Service, Limits: printLimits(m.Limits)}
 	for _, rank := range m.Ranks {
@@ -73,7 +73,7 @@
 	var buffer bytes.Buffer
 	encoder := gotoml.NewEncoder(&buffer)
 	if err := encoder.Encode(printed); err != nil {
-		panic(err) // the types above have no value that can't be encoded
+		panic(err) // every value of the types above can be encoded
 	}
 	return buffer.Bytes()
 }
@@ -133,12 +133,13 @@
 type Change struct {
 	// Key locates the value, such as "limits slots" or "kind post-finish rank".
 	Key string
-	// Before and After are the values; empty where there is none.
+	// Before and After are the old and the new value; one is empty if the key
+	// exists in one of the manifests only.
 	Before, After string
 }
 
-// String formats c with a leading '+' for what is new, '-' for what is gone
-// and '~' for what differs.
+// String formats c with a leading '+' for an added, '-' for a removed and '~' for
+// a changed value.
 func (c Change) String() string {
 	switch {
 	case c.Before == "":
@@ -150,38 +151,39 @@
 	}
 }
 
-// Diff lists what differs between before and after: first what is gone or
-// changed, in the order of before, then what is new, in the order of after.
-// A nil manifest is an empty one.
+// Diff lists the differences between before and after: first the removed and
+// changed values, in the order of before, then the added values, in the order of
+// after. A nil manifest counts as empty.
 func Diff(before, after *Manifest) []Change {
-	older, newer := before.values(), after.values()
+	older, newer := before.flatten(), after.flatten()
 	var changes []Change
-	for _, key := range older.order {
-		if older.text[key] != newer.text[key] {
-			changes = append(changes, Change{Key: key, Before: older.text[key], After: newer.text[key]})
+	for _, key := range older.keys {
+		if older.textByKey[key] != newer.textByKey[key] {
+			changes = append(changes, Change{Key: key, Before: older.textByKey[key], After: newer.textByKey[key]})
 		}
 	}
-	for _, key := range newer.order {
-		if _, found := older.text[key]; !found {
-			changes = append(changes, Change{Key: key, After: newer.text[key]})
+	for _, key := range newer.keys {
+		if _, found := older.textByKey[key]; !found {
+			changes = append(changes, Change{Key: key, After: newer.textByKey[key]})
 		}
 	}
 	return changes
 }
 
-// values holds every value of a manifest as text, under a key.
-type values struct {
-	order []string
-	text  map[string]string
+// flatValues holds all values of a manifest as text, each under a key such as
+// "limits slots". keys keeps their order.
+type flatValues struct {
+	keys      []string
+	textByKey map[string]string
 }
 
-func (v *values) add(key string, value any) {
-	v.order = append(v.order, key)
-	v.text[key] = fmt.Sprint(value)
+func (v *flatValues) add(key string, value any) {
+	v.keys = append(v.keys, key)
+	v.textByKey[key] = fmt.Sprint(value)
 }
 
-func (m *Manifest) values() *values {
-	v := &values{text: map[string]string{}}
+func (m *Manifest) flatten() *flatValues {
+	v := &flatValues{textByKey: map[string]string{}}
 	if m == nil {
 		return v
 	}
@@ -202,15 +204,15 @@
 	return v
 }
 
-func (v *values) addRank(place int, rank Rank) {
+func (v *flatValues) addRank(index int, rank Rank) {
 	key := "rank " + rank.Name
-	v.add(key+" place", place+1)
+	v.add(key+" place", index+1)
 	v.add(key+" target", rank.LatencyTarget)
 	v.add(key+" worth", rank.Value)
 	v.add(key+" floor", rank.MinSlotShare)
 }
 
-func (v *values) addKind(m *Manifest, kind RequestKind) {
+func (v *flatValues) addKind(m *Manifest, kind RequestKind) {
 	key := "kind " + kind.Name
 	v.add(key+" rank", m.rankName(kind.Rank))
 	v.add(key+" access", kind.Access)
@@ -221,7 +223,7 @@
 	v.add(key+" repeat", kind.Retryable)
 }
 
-func (v *values) addGroup(group Group) {
+func (v *flatValues) addGroup(group Group) {
 	for _, database := range group.Databases {
 		key := fmt.Sprintf("group %s database %s", group.Name, database.Name)
 		v.add(key+" zone", database.Zone)
--- a/internal/config/settings/parse.go
+++ b/internal/config/settings/parse.go
@@ -11,38 +11,40 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// ValidationError lists everything that is wrong with a settings file.
+// ValidationError lists all errors of a settings file.
 type ValidationError = toml.ValidationError
 
 // Diagnostic is one entry of a ValidationError.
 type Diagnostic = toml.Diagnostic
 
 const (
-	// DefaultTickInterval is the longest time between two runs of the decisions where
-	// the settings give none.
+	// DefaultTickInterval is the longest time between two steps of the core engine
+	// if the settings do not give one.
 	DefaultTickInterval = 5 * time.Millisecond
-	// DefaultDatabaseUser is the name that the instance connects to databases with
-	// where the settings give none.
+	// DefaultDatabaseUser is the user name for connections to databases if the
+	// settings do not give one.
 	DefaultDatabaseUser = "eelgrassfold"
 
-	// DefaultMaxConnections is the greatest number of callers' connections where the
-	// settings give none.
+	// DefaultMaxConnections is the maximum number of callers' connections if the
+	// settings do not give one.
 	DefaultMaxConnections = 10_000
 
-	leastTick = time.Millisecond
-	mostTick  = 100 * time.Millisecond
+	minTickInterval = time.Millisecond
+	maxTickInterval = 100 * time.Millisecond
 )
 
 // -----------------------------------------------------------------------------
 // Reading.
 
-// Parse reads a settings file and checks it whole. Its error is a *ValidationError.
+// Parse reads a settings file and validates all of it. Its error is a
+// *ValidationError.
 func Parse(body []byte) (*Settings, error) {
 	s, _, err := ParseWithWarnings(body)
 	return s, err
 }
 
-// ParseWithWarnings is Parse, with warnings about what is allowed but unwise.
+// ParseWithWarnings is like Parse, and also returns warnings about settings that
+// are valid but not recommended.
 func ParseWithWarnings(body []byte) (s *Settings, warnings []Diagnostic, err error) {
 	root, err := toml.Parse(body)
 	if err != nil {
@@ -82,7 +84,7 @@
 func readName(table *toml.Table, key string) string {
 	name, found := table.Text(key)
 	if found && !toml.IsValidName(name) {
-		table.Errorf(key, "%q is no name: %s", name, toml.NameSyntax)
+		table.Errorf(key, "%q is not a valid name: %s", name, toml.NameSyntax)
 	}
 	return name
 }
@@ -92,8 +94,8 @@
 	if !found {
 		return DefaultTickInterval
 	}
-	if tick < leastTick || tick > mostTick {
-		root.Errorf("tick", "must be from %s to %s", leastTick, mostTick)
+	if tick < minTickInterval || tick > maxTickInterval {
+		root.Errorf("tick", "must be from %s to %s", minTickInterval, maxTickInterval)
 	}
 	return tick
 }
@@ -108,10 +110,10 @@
 	listen.Operators, _ = table.Address("operators")
 	peers, found := table.Address("peers")
 	if found && peers.Addr().IsUnspecified() {
-		table.Errorf("peers", "%s can't be told to other instances; name the address that they reach", peers)
+		table.Errorf("peers", "other instances can't connect to %s; give the address at which they reach this instance", peers)
 	}
 	if found && peers.Port() == 0 {
-		table.Errorf("peers", "wants a port: other instances are told this address")
+		table.Errorf("peers", "must have a port: other instances connect to this address")
 	}
 	listen.Peers = peers
 	return listen
@@ -126,21 +128,21 @@
 	}
 	address, err := url.Parse(text)
 	if err != nil || address.Scheme != "http" && address.Scheme != "https" {
-		table.Errorf("url", "%q is no URL, such as \"http://10.1.0.2:8080\"", text)
+		table.Errorf("url", "%q is not an HTTP URL, such as \"http://10.1.0.2:8080\"", text)
 		return platform
 	}
 	if _, err := netip.ParseAddrPort(address.Host); err != nil {
-		table.Errorf("url", "%q wants an IP address with a port as its host", text)
+		table.Errorf("url", "%q must have an IP address with a port as its host", text)
 	}
 	if strings.Trim(address.Path, "/") != "" {
-		table.Errorf("url", "%q wants no path", text)
+		table.Errorf("url", "%q must not have a path", text)
 	}
 	platform.URL = address
 	return platform
 }
 
 // -----------------------------------------------------------------------------
-// Who may speak.
+// Credentials: peers, operators, callers and databases.
 
 func readSecret(table *toml.Table, key string) SecretReference {
 	text, found := table.Text(key)
@@ -149,8 +151,8 @@
 	}
 	secret, valid := ParseSecretReference(text)
 	if !valid {
-		// The text is not repeated: it may be the secret itself.
-		table.Errorf(key, "wants a reference, \"file:PATH\" or \"env:NAME\"; secrets don't stand in settings")
+		// The message does not quote the text, because it may be the secret itself.
+		table.Errorf(key, "must be a reference, \"file:PATH\" or \"env:NAME\"; settings must not contain secrets")
 	}
 	return secret
 }
@@ -161,7 +163,7 @@
 	files.PrivateKeyFile, _ = table.Text("secret")
 	files.CAFile, _ = table.Text("authority")
 	if table.Has("certificate") != table.Has("secret") {
-		table.Errorf("certificate", "certificate and secret go together")
+		table.Errorf("certificate", "certificate and secret must be given together")
 	}
 	return files
 }
@@ -169,10 +171,10 @@
 func readPeer(table *toml.Table) Peer {
 	peer := Peer{SharedKey: readSecret(table, "key"), TLS: readTLS(table)}
 	if !table.Has("key") && !table.Has("certificate") {
-		table.Errorf("", "wants a key, or a certificate, its secret and an authority")
+		table.Errorf("", "must have a key, or a certificate, its secret and an authority")
 	}
 	if table.Has("certificate") && !table.Has("authority") {
-		table.Errorf("certificate", "wants the authority that signed the peers' certificates")
+		table.Errorf("certificate", "requires the authority that signed the peers' certificates")
 	}
 	return peer
 }
@@ -183,7 +185,7 @@
 		r.warn(table, "operator.token", "without a token, nobody may submit a manifest or drain through this instance")
 	}
 	if listen.IsValid() && !listen.Addr().IsLoopback() && !table.Has("token") {
-		table.Errorf("token", "is missing, and other hosts reach %s", listen)
+		table.Errorf("token", "is missing, although other hosts can reach %s", listen)
 	}
 	return operator
 }
@@ -196,9 +198,9 @@
 	if limit, found := table.Int("limit"); found {
 		caller.MaxConnections = limit
 	}
-	taken := map[string]bool{}
+	seenNames := map[string]bool{}
 	for _, user := range root.Tables("user") {
-		caller.Users = append(caller.Users, readUser(user, taken))
+		caller.Users = append(caller.Users, readUser(user, seenNames))
 	}
 	r.checkCaller(table, caller, listen)
 	return caller
@@ -212,7 +214,7 @@
 		table.Errorf("", "nobody may connect: declare a [[user]], or set trust")
 	}
 	if caller.TrustAnyUser && len(caller.Users) > 0 {
-		table.Errorf("trust", "with trust, the passwords of users are not asked for: drop either")
+		table.Errorf("trust", "excludes users: with trust, no caller is asked for a password")
 	}
 	if caller.TLS.IsSet() {
 		return
@@ -221,19 +223,19 @@
 		table.Errorf("require", "TLS needs a certificate and its secret")
 	}
 	if listen.IsValid() && !listen.Addr().IsLoopback() && len(caller.Users) > 0 {
-		table.Errorf("certificate", "is missing, and passwords cross the network only under TLS")
+		table.Errorf("certificate", "is missing: passwords must not cross the network without TLS")
 		return
 	}
 	r.warn(table, "caller", "without a certificate, callers' connections are not encrypted")
 }
 
-func readUser(table *toml.Table, taken map[string]bool) User {
+func readUser(table *toml.Table, seenNames map[string]bool) User {
 	table.Require("name", "password")
 	user := User{Name: readName(table, "name"), Password: readSecret(table, "password")}
-	if taken[user.Name] {
+	if seenNames[user.Name] {
 		table.Errorf("name", "%q is declared twice", user.Name)
 	}
-	taken[user.Name] = true
+	seenNames[user.Name] = true
 	return user
 }
 
@@ -265,7 +267,7 @@
 			return level
 		}
 	}
-	table.Errorf("level", "%q is none of debug, info, warn, error", text)
+	table.Errorf("level", "%q is not one of debug, info, warn, error", text)
 	return event.LevelInfo
 }
 
--- a/internal/config/settings/secret.go
+++ b/internal/config/settings/secret.go
@@ -9,7 +9,7 @@
 // -----------------------------------------------------------------------------
 // Secrets.
 
-// SecretReference refers to a secret that stands outside the settings.
+// SecretReference refers to a secret that is stored outside the settings.
 type SecretReference struct {
 	source secretSource
 	name   string
@@ -23,7 +23,7 @@
 	sourceEnv
 )
 
-// secretPrefixes maps the forms that settings may use to their sources.
+// secretPrefixes maps the prefixes of references in the settings to their sources.
 var secretPrefixes = []struct {
 	prefix string
 	source secretSource
@@ -32,12 +32,12 @@
 	{"env:", sourceEnv},
 }
 
-// SecretError reports that a secret could not be loaded. It never holds the
+// SecretError reports that a secret could not be loaded. It never contains the
 // secret.
 type SecretError struct {
-	// Reference is the reference, as it stands in the settings.
+	// Reference is the reference, as the settings give it.
 	Reference string
-	// Reason tells what failed.
+	// Reason describes what failed.
 	Reason string
 }
 
@@ -46,8 +46,8 @@
 	return fmt.Sprintf("secret %s: %s", e.Reference, e.Reason)
 }
 
-// ParseSecretReference reads a reference of the form "file:PATH" or "env:NAME". It
-// reports whether text is one.
+// ParseSecretReference parses a reference of the form "file:PATH" or "env:NAME".
+// It returns false if text has neither form.
 func ParseSecretReference(text string) (SecretReference, bool) {
 	for _, form := range secretPrefixes {
 		if name, found := strings.CutPrefix(text, form.prefix); found && name != "" {
@@ -57,7 +57,7 @@
 	return SecretReference{}, false
 }
 
-// IsSet tells whether s refers to anything.
+// IsSet reports whether s refers to a secret.
 func (s SecretReference) IsSet() bool { return s.source != sourceNone }
 
 // String formats the reference, not the secret.
@@ -70,8 +70,8 @@
 	return ""
 }
 
-// Load reads the secret, without the white space around it. A Secret that
-// refers to nothing is an empty string. Its error is a *SecretError.
+// Load reads the secret and returns it without surrounding white space. It returns
+// an empty string if s is not set. Its error is a *SecretError.
 func (s SecretReference) Load() (string, error) {
 	switch s.source {
 	case sourceFile:
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -1,14 +1,15 @@
-// Package settings reads what one instance is told at its start: its name and
-// availability zone, its addresses, where the platform and its first peers are,
-// and who may speak to it.
+// Package settings reads the configuration of one instance: its name and
+// availability zone, its listen addresses, the addresses of the platform and of
+// its first peers, and the credentials of those who may connect to it.
 //
 // # What flows in and out
 //
-// The bytes of a TOML file flow in; Settings flow out, checked whole, or a list
-// of faults with their lines. What concerns all instances alike (groups, ranks,
-// kinds, limits) stands in the manifest, so that a change of it needs no
-// restart. Secrets never stand in the file: it names files or environment
-// variables, which Secret.Load reads, and nothing here prints their content.
+// The bytes of a TOML file flow in; completely validated Settings flow out, or a
+// list of errors with their lines. Declarations that apply to all instances
+// (groups, ranks, kinds, limits) are in the manifest instead, so that changing
+// them needs no restart. The file contains no secrets: it names files or
+// environment variables, which SecretReference.Load reads, and this package never
+// prints their content.
 //
 // Nothing is open by default: callers need a user and a password unless trust
 // is set, peers need a key or certificates, and operators on an address that
@@ -32,15 +33,16 @@
 // -----------------------------------------------------------------------------
 // The settings of one instance.
 
-// Settings is what one instance is told at its start.
+// Settings is the configuration of one instance, read when it starts.
 type Settings struct {
-	// Name names the instance; each start adds a suffix of its own.
+	// Name is the name of the instance. Each start appends a unique suffix to it.
 	Name string
 	// Zone is the availability zone that the instance runs in.
 	Zone model.ZoneID
-	// TickInterval is the longest time between two runs of the decisions.
+	// TickInterval is the longest time between two steps of the core engine.
 	TickInterval time.Duration
-	// SeedAddresses are peer addresses of other instances. One that answers is enough.
+	// SeedAddresses are the peer addresses of other instances. It is enough if one
+	// of them answers.
 	SeedAddresses []netip.AddrPort
 	Listen        ListenAddresses
 	Platform      Platform
@@ -51,70 +53,71 @@
 	Log           Log
 }
 
-// ListenAddresses holds the addresses that the instance binds.
+// ListenAddresses holds the addresses that the instance listens on.
 type ListenAddresses struct {
 	Callers   netip.AddrPort
 	Peers     netip.AddrPort
 	Operators netip.AddrPort
 }
 
-// Platform tells how to reach the platform's services.
+// Platform configures the connection to the platform's services.
 type Platform struct {
 	URL *url.URL
 	// Token is sent with each request, if there is one.
 	Token SecretReference
 }
 
-// Peer tells how instances prove themselves to each other: by a shared Key, or
-// by certificates.
+// Peer configures how instances authenticate each other: by a shared key, or by
+// certificates.
 type Peer struct {
 	SharedKey SecretReference
 	TLS       TLSFiles
 }
 
-// Operator tells who may use the operators' address.
+// Operator configures access to the operators' address.
 type Operator struct {
-	// Token is what operators have to send, if there is one.
+	// Token is the bearer token that operators have to send, if it is set.
 	Token SecretReference
 }
 
-// Caller tells who may connect, and how.
+// Caller configures which callers may connect, and how.
 type Caller struct {
 	TLS TLSFiles
-	// RequireTLS refuses callers that don't ask for TLS.
+	// RequireTLS rejects connections without TLS.
 	RequireTLS bool
-	// MaxConnections is the greatest number of callers' connections.
+	// MaxConnections is the maximum number of callers' connections.
 	MaxConnections int
-	// TrustAnyUser lets everyone in under any name.
+	// TrustAnyUser accepts every user name without a password.
 	TrustAnyUser bool
-	// Users are those who may connect.
+	// Users are the users who may connect.
 	Users []User
 }
 
-// User is one name that callers may connect with.
+// User is a user name that callers may connect with, and its password.
 type User struct {
 	Name     string
 	Password SecretReference
 }
 
-// DatabaseCredentials tells as whom the instance connects to databases.
+// DatabaseCredentials holds the credentials for connections to databases.
 type DatabaseCredentials struct {
 	User     string
 	Password SecretReference
 }
 
-// TLSFiles names a certificate, its private key, and the authority that has to have
-// signed the other side's certificate. All are paths of PEM files.
+// TLSFiles names a certificate, its private key, and the certificate of the
+// authority that must have signed the other side's certificate. All are paths of
+// PEM files.
 type TLSFiles struct {
 	CertificateFile string
 	PrivateKeyFile  string
 	CAFile          string
 }
 
-// IsSet tells whether t names a certificate.
+// IsSet reports whether t names a certificate.
 func (t TLSFiles) IsSet() bool { return t.CertificateFile != "" }
 
-// Log tells what is logged, and in which form.
+// Log configures the lowest level and the format of log lines.
 type Log struct {
 	Level  event.Level
 	Format Format
@@ -125,13 +128,13 @@
 
 // The values of Format.
 const (
-	// FormatJSON writes one JSON object a line.
+	// FormatJSON writes one JSON object per line.
 	FormatJSON Format = iota
 	// FormatText writes key=value pairs.
 	FormatText
 )
 
-// String names f as the settings do.
+// String returns the name of f, as the settings give it.
 func (f Format) String() string {
 	if f == FormatText {
 		return "text"
--- a/internal/config/settings/settings_test.go
+++ b/internal/config/settings/settings_test.go
@@ -16,9 +16,9 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-func TestFaults(t *testing.T) {
+func TestDiagnostics(t *testing.T) {
 	paths, _ := filepath.Glob("testdata/faults/*.toml")
 	if len(paths) == 0 {
 		t.Fatal("no cases")
@@ -28,14 +28,14 @@
 			body, _ := os.ReadFile(path)
 			_, warnings, err := ParseWithWarnings(body)
 			if err == nil {
-				t.Fatal("no faults were found")
+				t.Fatal("no errors were reported")
 			}
 			got := err.Error() + "\n"
 			for _, warning := range warnings {
 				got += "warning: " + warning.String() + "\n"
 			}
 			if strings.Contains(got, "hunter2") {
-				t.Error("a secret was printed")
+				t.Error("the messages contain a secret")
 			}
 			golden := strings.TrimSuffix(path, ".toml") + ".golden"
 			if *update {
@@ -57,7 +57,7 @@
 		}
 		s, warnings, err := ParseWithWarnings(body)
 		if err != nil || len(warnings) > 0 {
-			t.Fatalf("Inspect(%s) = %v, warnings %v", name, err, warnings)
+			t.Fatalf("ParseWithWarnings(%s) = %v, warnings %v", name, err, warnings)
 		}
 		if string(s.Zone) != zone || len(s.Caller.Users) != 3 || len(s.SeedAddresses) != 3 {
 			t.Errorf("%s: zone %s, %d users, %d seeds", name, s.Zone, len(s.Caller.Users), len(s.SeedAddresses))
@@ -113,7 +113,7 @@
 		t.Run(name, func(t *testing.T) {
 			secret, valid := ParseSecretReference(c.reference)
 			if !valid || fmt.Sprint(secret) != c.reference {
-				t.Fatalf("ParseSecret(%q) = %v, %v", c.reference, secret, valid)
+				t.Fatalf("ParseSecretReference(%q) = %v, %v", c.reference, secret, valid)
 			}
 			got, err := secret.Load()
 			var typed *SecretError
@@ -134,8 +134,8 @@
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s, err := Parse(body)
-		var faults *ValidationError
-		if (s == nil) == (err == nil) || err != nil && !errors.As(err, &faults) {
+		var validation *ValidationError
+		if (s == nil) == (err == nil) || err != nil && !errors.As(err, &validation) {
 			t.Errorf("Parse = %v, %v", s, err)
 		}
 	})
--- a/internal/config/toml/fault.go
+++ b/internal/config/toml/fault.go
@@ -7,28 +7,28 @@
 )
 
 // -----------------------------------------------------------------------------
-// Faults.
+// Diagnostics.
 
-// Diagnostic is one thing that is wrong in a document.
+// Diagnostic describes one error in a document, or one warning about it.
 type Diagnostic struct {
-	// Line is the line of the key that is at fault, from 1. A key that is
-	// missing has the line of the table that lacks it.
+	// Line is the line of the invalid key, counted from 1. For a missing key, it
+	// is the line of the table that lacks the key.
 	Line int
-	// Key is the dotted path of the key, or empty for a fault of the document.
+	// Key is the dotted path of the key, or empty for an error of the document.
 	Key string
-	// Message tells what is wrong.
+	// Message describes the error.
 	Message string
 }
 
-// String formats f as "line: key: text".
-func (f Diagnostic) String() string {
-	if f.Key == "" {
-		return fmt.Sprintf("%d: %s", f.Line, f.Message)
+// String formats d as "LINE: KEY: MESSAGE", or "LINE: MESSAGE" without a key.
+func (d Diagnostic) String() string {
+	if d.Key == "" {
+		return fmt.Sprintf("%d: %s", d.Line, d.Message)
 	}
-	return fmt.Sprintf("%d: %s: %s", f.Line, f.Key, f.Message)
+	return fmt.Sprintf("%d: %s: %s", d.Line, d.Key, d.Message)
 }
 
-// ValidationError reports every fault of a document, in the order of their lines.
+// ValidationError reports all errors of a document, ordered by line.
 type ValidationError struct {
 	Diagnostics []Diagnostic
 }
@@ -36,18 +36,18 @@
 // Error implements error.
 func (e *ValidationError) Error() string {
 	lines := make([]string, len(e.Diagnostics))
-	for i, fault := range e.Diagnostics {
-		lines[i] = fault.String()
+	for i, diagnostic := range e.Diagnostics {
+		lines[i] = diagnostic.String()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// SortDiagnostics orders faults by line, then by key.
-func SortDiagnostics(faults []Diagnostic) {
-	sort.SliceStable(faults, func(i, j int) bool {
-		if faults[i].Line != faults[j].Line {
-			return faults[i].Line < faults[j].Line
+// SortDiagnostics sorts diagnostics by line, then by key.
+func SortDiagnostics(diagnostics []Diagnostic) {
+	sort.SliceStable(diagnostics, func(i, j int) bool {
+		if diagnostics[i].Line != diagnostics[j].Line {
+			return diagnostics[i].Line < diagnostics[j].Line
 		}
-		return faults[i].Key < faults[j].Key
+		return diagnostics[i].Key < diagnostics[j].Key
 	})
 }
--- a/internal/config/toml/name.go
+++ b/internal/config/toml/name.go
@@ -2,11 +2,12 @@
 
 import "regexp"
 
-// NameSyntax tells operators what IsValidName wants.
-const NameSyntax = "letters, digits, '.', '_' and '-' only, at most 63"
+// NameSyntax describes valid names, for error messages.
+const NameSyntax = "only letters, digits, '.', '_' and '-', at most 63 characters"
 
 var validName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// IsValidName reports whether text may name something. Names go into connection
-// parameters, log lines and control statements without quoting.
+// IsValidName reports whether text is a valid name. The syntax is restricted
+// because names are used unquoted in connection parameters, log lines and control
+// statements.
 func IsValidName(text string) bool { return validName.MatchString(text) }
--- a/internal/config/toml/toml.go
+++ b/internal/config/toml/toml.go
@@ -1,20 +1,21 @@
-// Package toml reads TOML documents strictly, and reports every fault with its
+// Package toml reads TOML documents strictly, and reports every error with its
 // line.
 //
 // # What flows in and out
 //
-// The bytes of a document flow in. Typed values flow out by the accessors of
-// Table; what is missing, of the wrong type, out of range or unknown flows out
-// as faults. A decoder into structs stops at the first wrong value and knows no
-// lines afterwards; an operator wants the whole list at once, also of the
-// checks that run later on the values. A document that is no TOML at all has
-// one fault, since nothing after it can be read reliably.
+// The bytes of a document flow in. Typed values flow out of the accessors of
+// Table; values that are missing, of the wrong type, out of range or unknown are
+// reported as diagnostics. The package does not decode into structs, because such
+// a decoder stops at the first wrong value and discards the line numbers, while
+// an operator needs the complete list at once, including the checks that run
+// later on the values. A document with a syntax error gets this one diagnostic,
+// because nothing after the error can be read reliably.
 //
 // # Usage
 //
-//	root, err := toml.Read(body)
+//	root, err := toml.Parse(body)
 //	if err != nil { ... }
-//	root.Need("name")
+//	root.Require("name")
 //	name, found := root.Text("name")
 //	for _, rank := range root.Tables("rank") { ... }
 //	err = root.Finish()
@@ -37,17 +38,18 @@
 // Table is one table of a document.
 type Table struct {
 	document *document
-	// path locates the table with the index of each array of tables; name is
-	// the same without indexes, as operators write it.
+	// path is the dotted path of the table with the index of each array of tables,
+	// such as "group#0.database#1". name is the path without indexes, as messages
+	// show it.
 	path, name string
 	values     map[string]any
-	known      map[string]bool
+	knownKeys  map[string]bool
 }
 
 type document struct {
-	lines  map[string]int
-	tables []*Table
-	faults []Diagnostic
+	lineByPath  map[string]int
+	tables      []*Table
+	diagnostics []Diagnostic
 }
 
 // Parse parses body and returns its root table. Its error is a *ValidationError.
@@ -56,90 +58,91 @@
 	if err := gotoml.Unmarshal(body, &values); err != nil {
 		return nil, syntaxError(err)
 	}
-	doc := &document{lines: readLines(body)}
-	return doc.open("", "", values), nil
+	doc := &document{lineByPath: indexLines(body)}
+	return doc.newTable("", "", values), nil
 }
 
 func syntaxError(err error) error {
-	fault := Diagnostic{Line: 1, Message: strings.TrimPrefix(err.Error(), "toml: ")}
+	diagnostic := Diagnostic{Line: 1, Message: strings.TrimPrefix(err.Error(), "toml: ")}
 	var decode *gotoml.DecodeError
 	if errors.As(err, &decode) {
-		fault.Line, _ = decode.Position()
+		diagnostic.Line, _ = decode.Position()
 	}
-	return &ValidationError{Diagnostics: []Diagnostic{fault}}
+	return &ValidationError{Diagnostics: []Diagnostic{diagnostic}}
 }
 
-func (d *document) open(path, name string, values map[string]any) *Table {
-	table := &Table{document: d, path: path, name: name, values: values, known: map[string]bool{}}
+func (d *document) newTable(path, name string, values map[string]any) *Table {
+	table := &Table{document: d, path: path, name: name, values: values, knownKeys: map[string]bool{}}
 	d.tables = append(d.tables, table)
 	return table
 }
 
-// line returns the line of path, or that of the nearest table around it.
+// line returns the line of path, or that of the nearest enclosing table.
 func (d *document) line(path string) int {
 	for {
-		if line, found := d.lines[path]; found {
+		if line, found := d.lineByPath[path]; found {
 			return line
 		}
-		cut := strings.LastIndexAny(path, ".#")
-		if cut < 0 {
+		separator := strings.LastIndexAny(path, ".#")
+		if separator < 0 {
 			return 1
 		}
-		path = path[:cut]
+		path = path[:separator]
 	}
 }
 
-// Finish ends the reading. It returns a *ValidationError with every fault found,
-// keys that nobody asked for included, or nil.
+// Finish is called after all values have been read. It returns a *ValidationError
+// with every error found, including those for keys that were never read, or nil.
 func (t *Table) Finish() error {
 	doc := t.document
 	for _, table := range doc.tables {
 		table.reportUnknown()
 	}
-	if len(doc.faults) == 0 {
+	if len(doc.diagnostics) == 0 {
 		return nil
 	}
-	SortDiagnostics(doc.faults)
-	return &ValidationError{Diagnostics: doc.faults}
+	SortDiagnostics(doc.diagnostics)
+	return &ValidationError{Diagnostics: doc.diagnostics}
 }
 
 func (t *Table) reportUnknown() {
-	known := make([]string, 0, len(t.known))
-	for key := range t.known {
+	known := make([]string, 0, len(t.knownKeys))
+	for key := range t.knownKeys {
 		known = append(known, key)
 	}
 	sort.Strings(known)
 	for key := range t.values {
-		if !t.known[key] {
-			t.Errorf(key, "unknown key; the keys here are %s", strings.Join(known, ", "))
+		if !t.knownKeys[key] {
+			t.Errorf(key, "unknown key; the known keys are %s", strings.Join(known, ", "))
 		}
 	}
 }
 
 // -----------------------------------------------------------------------------
-// Faults of one table.
+// Diagnostics of one table.
 
-// Errorf reports that the value of key is wrong. An empty key stands for the
-// table.
+// Errorf reports that the value of key is invalid. An empty key selects the table
+// itself.
 func (t *Table) Errorf(key, format string, values ...any) {
-	fault := Diagnostic{Line: t.Line(key), Key: join(t.name, key), Message: fmt.Sprintf(format, values...)}
-	t.document.faults = append(t.document.faults, fault)
+	diagnostic := Diagnostic{Line: t.Line(key), Key: join(t.name, key), Message: fmt.Sprintf(format, values...)}
+	t.document.diagnostics = append(t.document.diagnostics, diagnostic)
 }
 
-// Line returns the line of key, from 1. An empty key stands for the table.
+// Line returns the line of key, counted from 1. An empty key selects the table
+// itself.
 func (t *Table) Line(key string) int { return t.document.line(join(t.path, key)) }
 
-// Require reports each of keys that is missing.
+// Require reports a diagnostic for each of keys that is missing.
 func (t *Table) Require(keys ...string) {
 	for _, key := range keys {
-		t.known[key] = true
+		t.knownKeys[key] = true
 		if _, found := t.values[key]; !found {
 			t.Errorf(key, "is missing")
 		}
 	}
 }
 
-// Has tells whether key is there, of whatever type.
+// Has reports whether key is present, with a value of any type.
 func (t *Table) Has(key string) bool {
 	_, found := t.values[key]
 	return found
@@ -155,63 +158,65 @@
 // -----------------------------------------------------------------------------
 // Lines.
 
-// readLines maps the path of each key and table of body to its line. The body
-// is known to be valid.
-func readLines(body []byte) map[string]int {
-	walk := lineWalk{body: body, lines: map[string]int{}, counts: map[string]int{}}
-	walk.parser.Reset(body)
-	for walk.parser.NextExpression() {
-		walk.add(walk.parser.Expression())
+// indexLines maps the path of each key and table of body to its line. The body
+// must be valid TOML.
+func indexLines(body []byte) map[string]int {
+	indexer := lineIndexer{body: body, lineByPath: map[string]int{}, arrayLengths: map[string]int{}}
+	indexer.parser.Reset(body)
+	for indexer.parser.NextExpression() {
+		indexer.add(indexer.parser.Expression())
 	}
-	return walk.lines
+	return indexer.lineByPath
 }
 
-type lineWalk struct {
-	body   []byte
-	parser unstable.Parser
-	lines  map[string]int
-	// counts holds the number of tables of each array; base is the path of
-	// the table that the document is in.
-	counts map[string]int
-	base   string
+type lineIndexer struct {
+	body       []byte
+	parser     unstable.Parser
+	lineByPath map[string]int
+	// arrayLengths holds the number of tables read so far of each array of tables,
+	// by path. tablePath is the path of the current table.
+	arrayLengths map[string]int
+	tablePath    string
 }
 
-func (w *lineWalk) add(node *unstable.Node) {
+func (w *lineIndexer) add(node *unstable.Node) {
 	switch node.Kind {
 	case unstable.Table:
-		w.base, _ = w.place("", node.Key())
+		w.tablePath, _ = w.recordLine("", node.Key())
 	case unstable.ArrayTable:
-		path, offset := w.place("", node.Key())
-		path = unindexed(path)
-		w.base = fmt.Sprintf("%s#%d", path, w.counts[path])
-		w.counts[path]++
-		w.lines[w.base] = w.lineAt(offset)
+		path, offset := w.recordLine("", node.Key())
+		path = trimArrayIndex(path)
+		w.tablePath = fmt.Sprintf("%s#%d", path, w.arrayLengths[path])
+		w.arrayLengths[path]++
+		w.lineByPath[w.tablePath] = w.lineOfOffset(offset)
 	case unstable.KeyValue:
-		w.place(w.base, node.Key())
+		w.recordLine(w.tablePath, node.Key())
 	default:
 	}
 }
 
-// place notes the line of a dotted key below base and returns its path, with
-// the index of the last table of each array on the way.
-func (w *lineWalk) place(base string, keys unstable.Iterator) (string, uint32) {
+// recordLine records the line of a dotted key below base and of each of its
+// prefixes. It returns the path of the key, in which each array of tables is
+// followed by the index of its last table, and the key's offset.
+func (w *lineIndexer) recordLine(base string, keys unstable.Iterator) (string, uint32) {
 	path := base
 	var offset uint32
 	for keys.Next() {
 		path = join(path, string(keys.Node().Data))
 		offset = keys.Node().Raw.Offset
-		if _, found := w.lines[path]; !found {
-			w.lines[path] = w.lineAt(offset)
+		if _, found := w.lineByPath[path]; !found {
+			w.lineByPath[path] = w.lineOfOffset(offset)
 		}
-		if count := w.counts[path]; count > 0 {
+		if count := w.arrayLengths[path]; count > 0 {
 			path = fmt.Sprintf("%s#%d", path, count-1)
 		}
 	}
 	return path, offset
 }
 
-// unindexed drops the index that place put at the end of an array's own path.
-func unindexed(path string) string {
+// trimArrayIndex removes the index that recordLine appended to the path of an
+// array of tables.
+func trimArrayIndex(path string) string {
 	hash := strings.LastIndexByte(path, '#')
 	if hash < strings.LastIndexByte(path, '.') || hash < 0 {
 		return path
@@ -219,6 +224,6 @@
 	return path[:hash]
 }
 
-func (w *lineWalk) lineAt(offset uint32) int {
+func (w *lineIndexer) lineOfOffset(offset uint32) int {
 	return 1 + bytes.Count(w.body[:offset], []byte{'\n'})
 }
--- a/internal/config/toml/toml_test.go
+++ b/internal/config/toml/toml_test.go
@@ -26,7 +26,7 @@
 address = "localhost:1"
 `
 
-func TestFaultsHaveLines(t *testing.T) {
+func TestDiagnosticsHaveLines(t *testing.T) {
 	root, err := Parse([]byte(sample))
 	if err != nil {
 		t.Fatal(err)
@@ -43,25 +43,25 @@
 	}
 	want := []Diagnostic{
 		{Line: 1, Key: "zone", Message: "is missing"},
-		{Line: 4, Key: "limits.odd", Message: "unknown key; the keys here are slots"},
-		{Line: 11, Key: "group.database.name", Message: "wants a string"},
-		{Line: 15, Key: "group.wrong", Message: "unknown key; the keys here are database, name"},
+		{Line: 4, Key: "limits.odd", Message: "unknown key; the known keys are slots"},
+		{Line: 11, Key: "group.database.name", Message: "must be a string"},
+		{Line: 15, Key: "group.wrong", Message: "unknown key; the known keys are database, name"},
 		{Line: 16, Key: "group.database.name", Message: "is missing"},
-		{Line: 17, Key: "group.database.address", Message: `"localhost:1" is no IP address with a port, such as "10.1.0.11:5432"`},
+		{Line: 17, Key: "group.database.address", Message: `"localhost:1" is not an IP address with a port, such as "10.1.0.11:5432"`},
 	}
-	var faults *ValidationError
-	if !errors.As(root.Finish(), &faults) {
-		t.Fatal("Finish found no faults")
+	var validation *ValidationError
+	if !errors.As(root.Finish(), &validation) {
+		t.Fatal("Finish returned no *ValidationError")
 	}
-	if diff := cmp.Diff(want, faults.Diagnostics); diff != "" {
-		t.Errorf("faults (-want +got):\n%s", diff)
+	if diff := cmp.Diff(want, validation.Diagnostics); diff != "" {
+		t.Errorf("diagnostics (-want +got):\n%s", diff)
 	}
 }
 
-func TestSyntaxFault(t *testing.T) {
+func TestSyntaxErrorHasLine(t *testing.T) {
 	_, err := Parse([]byte("a = 1\nb = \n"))
-	var faults *ValidationError
-	if !errors.As(err, &faults) || faults.Diagnostics[0].Line != 2 {
-		t.Fatalf("Read error = %v, want one fault on line 2", err)
+	var validation *ValidationError
+	if !errors.As(err, &validation) || validation.Diagnostics[0].Line != 2 {
+		t.Fatalf("Parse error = %v, want one diagnostic on line 2", err)
 	}
 }
--- a/internal/config/toml/value.go
+++ b/internal/config/toml/value.go
@@ -7,31 +7,33 @@
 )
 
 // -----------------------------------------------------------------------------
-// Values. Each accessor returns false where the key is absent, and also, with
-// a fault reported, where its value is of another type.
+// Values. Each accessor returns false if the key is absent, and if the value has
+// another type, which is also reported as a diagnostic.
 
-// Text returns a string.
-func (t *Table) Text(key string) (string, bool) { return value[string](t, key, "a string") }
+// Text returns the string under key.
+func (t *Table) Text(key string) (string, bool) { return typedValue[string](t, key, "a string") }
 
-// Bool returns true or false.
-func (t *Table) Bool(key string) (result, found bool) { return value[bool](t, key, "true or false") }
+// Bool returns the boolean under key.
+func (t *Table) Bool(key string) (result, found bool) {
+	return typedValue[bool](t, key, "true or false")
+}
 
-// Int returns a whole number.
+// Int returns the whole number under key.
 func (t *Table) Int(key string) (int, bool) {
-	number, found := value[int64](t, key, "a whole number")
+	number, found := typedValue[int64](t, key, "a whole number")
 	return int(number), found
 }
 
-// Float returns a number, with or without a fraction.
+// Float returns the number under key, with or without a fraction.
 func (t *Table) Float(key string) (float64, bool) {
-	if whole, is := t.values[key].(int64); is {
-		t.known[key] = true
+	if whole, ok := t.values[key].(int64); ok {
+		t.knownKeys[key] = true
 		return float64(whole), true
 	}
-	return value[float64](t, key, "a number")
+	return typedValue[float64](t, key, "a number")
 }
 
-// Duration returns a duration, such as "250ms".
+// Duration returns the duration under key, such as "250ms".
 func (t *Table) Duration(key string) (time.Duration, bool) {
 	text, found := t.Text(key)
 	if !found {
@@ -39,13 +41,14 @@
 	}
 	duration, err := time.ParseDuration(text)
 	if err != nil {
-		t.Errorf(key, "%q is no duration, such as \"250ms\" or \"2s\"", text)
+		t.Errorf(key, "%q is not a duration, such as \"250ms\" or \"2s\"", text)
 		return 0, false
 	}
 	return duration, true
 }
 
-// Address returns an IP address with a port, such as "10.1.0.11:5432".
+// Address returns the IP address with a port under key, such as
+// "10.1.0.11:5432".
 func (t *Table) Address(key string) (netip.AddrPort, bool) {
 	text, found := t.Text(key)
 	if !found {
@@ -54,9 +57,9 @@
 	return t.address(key, text)
 }
 
-// Addresses returns a list of addresses.
+// Addresses returns the list of addresses under key.
 func (t *Table) Addresses(key string) ([]netip.AddrPort, bool) {
-	list, found := value[[]any](t, key, "a list of addresses")
+	list, found := typedValue[[]any](t, key, "a list of addresses")
 	if !found {
 		return nil, false
 	}
@@ -72,45 +75,45 @@
 func (t *Table) address(key, text string) (netip.AddrPort, bool) {
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		t.Errorf(key, "%q is no IP address with a port, such as \"10.1.0.11:5432\"", text)
+		t.Errorf(key, "%q is not an IP address with a port, such as \"10.1.0.11:5432\"", text)
 		return netip.AddrPort{}, false
 	}
 	return address, true
 }
 
-// Table returns the table under key. Where it is absent, or no table, it
-// returns an empty one, so that what is missing is reported by its keys.
+// Table returns the table under key. If key is absent or not a table, it returns
+// an empty table, so that its required keys are reported as missing.
 func (t *Table) Table(key string) *Table {
-	values, _ := value[map[string]any](t, key, "a table")
-	return t.document.open(join(t.path, key), join(t.name, key), values)
+	values, _ := typedValue[map[string]any](t, key, "a table")
+	return t.document.newTable(join(t.path, key), join(t.name, key), values)
 }
 
 // Tables returns the array of tables under key.
 func (t *Table) Tables(key string) []*Table {
-	list, _ := value[[]any](t, key, "a list of tables")
+	list, _ := typedValue[[]any](t, key, "a list of tables")
 	tables := make([]*Table, 0, len(list))
 	for i, entry := range list {
-		values, is := entry.(map[string]any)
-		if !is {
-			t.Errorf(key, "wants a list of tables")
+		values, ok := entry.(map[string]any)
+		if !ok {
+			t.Errorf(key, "must be a list of tables")
 			continue
 		}
 		path := fmt.Sprintf("%s#%d", join(t.path, key), i)
-		tables = append(tables, t.document.open(path, join(t.name, key), values))
+		tables = append(tables, t.document.newTable(path, join(t.name, key), values))
 	}
 	return tables
 }
 
-func value[T any](t *Table, key, wanted string) (T, bool) {
-	t.known[key] = true
+func typedValue[T any](t *Table, key, typeName string) (T, bool) {
+	t.knownKeys[key] = true
 	raw, found := t.values[key]
 	if !found {
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
-	typed, is := raw.(T)
-	if !is {
-		t.Errorf(key, "wants %s", wanted)
+	typed, ok := raw.(T)
+	if !ok {
+		t.Errorf(key, "must be %s", typeName)
 	}
-	return typed, is
+	return typed, ok
 }
--- a/internal/report/event/event.go
+++ b/internal/report/event/event.go
@@ -2,12 +2,12 @@
 //
 // # What flows in and out
 //
-// Code that decides something names an Event from the tables here and adds
-// fields; the log sink writes one line for it, and `eelgrassfold events` prints
-// the catalogue, from which docs/EVENTS.md is made. Numbers are never used
-// again for another meaning.
+// Code that logs an event picks an Event from the tables in this package and adds
+// fields; the log sink writes one line for it. `eelgrassfold events` prints the
+// catalogue, from which docs/EVENTS.md is generated. A number is never reused for
+// another meaning.
 //
-// Each area has a file of its own and a range of numbers:
+// Each area has a range of numbers and one or more files:
 //
 //	100 callers and sessions     600 peers and membership
 //	200 routing of reads         700 manifest
@@ -17,12 +17,12 @@
 //
 // # Usage
 //
-//	note := message.Note{Event: event.ReadRouted, Fields: []event.Field{event.F("database", id)}}
+//	action := message.LogEvent{Event: event.ReadRouted, Fields: []event.Field{event.F("database", id)}}
 package event
 
 import "sort"
 
-// Level tells how much an operator should care.
+// Level is the severity of an event.
 type Level int
 
 // The levels, from the least to the most severe.
@@ -33,14 +33,15 @@
 	LevelError
 )
 
-// String names l as the log lines do.
+// String returns the name of l in lower case, as the catalogue and the settings
+// write it.
 func (l Level) String() string {
 	return [...]string{"debug", "info", "warn", "error"}[l]
 }
 
 // Event is one entry of the catalogue.
 type Event struct {
-	// Number identifies the event for good.
+	// Number identifies the event permanently.
 	Number int
 	// Name is a short name in lower case with dashes.
 	Name string
@@ -48,7 +49,7 @@
 	Level Level
 	// Text tells an operator what happened.
 	Text string
-	// Fields names the fields that the line carries.
+	// Fields lists the names of the fields on the event's log line.
 	Fields []string
 }
 
@@ -71,7 +72,7 @@
 	return all
 }
 
-// areas lists the tables of all areas; each area's file holds one.
+// areas lists the event tables; each file of an area defines one.
 var areas = [][]Event{
 	callerEvents,
 	routeEvents,
--- a/internal/report/event/event_caller.go
+++ b/internal/report/event/event_caller.go
@@ -1,9 +1,9 @@
 package event
 
 // -----------------------------------------------------------------------------
-// The events of this area.
+// 100: callers and their sessions.
 
-// The events of callers and their sessions.
+// Events of callers and their sessions.
 var (
 	SessionOpened = Event{
 		Number: 101, Name: "session-opened", Level: LevelDebug,
@@ -22,17 +22,17 @@
 	}
 	ProtocolViolated = Event{
 		Number: 104, Name: "protocol-violated", Level: LevelWarn,
-		Text:   "A caller did not follow the protocol and was disconnected.",
+		Text:   "A caller violated the protocol and was disconnected.",
 		Fields: []string{"session", "reason"},
 	}
 	AcceptFailed = Event{
 		Number: 105, Name: "accept-failed", Level: LevelError,
-		Text:   "A connection of a caller could not be accepted.",
+		Text:   "A caller's connection could not be accepted.",
 		Fields: []string{"reason"},
 	}
 	CancelAsked = Event{
 		Number: 110, Name: "cancel-asked", Level: LevelInfo,
-		Text:   "A caller has withdrawn its request by a cancel request.",
+		Text:   "A caller has canceled its running request with a cancel request.",
 		Fields: []string{"session", "request"},
 	}
 	TransactionExpired = Event{
@@ -42,17 +42,17 @@
 	}
 	ConnectionSilent = Event{
 		Number: 120, Name: "connection-silent", Level: LevelWarn,
-		Text:   "A connection to a database was closed as mute: the database answers on a new one and runs nothing.",
+		Text:   "A connection to a database was closed as unresponsive: the database answers on a new connection and runs no statement.",
 		Fields: []string{"session", "request", "database", "silence"},
 	}
 	CallersDraining = Event{
 		Number: 130, Name: "callers-draining", Level: LevelInfo,
-		Text:   "No further caller is accepted, and each connection is closed when it is idle.",
+		Text:   "The instance drains: it accepts no new callers and closes each connection when it is idle.",
 		Fields: []string{"sessions"},
 	}
 	CallersGone = Event{
 		Number: 131, Name: "callers-gone", Level: LevelInfo,
-		Text: "The last connection of a caller has ended.",
+		Text: "All connections of callers have ended.",
 	}
 )
 
--- a/internal/report/event/event_fleet.go
+++ b/internal/report/event/event_fleet.go
@@ -1,9 +1,9 @@
 package event
 
 // -----------------------------------------------------------------------------
-// 720: what an instance believes of configuration and databases.
+// 720: configuration and databases, as one instance knows them.
 
-// Events of the fleet.
+// Events of the configuration, the databases and the dependencies of an instance.
 var (
 	ConfigurationAdopted = Event{
 		Number: 720, Name: "configuration-adopted", Level: LevelInfo,
@@ -12,7 +12,7 @@
 	}
 	ContentRejected = Event{
 		Number: 721, Name: "content-rejected", Level: LevelWarn,
-		Text:   "An entry of the store can't be used; what was known before stays in force.",
+		Text:   "An entry of the store or a setting can't be used; the previous value stays in force.",
 		Fields: []string{"table", "key", "error"},
 	}
 	DatabaseKnown = Event{
@@ -22,22 +22,22 @@
 	}
 	DatabaseGone = Event{
 		Number: 723, Name: "database-gone", Level: LevelInfo,
-		Text:   "A database's entry is gone, or it has been leaving for as long as work may still go there.",
+		Text:   "A database is no longer used: its entry was removed, or its time to drain has passed.",
 		Fields: []string{"group", "database", "why"},
 	}
 	DependencyLost = Event{
 		Number: 724, Name: "dependency-lost", Level: LevelWarn,
-		Text:   "Something that the instance depends on does not answer.",
+		Text:   "A service that the instance depends on does not answer.",
 		Fields: []string{"dependency", "error"},
 	}
 	DependencyBack = Event{
 		Number: 725, Name: "dependency-back", Level: LevelInfo,
-		Text:   "Something that the instance depends on answers again.",
+		Text:   "A service that the instance depends on answers again.",
 		Fields: []string{"dependency", "away"},
 	}
 	ReadinessChanged = Event{
 		Number: 726, Name: "readiness-changed", Level: LevelInfo,
-		Text:   "The instance tells the platform whether to send it callers.",
+		Text:   "The readiness that the instance reports to the platform has changed: whether it should receive callers.",
 		Fields: []string{"ready", "configuration", "databases", "proven"},
 	}
 	FleetStarted = Event{
--- a/internal/report/event/event_manifest.go
+++ b/internal/report/event/event_manifest.go
@@ -12,12 +12,12 @@
 	}
 	ManifestRejected = Event{
 		Number: 751, Name: "manifest-rejected", Level: LevelError,
-		Text:   "A manifest from the platform or a peer is not what its digest or the rules say; the one before stays in force.",
+		Text:   "A manifest from the platform or a peer does not match its digest or is invalid; the previous one stays in force.",
 		Fields: []string{"number", "source", "why"},
 	}
 	ManifestAccepted = Event{
 		Number: 752, Name: "manifest-accepted", Level: LevelInfo,
-		Text:   "The platform holds a submitted manifest as the current one.",
+		Text:   "The platform has stored a submitted manifest as the current one.",
 		Fields: []string{"number", "digest", "who"},
 	}
 	ManifestDeclined = Event{
--- a/internal/report/event/event_peer.go
+++ b/internal/report/event/event_peer.go
@@ -1,7 +1,7 @@
 package event
 
 // -----------------------------------------------------------------------------
-// The events of this area.
+// 600: links between instances.
 
 // Events of the links between instances.
 var (
@@ -12,7 +12,7 @@
 	}
 	PeerLinked = Event{
 		602, "peer-linked", LevelInfo,
-		"A link to a peer stands and both ends are authenticated.",
+		"A link to a peer was established and both ends are authenticated.",
 		[]string{"peer", "address", "dialed"},
 	}
 	PeerUnlinked = Event{
@@ -22,7 +22,7 @@
 	}
 	PeerUnreachable = Event{
 		604, "peer-unreachable", LevelDebug,
-		"A link to a peer could not be made.",
+		"A link to a peer could not be established.",
 		[]string{"peer", "address", "error", "again"},
 	}
 	PeerRejected = Event{
@@ -32,7 +32,7 @@
 	}
 	PeerDropped = Event{
 		606, "peer-dropped", LevelDebug,
-		"A message to a peer was dropped since its queue is full.",
+		"A message to a peer was dropped because the queue for that peer is full.",
 		[]string{"peer", "message"},
 	}
 )
--- a/internal/report/event/event_platform.go
+++ b/internal/report/event/event_platform.go
@@ -1,13 +1,13 @@
 package event
 
 // -----------------------------------------------------------------------------
-// The events of this area.
+// 800: the platform.
 
-// Events of questions to the platform's table service and object store.
+// Events of requests to the platform's table service and object store.
 var (
 	PlatformFailed = Event{
 		801, "platform-failed", LevelWarn,
-		"A question to the platform failed. Unsent and refused mean that nothing changed; unknown means that a change may have happened.",
+		"A request to the platform failed. The outcomes unsent and refused mean that nothing changed; unknown means that a change may have happened.",
 		[]string{"question", "ask", "outcome", "error"},
 	}
 )
--- a/internal/report/event/event_process.go
+++ b/internal/report/event/event_process.go
@@ -1,24 +1,24 @@
 package event
 
 // -----------------------------------------------------------------------------
-// The events of this area.
+// 900: the process, control connections and operators.
 
 // Events of the process, of control connections to databases, and of
 // operators' requests.
 var (
 	LinesLeftOut = Event{
 		901, "lines-left-out", LevelWarn,
-		"An event happened so often that some of its log lines were left out.",
+		"An event occurred so often that some of its log lines were omitted.",
 		[]string{"of", "count"},
 	}
 	ActionUnhandled = Event{
 		902, "action-unhandled", LevelError,
-		"The core asked for something that no part of the process handles.",
+		"The core returned an action that no component of the process handles.",
 		[]string{"action"},
 	}
 	RunnerStopped = Event{
 		903, "runner-stopped", LevelInfo,
-		"The instance is drained and its decisions have ended.",
+		"The instance is drained and its core has stopped.",
 		[]string{},
 	}
 
@@ -39,12 +39,12 @@
 	}
 	ControlSilent = Event{
 		913, "control-silent", LevelWarn,
-		"A control question was not answered in time; its connection was closed.",
+		"A control request was not answered in time; its connection was closed.",
 		[]string{"database", "lane", "statement"},
 	}
 	ControlRefused = Event{
 		914, "control-refused", LevelWarn,
-		"A database refused a control question.",
+		"A database rejected a control request.",
 		[]string{"database", "statement", "state", "error"},
 	}
 
@@ -55,7 +55,7 @@
 	}
 	OperatorRequest = Event{
 		931, "operator-request", LevelInfo,
-		"An operator asked for a change.",
+		"An operator requested a change.",
 		[]string{"method", "path", "who", "status"},
 	}
 	OperatorDenied = Event{
--- a/internal/report/event/event_route.go
+++ b/internal/report/event/event_route.go
@@ -17,17 +17,17 @@
 	}
 	ReadBehind = Event{
 		Number: 202, Name: "read-behind", Level: LevelInfo,
-		Text:   "A replica's answer was older than the session may see; the read runs again elsewhere.",
+		Text:   "A replica's answer was older than the session's minimum position; the read is retried on another database.",
 		Fields: []string{"request", "attempt", "group", "database", "position", "minimum"},
 	}
 	RequestRefused = Event{
 		Number: 203, Name: "request-refused", Level: LevelInfo,
-		Text:   "A request was refused; it did not run.",
+		Text:   "A request was rejected; it did not run.",
 		Fields: []string{"request", "group", "kind", "why"},
 	}
 	RequestRetried = Event{
 		Number: 204, Name: "request-retried", Level: LevelInfo,
-		Text:   "An attempt did not run, with proof; the request waits for another.",
+		Text:   "An attempt is confirmed not to have run; the request waits for another attempt.",
 		Fields: []string{"request", "attempt", "group", "database", "why"},
 	}
 	DatabaseUnreachable = Event{
@@ -42,7 +42,7 @@
 	}
 	DatabaseLeaving = Event{
 		Number: 207, Name: "database-leaving", Level: LevelInfo,
-		Text:   "A database is leaving; it receives no new work.",
+		Text:   "A database is draining; it receives no new requests.",
 		Fields: []string{"group", "database", "source"},
 	}
 )
--- a/internal/report/event/event_serve.go
+++ b/internal/report/event/event_serve.go
@@ -7,12 +7,12 @@
 var (
 	DrainStarted = Event{
 		Number: 950, Name: "drain-started", Level: LevelInfo,
-		Text:   "The instance finishes its work and takes no further callers.",
+		Text:   "The instance has begun to drain: it finishes its requests and accepts no new callers.",
 		Fields: []string{"sessions", "requests"},
 	}
 	DrainEnded = Event{
 		Number: 951, Name: "drain-ended", Level: LevelInfo,
-		Text:   "The instance has ended its work and may stop.",
+		Text:   "The instance has drained and may stop.",
 		Fields: []string{"sessions", "requests", "took"},
 	}
 	InstanceStarted = Event{
@@ -22,17 +22,17 @@
 	}
 	SignalCaught = Event{
 		Number: 953, Name: "signal-caught", Level: LevelInfo,
-		Text:   "A signal asks the process to end; the first lets the instance drain, a second ends it at once.",
+		Text:   "The process received a signal to end: the first signal starts a drain, a second one ends the process at once.",
 		Fields: []string{"signal", "meaning"},
 	}
 	PartFailed = Event{
 		Number: 954, Name: "part-failed", Level: LevelError,
-		Text:   "A part of the process ended with an error; the process ends.",
+		Text:   "A component of the process ended with an error; the process ends.",
 		Fields: []string{"part", "error"},
 	}
 	InstanceStopped = Event{
 		Number: 955, Name: "instance-stopped", Level: LevelInfo,
-		Text:   "All parts of the process have ended.",
+		Text:   "All components of the process have ended.",
 		Fields: []string{},
 	}
 )
--- a/internal/report/event/event_session.go
+++ b/internal/report/event/event_session.go
@@ -1,14 +1,14 @@
 package event
 
 // -----------------------------------------------------------------------------
-// 160: sessions over databases that are discovered.
+// 160: sessions that use discovered databases.
 
 // Events of sessions.
 var (
 	StatementAnswered = Event{
 		Number: 160, Name: "statement-answered", Level: LevelInfo,
-		Text: "A statement of a caller was answered with success: where it ran and why there, what it " +
-			"had to reach, and what proved the answer.",
+		Text: "A caller's statement succeeded. The fields tell where it ran and why, the minimum position " +
+			"that it required, and how the primary was confirmed.",
 		Fields: []string{
 			"request", "route", "statement", "database", "primary", "epoch", "after", "age", "position",
 			"proof", "attempts", "waited", "took",
@@ -16,17 +16,17 @@
 	}
 	StatementFailed = Event{
 		Number: 161, Name: "statement-failed", Level: LevelWarn,
-		Text:   "A statement of a caller was answered with a failure.",
+		Text:   "A caller's statement was answered with an error.",
 		Fields: []string{"request", "route", "statement", "code", "text", "database", "epoch", "attempts", "waited", "took"},
 	}
 	StatementRetried = Event{
 		Number: 162, Name: "statement-retried", Level: LevelInfo,
-		Text:   "An attempt did not run, or its answer may not be used; the statement is sent again.",
+		Text:   "An attempt did not run, or its answer can't be used; the statement is sent again.",
 		Fields: []string{"request", "route", "database", "epoch", "why", "attempt"},
 	}
 	TransactionEnded = Event{
 		Number: 163, Name: "transaction-ended", Level: LevelInfo,
-		Text:   "The proxy rolled a transaction back on its own account.",
+		Text:   "The proxy rolled back a transaction without a request from the caller.",
 		Fields: []string{"request", "route", "database", "why"},
 	}
 	NameRefused = Event{
@@ -36,7 +36,7 @@
 	}
 	SessionsClosing = Event{
 		Number: 165, Name: "sessions-closing", Level: LevelInfo,
-		Text:   "The instance is leaving: idle sessions are closed, open transactions get until the given time.",
+		Text:   "The instance is draining: idle sessions are closed, open transactions may continue for the given time.",
 		Fields: []string{"sessions", "until"},
 	}
 )
--- a/internal/report/event/event_steward.go
+++ b/internal/report/event/event_steward.go
@@ -1,13 +1,13 @@
 package event
 
 // -----------------------------------------------------------------------------
-// 420: the table of groups, and changes of primary under it.
+// 420: the table of groups, and the failovers that it coordinates.
 
-// Events of the table of groups.
+// Events of the table of groups and of its failovers.
 var (
 	GroupRowSeen = Event{
 		Number: 420, Name: "group-row-seen", Level: LevelInfo,
-		Text:   "A group's row in the store has changed: who is its primary, or that it is being replaced.",
+		Text:   "A group's row in the store has changed: the primary that it names, or the phase of a failover.",
 		Fields: []string{"group", "epoch", "phase", "primary", "term", "steward", "reason", "source"},
 	}
 	GroupRowWritten = Event{
@@ -17,23 +17,23 @@
 	}
 	ChangeBegun = Event{
 		Number: 422, Name: "change-begun", Level: LevelWarn,
-		Text: "This instance begins to replace a primary: why, how many instances know whether it " +
-			"answers, and how many of them it does not answer.",
+		Text: "This instance begins a failover. The fields tell the reason, how many instances observe " +
+			"whether the primary answers, and how many of them get no answer.",
 		Fields: []string{"group", "epoch", "primary", "reason", "witnesses", "silent"},
 	}
 	ChangeFailed = Event{
 		Number: 423, Name: "change-failed", Level: LevelWarn,
-		Text:   "A change of primary did not get on; it is begun again.",
+		Text:   "A failover did not make progress; it is started again.",
 		Fields: []string{"group", "why"},
 	}
 	ChangeEnded = Event{
 		Number: 424, Name: "change-ended", Level: LevelInfo,
-		Text:   "A group has a new primary.",
+		Text:   "A failover is complete: the group has a new primary.",
 		Fields: []string{"group", "epoch", "primary", "before", "term", "received", "took"},
 	}
 	PrimarySteppedDown = Event{
 		Number: 425, Name: "primary-stepped-down", Level: LevelInfo,
-		Text:   "The old primary was told to lead no more.",
+		Text:   "The old primary was instructed to step down.",
 		Fields: []string{"group", "database", "received", "outcome"},
 	}
 	PromotionCalled = Event{
@@ -43,23 +43,23 @@
 	}
 	DatabaseAsked = Event{
 		Number: 427, Name: "database-asked", Level: LevelInfo,
-		Text:   "A database was asked for its standing, or to step down.",
+		Text:   "A database was queried for its status, or instructed to step down.",
 		Fields: []string{"group", "database", "statement", "role", "term", "received", "outcome"},
 	}
 	CoordinatorLeaseWritten = Event{
 		Number: 428, Name: "duty-written", Level: LevelInfo,
-		Text:   "This instance has changed the row of the duty without taking it: a challenge, or its answer.",
+		Text:   "This instance has written the row of the coordinator lease without acquiring the lease: a challenge, or the holder's answer to one.",
 		Fields: []string{"holder", "token", "challenger", "outcome"},
 	}
 	LeasesRevoked = Event{
 		Number: 429, Name: "leases-revoked", Level: LevelInfo,
-		Text:   "No instance uses the old primary of a group any more.",
+		Text:   "No instance uses the old primary of a group any longer: all leases on it are revoked.",
 		Fields: []string{"group", "waited"},
 	}
 	GroupSurveyed = Event{
 		Number: 430, Name: "group-surveyed", Level: LevelInfo,
-		Text: "Without the store and the peers, all databases of a group were asked whether the primary " +
-			"leads alone.",
+		Text: "With neither the store nor peers available, all databases of a group were polled to confirm " +
+			"that the primary is the only one.",
 		Fields: []string{"group", "databases", "answered", "primary", "proved", "age"},
 	}
 )
--- a/internal/report/event/event_test.go
+++ b/internal/report/event/event_test.go
@@ -5,20 +5,20 @@
 	"testing"
 )
 
-// areaNumbers is the first number of each table in areas. The last five are
-// second tables of the areas 600, 900, 100, 700 and 400.
+// areaNumbers holds the first number of the area of each table in areas. The last
+// five are second tables of the areas 600, 900, 100, 700 and 400.
 var areaNumbers = []int{100, 200, 300, 400, 500, 600, 700, 800, 900, 600, 900, 100, 700, 400}
 
 const areaSize = 100
 
 func TestNumbersAreInTheRangeOfTheirArea(t *testing.T) {
 	if len(areas) != len(areaNumbers) {
-		t.Fatalf("%d tables, and %d ranges", len(areas), len(areaNumbers))
+		t.Fatalf("%d tables but %d ranges", len(areas), len(areaNumbers))
 	}
 	for i, area := range areas {
 		for _, e := range area {
 			if e.Number < areaNumbers[i] || e.Number >= areaNumbers[i]+areaSize {
-				t.Errorf("%d %s is outside of %d to %d", e.Number, e.Name, areaNumbers[i], areaNumbers[i]+areaSize-1)
+				t.Errorf("%d %s is outside the range %d to %d", e.Number, e.Name, areaNumbers[i], areaNumbers[i]+areaSize-1)
 			}
 		}
 	}
@@ -31,10 +31,10 @@
 	numbers, names := map[int]string{}, map[string]int{}
 	for _, e := range Catalogue() {
 		if other, found := numbers[e.Number]; found {
-			t.Errorf("%d is the number of %s and of %s", e.Number, other, e.Name)
+			t.Errorf("%d is the number of both %s and %s", e.Number, other, e.Name)
 		}
 		if other, found := names[e.Name]; found {
-			t.Errorf("%s is the name of %d and of %d", e.Name, other, e.Number)
+			t.Errorf("%s is the name of both %d and %d", e.Name, other, e.Number)
 		}
 		numbers[e.Number], names[e.Name] = e.Name, e.Number
 		if !name.MatchString(e.Name) || !sentence.MatchString(e.Text) {
@@ -43,7 +43,7 @@
 		fields := map[string]bool{}
 		for _, field := range e.Fields {
 			if !word.MatchString(field) || fields[field] {
-				t.Errorf("%d %s: field %q is no single word, or stands twice", e.Number, e.Name, field)
+				t.Errorf("%d %s: field %q is not a single word or is a duplicate", e.Number, e.Name, field)
 			}
 			fields[field] = true
 		}
