--- a/internal/command/proxy/docs_test.go
+++ b/internal/command/proxy/docs_test.go
@@ -78,9 +78,9 @@
 	if !strings.HasPrefix(line, program+" ") {
 		t.Fatalf("%q is not a command of %s", line, program)
 	}
-	out, failures, code := runLine(line)
+	out, errorText, code := runLine(line)
 	if code != ExitOK {
-		return out + failures + fmt.Sprintf("(exit code %d)\n", code)
+		return out + errorText + fmt.Sprintf("(exit code %d)\n", code)
 	}
-	return out + failures
+	return out + errorText
 }
--- a/internal/command/proxy/proxy.go
+++ b/internal/command/proxy/proxy.go
@@ -88,11 +88,11 @@
 	if err != nil {
 		return err
 	}
-	selected, err := parser.Parse(args)
+	parsed, err := parser.Parse(args)
 	if err != nil {
 		return &UsageError{Reason: err.Error()}
 	}
-	return selected.Run(console)
+	return parsed.Run(console)
 }
 
 func newParser(console *Console) (*kong.Kong, error) {
--- a/internal/command/proxy/proxy_test.go
+++ b/internal/command/proxy/proxy_test.go
@@ -20,7 +20,7 @@
 var update = flag.Bool("update", false, "rewrite the expected outputs and the documents")
 
 // runLine runs a command line, which is split at white space without quoting.
-func runLine(line string) (out, failures string, code ExitCode) {
+func runLine(line string) (out, errorText string, code ExitCode) {
 	var stdout, stderr bytes.Buffer
 	console := &Console{Context: context.Background(), In: strings.NewReader(""), Out: &stdout, Err: &stderr}
 	code = Run(strings.Fields(strings.TrimPrefix(line, program)), console)
@@ -44,10 +44,10 @@
 			address := startFakeInstance(t)
 			t.Setenv("EELGRASSFOLD_OPERATOR", address)
 			line, _ := os.ReadFile("cmd")
-			out, failures, code := runLine(string(line))
+			out, errorText, code := runLine(string(line))
 			redactor := strings.NewReplacer(address, "INSTANCE")
 			compareOrUpdate(t, "expout", redactor.Replace(out))
-			compareOrUpdate(t, "experr", redactor.Replace(failures))
+			compareOrUpdate(t, "experr", redactor.Replace(errorText))
 			compareOrUpdate(t, "expcode", strconv.Itoa(int(code))+"\n")
 		})
 	}
@@ -55,12 +55,12 @@
 
 func startFakeInstance(t *testing.T) string {
 	t.Helper()
-	answer, err := os.ReadFile("instance")
+	response, err := os.ReadFile("instance")
 	if err != nil {
 		return "127.0.0.1:1"
 	}
-	head, body, _ := strings.Cut(string(answer), "\n")
-	status, err := strconv.Atoi(head)
+	statusLine, body, _ := strings.Cut(string(response), "\n")
+	status, err := strconv.Atoi(statusLine)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 	if _, err := caller.ParsePasswordHash(strings.TrimSpace(stdout.String())); err != nil {
 		t.Errorf("hash printed %q: %v", &stdout, err)
 	}
-	if _, failures, code := runLine("hash"); code != ExitInvalidInput || failures == "" {
-		t.Errorf("hash without a password = %d, %q", code, failures)
+	if _, errorText, code := runLine("hash"); code != ExitInvalidInput || errorText == "" {
+		t.Errorf("hash without a password = %d, %q", code, errorText)
 	}
 }
--- a/internal/command/proxy/table.go
+++ b/internal/command/proxy/table.go
@@ -56,8 +56,8 @@
 	list, _ := value.([]any)
 	columns := map[string]bool{}
 	for _, entry := range list {
-		object, is := entry.(map[string]any)
-		if !is {
+		object, ok := entry.(map[string]any)
+		if !ok {
 			list = nil
 			break
 		}
--- a/internal/command/proxy/verb_check.go
+++ b/internal/command/proxy/verb_check.go
@@ -105,11 +105,11 @@
 	for _, warning := range warnings {
 		console.printf("%s:%d: warning: %s: %s\n", file, warning.Line, warning.Key, warning.Message)
 	}
-	var validation *toml.ValidationError
-	if !errors.As(err, &validation) {
+	var validationErr *toml.ValidationError
+	if !errors.As(err, &validationErr) {
 		return err == nil
 	}
-	for _, diagnostic := range validation.Diagnostics {
+	for _, diagnostic := range validationErr.Diagnostics {
 		console.printf("%s:%s\n", file, diagnostic)
 	}
 	return false
--- a/internal/config/manifest/manifest_test.go
+++ b/internal/config/manifest/manifest_test.go
@@ -117,22 +117,22 @@
 // Properties.
 
 func drawManifest(t *rapid.T) *Manifest {
-	duration := rapid.Int64Range(1, int64(time.Hour))
+	anyDuration := rapid.Int64Range(1, int64(time.Hour))
 	m := &Manifest{Service: "s"}
 	m.Limits.MaxConcurrentStatements = rapid.IntRange(1, 9).Draw(t, "slots")
 	m.Limits.MaxConnections = rapid.IntRange(m.Limits.MaxConcurrentStatements, 99).Draw(t, "connections")
 	m.Limits.ReservedConnections = rapid.IntRange(0, m.Limits.MaxConnections-1).Draw(t, "reserve")
-	m.Limits.ConnectTime = time.Duration(duration.Draw(t, "open"))
+	m.Limits.ConnectTime = time.Duration(anyDuration.Draw(t, "open"))
 	for i := range rapid.IntRange(1, 4).Draw(t, "ranks") {
 		m.Ranks = append(m.Ranks, Rank{
 			Name:          fmt.Sprintf("r%d", i),
-			LatencyTarget: time.Duration(duration.Draw(t, "target")),
+			LatencyTarget: time.Duration(anyDuration.Draw(t, "target")),
 			Value:         rapid.Float64Range(0.001, 1e9).Draw(t, "worth"),
 			MinSlotShare:  rapid.Float64Range(0, 0.25).Draw(t, "floor"),
 		})
 	}
 	for i := range rapid.IntRange(0, 4).Draw(t, "kinds") {
-		kind := RequestKind{Name: fmt.Sprintf("k%d", i), Deadline: time.Duration(duration.Draw(t, "deadline"))}
+		kind := RequestKind{Name: fmt.Sprintf("k%d", i), Deadline: time.Duration(anyDuration.Draw(t, "deadline"))}
 		kind.Rank = model.Rank(rapid.IntRange(0, len(m.Ranks)-1).Draw(t, "rank"))
 		kind.Retryable = rapid.Bool().Draw(t, "repeat")
 		if rapid.Bool().Draw(t, "read") {
--- a/internal/config/settings/secret.go
+++ b/internal/config/settings/secret.go
@@ -49,9 +49,9 @@
 // ParseSecretReference parses a reference of the form "file:PATH" or "env:NAME".
 // It returns false if text has neither form.
 func ParseSecretReference(text string) (SecretReference, bool) {
-	for _, form := range secretPrefixes {
-		if name, found := strings.CutPrefix(text, form.prefix); found && name != "" {
-			return SecretReference{source: form.source, name: name}, true
+	for _, candidate := range secretPrefixes {
+		if name, found := strings.CutPrefix(text, candidate.prefix); found && name != "" {
+			return SecretReference{source: candidate.source, name: name}, true
 		}
 	}
 	return SecretReference{}, false
@@ -62,9 +62,9 @@
 
 // String formats the reference, not the secret.
 func (s SecretReference) String() string {
-	for _, form := range secretPrefixes {
-		if form.source == s.source {
-			return form.prefix + s.name
+	for _, candidate := range secretPrefixes {
+		if candidate.source == s.source {
+			return candidate.prefix + s.name
 		}
 	}
 	return ""
--- a/internal/config/settings/settings_test.go
+++ b/internal/config/settings/settings_test.go
@@ -134,8 +134,8 @@
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s, err := Parse(body)
-		var validation *ValidationError
-		if (s == nil) == (err == nil) || err != nil && !errors.As(err, &validation) {
+		var validationErr *ValidationError
+		if (s == nil) == (err == nil) || err != nil && !errors.As(err, &validationErr) {
 			t.Errorf("Parse = %v, %v", s, err)
 		}
 	})
--- a/internal/config/toml/toml_test.go
+++ b/internal/config/toml/toml_test.go
@@ -49,19 +49,19 @@
 		{Line: 16, Key: "group.database.name", Message: "is missing"},
 		{Line: 17, Key: "group.database.address", Message: `"localhost:1" is not an IP address with a port, such as "10.1.0.11:5432"`},
 	}
-	var validation *ValidationError
-	if !errors.As(root.Finish(), &validation) {
+	var validationErr *ValidationError
+	if !errors.As(root.Finish(), &validationErr) {
 		t.Fatal("Finish returned no *ValidationError")
 	}
-	if diff := cmp.Diff(want, validation.Diagnostics); diff != "" {
+	if diff := cmp.Diff(want, validationErr.Diagnostics); diff != "" {
 		t.Errorf("diagnostics (-want +got):\n%s", diff)
 	}
 }
 
 func TestSyntaxErrorHasLine(t *testing.T) {
 	_, err := Parse([]byte("a = 1\nb = \n"))
-	var validation *ValidationError
-	if !errors.As(err, &validation) || validation.Diagnostics[0].Line != 2 {
+	var validationErr *ValidationError
+	if !errors.As(err, &validationErr) || validationErr.Diagnostics[0].Line != 2 {
 		t.Fatalf("Parse error = %v, want one diagnostic on line 2", err)
 	}
 }
--- a/internal/config/toml/value.go
+++ b/internal/config/toml/value.go
@@ -26,9 +26,9 @@
 
 // Float returns the number under key, with or without a fraction.
 func (t *Table) Float(key string) (float64, bool) {
-	if whole, ok := t.values[key].(int64); ok {
+	if integer, ok := t.values[key].(int64); ok {
 		t.knownKeys[key] = true
-		return float64(whole), true
+		return float64(integer), true
 	}
 	return typedValue[float64](t, key, "a number")
 }
--- a/internal/report/metrics/metrics.go
+++ b/internal/report/metrics/metrics.go
@@ -95,7 +95,7 @@
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 		expvar.Do(func(kv expvar.KeyValue) {
-			if table, is := kv.Value.(*expvar.Map); is {
+			if table, ok := kv.Value.(*expvar.Map); ok {
 				table.Do(func(entry expvar.KeyValue) { writeInstrument(w, kv.Key, entry) })
 			}
 		})
@@ -104,8 +104,8 @@
 
 // writeInstrument writes the lines of one entry of an expvar map.
 func writeInstrument(w http.ResponseWriter, name string, entry expvar.KeyValue) {
-	h, is := entry.Value.(*Histogram)
-	if !is {
+	h, ok := entry.Value.(*Histogram)
+	if !ok {
 		_, _ = fmt.Fprintf(w, "%s{name=%q} %s\n", name, entry.Key, entry.Value)
 		return
 	}
