--- a/internal/command/proxy/table.go
+++ b/internal/command/proxy/table.go
@@ -11,7 +11,7 @@
 // -----------------------------------------------------------------------------
 // Printing.
 
-// columnGap is the number of blanks between two columns.
+// columnGap is the number of spaces between two columns.
 const columnGap = 2
 
 // table collects rows that are printed in aligned columns.
@@ -50,14 +50,14 @@
 	return nil
 }
 
-// printAny prints a decoded JSON value: a list of objects as a table, the rest
-// as JSON.
+// printAny prints a decoded JSON value: a list of objects as a table, any other
+// value as JSON.
 func printAny(console *Console, value any) {
 	list, _ := value.([]any)
 	columns := map[string]bool{}
 	for _, entry := range list {
-		object, is := entry.(map[string]any)
-		if !is {
+		object, ok := entry.(map[string]any)
+		if !ok {
 			list = nil
 			break
 		}
