--- a/internal/standin/database/admin.go
+++ b/internal/standin/database/admin.go
@@ -8,28 +8,31 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// Content is what a database holds, for counting what was lost or doubled.
+// Content is the data that a database holds. Measurements compare it with the
+// acknowledged writes to count lost and duplicated ones.
 type Content struct {
 	KV map[string]string `json:"kv"`
-	// Ledger holds the entries in the order of their commits.
+	// Ledger holds the entries in commit order.
 	Ledger []string `json:"ledger"`
-	// Committed and Settled hold the idempotency keys in the log, with the
-	// positions of their commits or of what forbids them.
+	// Committed maps the idempotency key of each commit in the log to the
+	// commit's position. Settled maps each key that was settled as not
+	// committed to the position of the log entry that forbids its commit.
 	Committed map[string]string `json:"committed"`
 	Settled   map[string]string `json:"settled"`
 }
 
-// Content returns what reads see, and the keys that the log holds.
-func (d *Database) Content() Content { return d.node.copyContent() }
+// Content returns a copy of the applied content, and of the idempotency keys in
+// the log, which may be ahead of the applied content.
+func (d *Database) Content() Content { return d.node.copyContentAndKeys() }
 
-func (n *node) copyContent() Content {
+func (n *node) copyContentAndKeys() Content {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	visible := view{base: &n.content}
-	kv, _ := visible.all()
+	visible := transactionView{base: &n.content}
+	kv, _ := visible.copyKV()
 	copied := Content{
 		KV:        kv,
-		Ledger:    append([]string{}, visible.entries()...),
+		Ledger:    append([]string{}, visible.ledgerEntries()...),
 		Committed: map[string]string{},
 		Settled:   map[string]string{},
 	}
@@ -46,21 +49,22 @@
 // -----------------------------------------------------------------------------
 // HTTP.
 
-// adminHandler routes the requests of tests and measurements.
+// adminHandler returns the handler of the admin address, which tests and
+// measurements use.
 func (d *Database) adminHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fault", d.postFault)
 	mux.HandleFunc("PUT /lag", d.putLag)
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, _ *http.Request) {
-		answerJSON(w, newStateBody(d.State()))
+		writeJSON(w, newStateBody(d.State()))
 	})
 	mux.HandleFunc("GET /content", func(w http.ResponseWriter, _ *http.Request) {
-		answerJSON(w, d.Content())
+		writeJSON(w, d.Content())
 	})
 	return mux
 }
 
-// stateBody is the JSON form of a state: its role and positions are text.
+// stateBody is the JSON form of a State, with its role and positions as text.
 type stateBody struct {
 	State
 	Role     string `json:"role"`
@@ -92,7 +96,7 @@
 	d.SetFault(fault)
 }
 
-// lagBody is the JSON body of a change of the lag.
+// lagBody is the JSON body of PUT /lag. Lag is a duration such as "5ms".
 type lagBody struct {
 	Lag string `json:"lag"`
 }
@@ -112,13 +116,13 @@
 	d.SetLag(lag)
 }
 
-func answerJSON(w http.ResponseWriter, value any) {
+func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
 }
 
 // -----------------------------------------------------------------------------
-// The row of the control statements.
+// Result row of the control statements.
 
 var statusColumns = textColumns(
 	"database", "role", "term", "nonce", "received", "applied",
--- a/internal/standin/database/conn.go
+++ b/internal/standin/database/conn.go
@@ -5,17 +5,19 @@
 	"sync/atomic"
 )
 
-// gatedConn is a connection under the faults: while the database is frozen
-// nothing passes, and once it is silent all is lost.
-type gatedConn struct {
+// faultConn is a connection to which the faults apply. While the database is
+// frozen, reads and writes block. Once silent is set, received bytes are
+// discarded and written bytes are not sent.
+type faultConn struct {
 	net.Conn
-	faults *faults
+	faults *faultState
+	// done is closed when the database stops.
 	done   <-chan struct{}
 	silent atomic.Bool
 }
 
 // Read implements net.Conn.
-func (c *gatedConn) Read(buffer []byte) (int, error) {
+func (c *faultConn) Read(buffer []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(buffer)
 		if !c.faults.awaitThaw(c.done) {
@@ -28,7 +30,7 @@
 }
 
 // Write implements net.Conn.
-func (c *gatedConn) Write(buffer []byte) (int, error) {
+func (c *faultConn) Write(buffer []byte) (int, error) {
 	if !c.faults.awaitThaw(c.done) {
 		return 0, net.ErrClosed
 	}
--- a/internal/standin/database/content.go
+++ b/internal/standin/database/content.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// content is what statements read: the table kv and the ledger.
+// content is the data that statements read: the table kv and the ledger.
 type content struct {
 	kv     map[string]string
 	ledger []string
@@ -13,7 +13,7 @@
 
 func newContent() content { return content{kv: map[string]string{}} }
 
-// apply makes changes visible.
+// apply applies changes in order.
 func (c *content) apply(changes []change) {
 	for _, ch := range changes {
 		switch ch.Op {
@@ -27,27 +27,29 @@
 	}
 }
 
-// conflict returns a key that changes insert although it exists.
-func (c *content) conflict(changes []change) (string, bool) {
+// duplicateInsert returns the first key that changes insert although it exists,
+// and reports whether there is one.
+func (c *content) duplicateInsert(changes []change) (string, bool) {
 	for i, ch := range changes {
 		if ch.Op != opInsert {
 			continue
 		}
-		if _, exists := (view{c, changes[:i]}).value(ch.Key); exists {
+		if _, exists := (transactionView{c, changes[:i]}).value(ch.Key); exists {
 			return ch.Key, true
 		}
 	}
 	return "", false
 }
 
-// view is the content with the buffered changes of a transaction over it.
-type view struct {
+// transactionView is the content as a transaction sees it: base with the buffered
+// changes of the transaction applied.
+type transactionView struct {
 	base    *content
 	changes []change
 }
 
-// value returns the value of a key.
-func (v view) value(key string) (string, bool) {
+// value returns the value of a key, and whether the key exists.
+func (v transactionView) value(key string) (string, bool) {
 	for _, ch := range slices.Backward(v.changes) {
 		if ch.Op != opAppend && ch.Key == key {
 			return ch.Value, ch.Op != opDelete
@@ -57,15 +59,15 @@
 	return value, found
 }
 
-// all returns a copy of the table kv, and its keys in order.
-func (v view) all() (map[string]string, []string) {
+// copyKV returns a copy of the table kv, and its keys in ascending order.
+func (v transactionView) copyKV() (map[string]string, []string) {
 	copied := content{kv: maps.Clone(v.base.kv)}
 	copied.apply(v.changes)
 	return copied.kv, slices.Sorted(maps.Keys(copied.kv))
 }
 
-// entries returns a copy of the ledger.
-func (v view) entries() []string {
+// ledgerEntries returns a copy of the ledger's entries in commit order.
+func (v transactionView) ledgerEntries() []string {
 	entries := slices.Clone(v.base.ledger)
 	for _, ch := range v.changes {
 		if ch.Op == opAppend {
@@ -75,16 +77,16 @@
 	return entries
 }
 
-// count returns how often an entry stands in the ledger.
-func (v view) count(wanted string) int64 {
+// countEntry returns how often an entry occurs in the ledger.
+func (v transactionView) countEntry(searched string) int64 {
 	count := int64(0)
 	for _, e := range v.base.ledger {
-		if e == wanted {
+		if e == searched {
 			count++
 		}
 	}
 	for _, ch := range v.changes {
-		if ch.Op == opAppend && ch.Value == wanted {
+		if ch.Op == opAppend && ch.Value == searched {
 			count++
 		}
 	}
--- a/internal/standin/database/control.go
+++ b/internal/standin/database/control.go
@@ -8,12 +8,12 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// runControl runs one control statement.
+// runControl runs one control statement and returns its result row.
 func (s *session) runControl(ctx context.Context, st statement, args arguments) (result, error) {
 	if call, ok := st.(callSettle); ok {
 		return s.database.settle(call, args)
 	}
-	if err := s.database.control(ctx, st, args); err != nil {
+	if err := s.database.executeControl(ctx, st, args); err != nil {
 		return result{}, err
 	}
 	res := oneRow(statusColumns, statusRow(s.database.State())...)
@@ -21,11 +21,12 @@
 	return res, nil
 }
 
-// control does what a control statement asks for, apart from its answer.
-func (d *Database) control(ctx context.Context, st statement, args arguments) error {
+// executeControl executes a control statement other than group_settle. The
+// caller builds the result row.
+func (d *Database) executeControl(ctx context.Context, st statement, args arguments) error {
 	switch st := st.(type) {
 	case callWait:
-		return d.wait(ctx, st, args)
+		return d.waitForPosition(ctx, st, args)
 	case callFence:
 		term, nonce, err := termAndText(args, st.term, st.nonce)
 		if err != nil {
@@ -44,6 +45,8 @@
 	return nil
 }
 
+// termAndText returns the values of an operand that is a term and of one that is
+// text.
 func termAndText(args arguments, term, text operand) (model.Term, string, error) {
 	number, err := args.number(term)
 	if err != nil {
@@ -53,16 +56,17 @@
 	return model.Term(number), value, err
 }
 
-// wait returns when the log has received a position, the term is above the
-// position's, or the time is over.
-func (d *Database) wait(ctx context.Context, call callWait, args arguments) error {
+// waitForPosition executes group_wait. It returns when the log has received the
+// position, when the database's term is higher than the position's, or when the
+// timeout has passed; none of these is an error.
+func (d *Database) waitForPosition(ctx context.Context, call callWait, args arguments) error {
 	text, err := args.text(call.position)
 	if err != nil {
 		return err
 	}
 	position, err := model.ParsePosition(text)
 	if err != nil {
-		return failure(stateInvalidParameter, "%s", err)
+		return newSQLError(stateInvalidParameter, "%s", err)
 	}
 	milliseconds, err := args.number(call.timeout)
 	if err != nil {
@@ -76,6 +80,7 @@
 	return context.Cause(ctx)
 }
 
+// startFollowing executes group_follow.
 func (d *Database) startFollowing(call callFollow, args arguments) error {
 	term, name, err := termAndText(args, call.term, call.database)
 	if err != nil {
@@ -87,24 +92,25 @@
 	}
 	address, err := netip.ParseAddrPort(text)
 	if err != nil {
-		return failure(stateInvalidParameter, "%q is no address", text)
+		return newSQLError(stateInvalidParameter, "%q is no address", text)
 	}
 	return d.node.follow(term, model.DatabaseID(name), address)
 }
 
+// settle executes group_settle.
 func (d *Database) settle(call callSettle, args arguments) (result, error) {
 	term, key, err := termAndText(args, call.term, call.key)
 	if err != nil {
 		return result{}, err
 	}
 	if key == "" {
-		return result{}, failure(stateInvalidParameter, "the key is empty")
+		return result{}, newSQLError(stateInvalidParameter, "the key is empty")
 	}
 	outcome, err := d.node.settle(term, key)
 	if err != nil {
 		return result{}, err
 	}
-	res := oneRow(columnsOf(call), formatBool(outcome.committed), outcome.position.String())
+	res := oneRow(statementColumns(call), formatBool(outcome.committed), outcome.position.String())
 	res.tag = "CALL"
 	return res, nil
 }
--- a/internal/standin/database/control_test.go
+++ b/internal/standin/database/control_test.go
@@ -16,7 +16,7 @@
 	data := connect(t, db, nil)
 	execute(t, data, "SET group_work = '1/k1'")
 	execute(t, data, "INSERT INTO ledger (entry) VALUES ('e1')")
-	w := newWire(t, db, map[string]string{"user": "steward", "group_control": "on"})
+	client := newProtocolClient(t, db, map[string]string{"user": "steward", "group_control": "on"})
 	for _, sql := range []string{
 		"CALL group_status()",
 		"CALL group_wait('1:2', 0)",
@@ -52,12 +52,12 @@
 		"SELECT 1",
 		"CALL group_unknown()",
 	} {
-		w.query(sql)
+		client.query(sql)
 	}
-	golden(t, "control", w.lines)
+	compareGolden(t, "control", client.transcript)
 }
 
-func TestFencingStopsTransactions(t *testing.T) {
+func TestFenceFailsOpenTransactions(t *testing.T) {
 	cases := []struct {
 		name string
 		sql  string
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestSettlingForbidsARunningCommit(t *testing.T) {
+func TestSettleForbidsCommitOfOpenTransaction(t *testing.T) {
 	db := startPrimary(t)
 	conn := connect(t, db, nil)
 	execute(t, conn, "SET group_work = '1/k1'")
@@ -97,27 +97,27 @@
 	equal(t, map[string]string{"k1": "1:2"}, db.Content().Settled)
 }
 
-func TestWaitEndsAtThePosition(t *testing.T) {
+func TestWaitReturnsWhenPositionIsReceived(t *testing.T) {
 	group := startGroup(t, nil)
-	answered := make(chan map[string]any)
+	received := make(chan map[string]any)
 	waiting := control(t, group[1])
 	go func() {
 		rows, _ := waiting.Query(context.Background(), "CALL group_wait('1:2', 60000)")
 		row, _ := pgx.CollectExactlyOneRow(rows, pgx.RowToMap)
-		answered <- row
+		received <- row
 	}()
 	execute(t, connect(t, group[0], nil), "INSERT INTO ledger (entry) VALUES ('e1')")
-	equal(t, "1:2", (<-answered)["received"].(string))
+	equal(t, "1:2", (<-received)["received"].(string))
 }
 
-func TestReplicaRefusesWrites(t *testing.T) {
+func TestReplicaRejectsWrites(t *testing.T) {
 	group := startGroup(t, nil)
 	conn := connect(t, group[1], nil)
 	_, err := conn.Exec(testContext(t), "INSERT INTO ledger (entry) VALUES ('e1')")
 	equal(t, "25006", sqlState(t, err))
 }
 
-func TestHigherTermTakesNothingFromLower(t *testing.T) {
+func TestReplicaInHigherTermRejectsOldPrimary(t *testing.T) {
 	group := startGroup(t, nil)
 	a, b, c := group[0], group[1], group[2]
 	toB := control(t, b)
@@ -132,7 +132,7 @@
 	equal(t, false, state.Streaming)
 }
 
-func TestSettlingAfterFailover(t *testing.T) {
+func TestSettleAfterFailover(t *testing.T) {
 	group := startGroup(t, nil)
 	a, b, c := group[0], group[1], group[2]
 	old := connect(t, a, nil)
@@ -163,7 +163,7 @@
 	}
 }
 
-func TestALostLogCountsForNoMajority(t *testing.T) {
+func TestDatabaseWithoutLogRejectsFenceAndPromote(t *testing.T) {
 	db := start(t, database.Options{Name: "b", Group: "ratings", Source: loopbackClosed})
 	for _, sql := range []string{"CALL group_fence(2, 'n2')", "CALL group_promote(0, '')"} {
 		_, failed := call(t, control(t, db), sql)
--- a/internal/standin/database/database_test.go
+++ b/internal/standin/database/database_test.go
@@ -13,23 +13,24 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/database"
 )
 
-// patience bounds every wait of the tests; no verdict depends on it.
-const patience = 60 * time.Second
+// testTimeout limits each wait of the tests. It only ends a test that would
+// hang; no assertion depends on it.
+const testTimeout = 60 * time.Second
 
 func testContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), patience)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
 var (
 	loopback = netip.MustParseAddrPort("127.0.0.1:0")
-	// loopbackClosed is an address on which nobody listens.
+	// loopbackClosed is an address on which nothing listens.
 	loopbackClosed = netip.MustParseAddrPort("127.0.0.1:1")
 )
 
-// start runs a database until the end of the test.
+// start runs a database until the test ends.
 func start(t *testing.T, options database.Options) *database.Database {
 	t.Helper()
 	options.Listen, options.AdminListen = loopback, loopback
@@ -57,15 +58,15 @@
 	return start(t, database.Options{Name: "a", Group: "ratings", Zone: "lanier", Primary: true, Term: 1})
 }
 
-// connect opens a connection; change may alter its settings.
-func connect(t *testing.T, db *database.Database, change func(config *pgx.ConnConfig)) *pgx.Conn {
+// connect opens a connection. The function adjust may change its configuration.
+func connect(t *testing.T, db *database.Database, adjust func(config *pgx.ConnConfig)) *pgx.Conn {
 	t.Helper()
 	config, err := pgx.ParseConfig("postgres://clerk:secret@" + db.Address().String() + "/ratings?sslmode=prefer")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if change != nil {
-		change(config)
+	if adjust != nil {
+		adjust(config)
 	}
 	conn, err := pgx.ConnectConfig(testContext(t), config)
 	if err != nil {
--- a/internal/standin/database/execute.go
+++ b/internal/standin/database/execute.go
@@ -12,19 +12,20 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/task"
 )
 
-// arguments holds the values of a statement's parameters, nil for NULL.
+// arguments holds the values of a statement's parameters in text form, nil for
+// NULL.
 type arguments [][]byte
 
-// text returns the value of an operand.
+// text returns the value of an operand. A NULL is an error.
 func (a arguments) text(o operand) (string, error) {
 	if o.parameter == 0 {
 		return o.literal, nil
 	}
 	if o.parameter > len(a) {
-		return "", failure(stateProtocol, "there is no parameter $%d", o.parameter)
+		return "", newSQLError(stateProtocol, "there is no parameter $%d", o.parameter)
 	}
 	if a[o.parameter-1] == nil {
-		return "", failure(stateNullValue, "parameter $%d is NULL", o.parameter)
+		return "", newSQLError(stateNullValue, "parameter $%d is NULL", o.parameter)
 	}
 	return string(a[o.parameter-1]), nil
 }
@@ -42,7 +43,7 @@
 	return values, nil
 }
 
-// number returns the value of an operand that is a whole number from 0 on.
+// number returns the value of an operand that must be an integer of at least 0.
 func (a arguments) number(o operand) (uint64, error) {
 	text, err := a.text(o)
 	if err != nil {
@@ -50,17 +51,18 @@
 	}
 	value, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		return 0, failure(stateInvalidParameter, "%q is no whole number", text)
+		return 0, newSQLError(stateInvalidParameter, "%q is no whole number", text)
 	}
 	return value, nil
 }
 
 // -----------------------------------------------------------------------------
-// Running a statement.
+// Execution.
 
-// run runs one statement and reports the position of what it read; its answer
-// ends by finish.
-func (s *session) run(ctx context.Context, st statement, args arguments) (result, error) {
+// runStatement runs one statement and sends the position that it read at as the
+// parameter group_position. The caller sends the rows and ends the response by
+// completeResult.
+func (s *session) runStatement(ctx context.Context, st statement, args arguments) (result, error) {
 	ctx, end := s.cancellable(ctx)
 	defer end()
 	res, err := s.dispatch(ctx, st, args)
@@ -70,22 +72,23 @@
 	if res.position.IsZero() {
 		res.position = s.database.node.appliedPosition()
 	}
-	s.report("group_position", res.position.String())
+	s.sendParameterStatus("group_position", res.position.String())
 	if res.notice != "" {
 		s.backend.Send(&pgproto3.NoticeResponse{Severity: "NOTICE", Code: "00000", Message: res.notice})
 	}
 	return res, nil
 }
 
+// dispatch runs a statement according to its type.
 func (s *session) dispatch(ctx context.Context, st statement, args arguments) (result, error) {
 	if isControl(st) != s.control {
-		return result{}, failure(stateUnsupported, "control statements need a connection of their own")
+		return result{}, newSQLError(stateUnsupported, "control statements need a connection of their own")
 	}
 	if s.control {
 		return s.runControl(ctx, st, args)
 	}
 	if s.tx.isFailed() && !endsTransaction(st) {
-		return result{}, failure(stateFailedTransaction, "the transaction has failed; roll it back")
+		return result{}, newSQLError(stateFailedTransaction, "the transaction has failed; roll it back")
 	}
 	switch st := st.(type) {
 	case setSetting, showSetting, resetSetting, discardAll, deallocate:
@@ -101,33 +104,33 @@
 	return s.runData(ctx, st, args)
 }
 
-// runData runs a statement that holds a slot.
+// runData runs a statement on the content. It holds a slot while it runs.
 func (s *session) runData(ctx context.Context, st statement, args arguments) (result, error) {
 	if err := s.beginImplicit(); err != nil {
 		return result{}, err
 	}
 	if isWrite(st) && (s.readOnly || s.tx.readOnly) {
-		return result{}, failure(stateReadOnly, "cannot write in a read-only transaction")
+		return result{}, newSQLError(stateReadOnly, "cannot write in a read-only transaction")
 	}
-	if err := s.occupy(ctx, st, args); err != nil {
+	if err := s.simulateStatement(ctx, st, args); err != nil {
 		return result{}, err
 	}
 	defer s.database.slots.release()
 	var res result
-	position, err := s.database.node.look(s.tx.guard, isWrite(st), func(c *content) error {
+	position, err := s.database.node.withContent(s.tx.precondition, isWrite(st), func(c *content) error {
 		var err error
-		res, err = s.evaluate(st, args, view{base: c, changes: s.tx.changes})
+		res, err = s.evaluate(st, args, transactionView{base: c, changes: s.tx.changes})
 		return err
 	})
 	res.position = position
 	return res, err
 }
 
-// occupy takes a slot for as long as a statement takes. The caller releases
-// the slot where there is no error.
-func (s *session) occupy(ctx context.Context, st statement, args arguments) error {
+// simulateStatement acquires a slot and waits for the time that the statement
+// takes. The caller must release the slot, unless an error is returned.
+func (s *session) simulateStatement(ctx context.Context, st statement, args arguments) error {
 	d := s.database
-	duration, err := d.duration(st, args)
+	duration, err := d.statementDuration(st, args)
 	if err != nil {
 		return err
 	}
@@ -140,34 +143,34 @@
 	}
 	if d.faults.failsNext() {
 		d.slots.release()
-		return failure(stateInputOutput, "input or output error")
+		return newSQLError(stateIOError, "input or output error")
 	}
 	return nil
 }
 
-// evaluate reads or changes the content as the transaction sees it. Changes
-// are kept in the transaction until its commit.
-func (s *session) evaluate(st statement, args arguments, seen view) (result, error) {
+// evaluate evaluates a statement on the content that the transaction sees.
+// Changes are buffered in the transaction until it commits.
+func (s *session) evaluate(st statement, args arguments, visible transactionView) (result, error) {
 	switch st := st.(type) {
 	case selectValue, selectAll, selectLedger, countLedger:
-		return evaluateRead(st, args, seen)
+		return evaluateRead(st, args, visible)
 	case insertValue, updateValue, deleteValue, insertLedger:
-		return s.evaluateWrite(st, args, seen)
+		return s.evaluateWrite(st, args, visible)
 	case selectOne:
-		return oneRow(columnsOf(st), int64(1)), nil
+		return oneRow(statementColumns(st), int64(1)), nil
 	case selectWork:
 		duration, err := args.text(st.duration)
-		return oneRow(columnsOf(st), duration), err
+		return oneRow(statementColumns(st), duration), err
 	case selectRows:
 		count, err := args.number(st.count)
-		return manyRows(columnsOf(st), int(count), numberedRow), err
+		return manyRows(statementColumns(st), int(count), numberedRow), err
 	case sendNotice:
 		text, err := args.text(st.text)
 		return result{tag: "NOTICE", notice: text}, err
 	case copyStatement:
-		return result{}, failure(stateUnsupported, "COPY is not supported")
+		return result{}, newSQLError(stateUnsupported, "COPY is not supported")
 	}
-	return result{}, failure(stateUnsupported, "%T is not supported", st)
+	return result{}, newSQLError(stateUnsupported, "%T is not supported", st)
 }
 
 // rowPadding makes each row of SELECT rows(N) about 100 bytes long.
@@ -175,33 +178,33 @@
 
 func numberedRow(index int) []any { return []any{fmt.Sprintf("%010d%s", index, rowPadding)} }
 
-func evaluateRead(st statement, args arguments, seen view) (result, error) {
-	columns := columnsOf(st)
+func evaluateRead(st statement, args arguments, visible transactionView) (result, error) {
+	columns := statementColumns(st)
 	switch st := st.(type) {
 	case selectValue:
 		key, err := args.text(st.key)
 		if err != nil {
 			return result{}, err
 		}
-		value, found := seen.value(key)
+		value, found := visible.value(key)
 		if !found {
 			return manyRows(columns, 0, nil), nil
 		}
 		return oneRow(columns, value), nil
 	case selectAll:
-		kv, keys := seen.all()
+		kv, keys := visible.copyKV()
 		return manyRows(columns, len(keys), func(i int) []any { return []any{keys[i], kv[keys[i]]} }), nil
 	case selectLedger:
-		entries := seen.entries()
+		entries := visible.ledgerEntries()
 		return manyRows(columns, len(entries), func(i int) []any { return []any{entries[i]} }), nil
 	case countLedger:
-		wanted, err := args.text(st.entry)
-		return oneRow(columns, seen.count(wanted)), err
+		searched, err := args.text(st.entry)
+		return oneRow(columns, visible.countEntry(searched)), err
 	}
-	return result{}, failure(stateUnsupported, "%T is not supported", st)
+	return result{}, newSQLError(stateUnsupported, "%T is not supported", st)
 }
 
-func (s *session) evaluateWrite(st statement, args arguments, seen view) (result, error) {
+func (s *session) evaluateWrite(st statement, args arguments, visible transactionView) (result, error) {
 	var operands []operand
 	var tag string
 	var ch change
@@ -220,10 +223,10 @@
 		return result{}, err
 	}
 	ch.Key, ch.Value = values[0], values[1]
-	_, exists := seen.value(ch.Key)
+	_, exists := visible.value(ch.Key)
 	switch {
 	case ch.Op == opInsert && exists:
-		return result{}, failure(stateUniqueViolation, "the key %q exists", ch.Key)
+		return result{}, newSQLError(stateUniqueViolation, "the key %q exists", ch.Key)
 	case (ch.Op == opPut || ch.Op == opDelete) && !exists:
 		return result{tag: tag + "0"}, nil
 	}
@@ -245,9 +248,9 @@
 	case showSetting:
 		value, found := s.setting(st.name)
 		if !found {
-			return result{}, failure(stateUnknownSetting, "there is no setting %q", st.name)
+			return result{}, newSQLError(stateUnknownSetting, "there is no setting %q", st.name)
 		}
-		res := oneRow(columnsOf(st), value)
+		res := oneRow(statementColumns(st), value)
 		res.tag = "SHOW"
 		return res, nil
 	case resetSetting:
@@ -258,7 +261,7 @@
 		return result{tag: "DEALLOCATE"}, nil
 	}
 	if s.tx != nil {
-		return result{}, failure(stateActiveTransaction, "DISCARD ALL cannot run inside a transaction")
+		return result{}, newSQLError(stateActiveTransaction, "DISCARD ALL cannot run inside a transaction")
 	}
 	s.resetAll()
 	return result{tag: "DISCARD ALL"}, nil
@@ -267,11 +270,11 @@
 func (s *session) set(name, value string) error {
 	switch name {
 	case "group_work":
-		w, err := parseWork(value)
+		expected, err := parseWorkExpectation(value)
 		if err != nil {
 			return err
 		}
-		s.work = w
+		s.expectedWork = expected
 	case "group_read":
 		s.readOnly = value == "on"
 	}
@@ -279,23 +282,24 @@
 	return nil
 }
 
-// parseWork reads the value TERM/KEY of group_work.
-func parseWork(value string) (*work, error) {
-	head, key, found := strings.Cut(value, "/")
-	term, err := strconv.ParseUint(head, 10, 64)
+// parseWorkExpectation parses the value of the setting group_work, of the form
+// TERM/KEY.
+func parseWorkExpectation(value string) (*workExpectation, error) {
+	termText, key, found := strings.Cut(value, "/")
+	term, err := strconv.ParseUint(termText, 10, 64)
 	if err != nil || !found {
-		return nil, failure(stateInvalidParameter, "%q is not of the form TERM/KEY", value)
+		return nil, newSQLError(stateInvalidParameter, "%q is not of the form TERM/KEY", value)
 	}
-	return &work{term: model.Term(term), key: key}, nil
+	return &workExpectation{term: model.Term(term), key: key}, nil
 }
 
 func (s *session) reset(name string) {
 	switch name {
 	case "all":
 		clear(s.settings)
-		s.work, s.readOnly = nil, false
+		s.expectedWork, s.readOnly = nil, false
 	case "group_work":
-		s.work = nil
+		s.expectedWork = nil
 	case "group_read":
 		s.readOnly = false
 	}
--- a/internal/standin/database/extended.go
+++ b/internal/standin/database/extended.go
@@ -7,25 +7,26 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// prepared is a prepared statement; st is nil where its text is empty.
-type prepared struct {
+// preparedStatement is a prepared statement. Its st is nil if the text is
+// empty.
+type preparedStatement struct {
 	st         statement
 	parameters []uint32
 }
 
-// portal is a prepared statement with its arguments.
+// portal is a prepared statement bound to its arguments.
 type portal struct {
 	st      statement
 	args    arguments
 	formats []int16
-	// result is the answer, once the portal has run, and sent the number of
-	// its rows that have been sent.
+	// result is the result of the statement, nil until the portal has run.
 	result *result
-	sent   int
+	// rowsSent is the number of the result's rows that have been sent.
+	rowsSent int
 }
 
-// extended handles one message of the extended query protocol.
-func (s *session) extended(ctx context.Context, message pgproto3.FrontendMessage) {
+// handleExtended handles one message of the extended query protocol.
+func (s *session) handleExtended(ctx context.Context, message pgproto3.FrontendMessage) {
 	var err error
 	switch message := message.(type) {
 	case *pgproto3.Parse:
@@ -39,11 +40,11 @@
 	case *pgproto3.Close:
 		s.close(message)
 	default:
-		err = failure(stateProtocol, "unexpected message %T", message)
+		err = newSQLError(stateProtocol, "unexpected message %T", message)
 	}
 	if err != nil {
-		s.fail(err)
-		s.skipping = true
+		s.failStatement(err)
+		s.skipUntilSync = true
 	}
 }
 
@@ -53,9 +54,9 @@
 		return err
 	}
 	if len(statements) > 1 {
-		return failure(stateSyntax, "cannot insert multiple commands into a prepared statement")
+		return newSQLError(stateSyntax, "cannot insert multiple commands into a prepared statement")
 	}
-	p := prepared{parameters: make([]uint32, parameters(message.Query))}
+	p := preparedStatement{parameters: make([]uint32, parameterCount(message.Query))}
 	for i := range p.parameters {
 		p.parameters[i] = oidText
 	}
@@ -70,14 +71,14 @@
 func (s *session) bind(message *pgproto3.Bind) error {
 	p, found := s.prepared[message.PreparedStatement]
 	if !found {
-		return failure(stateNoStatement, "no prepared statement %q", message.PreparedStatement)
+		return newSQLError(stateUnknownStatement, "no prepared statement %q", message.PreparedStatement)
 	}
 	if len(message.Parameters) != len(p.parameters) {
-		return failure(stateProtocol, "%d parameters for %d", len(message.Parameters), len(p.parameters))
+		return newSQLError(stateProtocol, "%d parameters for %d", len(message.Parameters), len(p.parameters))
 	}
 	args := make(arguments, 0, len(message.Parameters))
 	for _, value := range message.Parameters {
-		// The message's memory is used again, so the values are copied.
+		// The values are copied because the next message reuses this one's memory.
 		args = append(args, slices.Clone(value))
 	}
 	formats := slices.Clone(message.ResultFormatCodes)
@@ -90,23 +91,25 @@
 	if message.ObjectType == 'P' {
 		p, found := s.portals[message.Name]
 		if !found {
-			return failure(stateNoPortal, "no portal %q", message.Name)
+			return newSQLError(stateUnknownPortal, "no portal %q", message.Name)
 		}
 		s.sendDescription(p.st, p.formats)
 		return nil
 	}
 	p, found := s.prepared[message.Name]
 	if !found {
-		return failure(stateNoStatement, "no prepared statement %q", message.Name)
+		return newSQLError(stateUnknownStatement, "no prepared statement %q", message.Name)
 	}
 	s.backend.Send(&pgproto3.ParameterDescription{ParameterOIDs: p.parameters})
 	s.sendDescription(p.st, nil)
 	return nil
 }
 
+// sendDescription sends the description of a statement's columns, or NoData if it
+// returns no rows.
 func (s *session) sendDescription(st statement, formats []int16) {
-	if columns := columnsOf(st); len(columns) > 0 {
-		s.backend.Send(described(columns, formats))
+	if columns := statementColumns(st); len(columns) > 0 {
+		s.backend.Send(rowDescription(columns, formats))
 		return
 	}
 	s.backend.Send(&pgproto3.NoData{})
@@ -115,32 +118,32 @@
 func (s *session) execute(ctx context.Context, message *pgproto3.Execute) error {
 	p, found := s.portals[message.Portal]
 	if !found {
-		return failure(stateNoPortal, "no portal %q", message.Portal)
+		return newSQLError(stateUnknownPortal, "no portal %q", message.Portal)
 	}
 	if p.st == nil {
 		s.backend.Send(&pgproto3.EmptyQueryResponse{})
 		return nil
 	}
 	if p.result == nil {
-		res, err := s.run(ctx, p.st, p.args)
+		res, err := s.runStatement(ctx, p.st, p.args)
 		if err != nil {
 			return err
 		}
 		p.result = &res
 	}
-	until := p.result.length
+	end := p.result.rowCount
 	if message.MaxRows > 0 {
-		until = min(until, p.sent+int(message.MaxRows))
+		end = min(end, p.rowsSent+int(message.MaxRows))
 	}
-	if err := s.sendRows(*p.result, p.formats, p.sent, until); err != nil {
+	if err := s.sendRows(*p.result, p.formats, p.rowsSent, end); err != nil {
 		return err
 	}
-	p.sent = until
-	if until < p.result.length {
+	p.rowsSent = end
+	if end < p.result.rowCount {
 		s.backend.Send(&pgproto3.PortalSuspended{})
 		return nil
 	}
-	s.held = p.result
+	s.pendingResult = p.result
 	return nil
 }
 
--- a/internal/standin/database/fault.go
+++ b/internal/standin/database/fault.go
@@ -2,43 +2,43 @@
 
 import "fmt"
 
-// Fault is something that goes wrong at a database. The files fault_*.go hold
-// one variant each. Faults of different variants add up until FaultNone ends
-// them all.
+// Fault is a fault of a database. Each file fault_*.go holds one variant.
+// Faults of different variants apply together until FaultNone ends all of them.
 type Fault interface{ isFault() }
 
-// FaultRequest is the JSON body that asks for a fault.
+// FaultRequest is the JSON body of POST /fault.
 type FaultRequest struct {
 	Fault string `json:"fault"`
 	// From names zones or databases, for isolate.
 	From []string `json:"from"`
-	// Factor multiplies the time of statements, for slow.
+	// Factor multiplies the time that statements take, for slow.
 	Factor float64 `json:"factor"`
-	// Share is the part of the statements that fail, from 0 to 1, for err.
+	// Share is the fraction of the statements that fail, from 0 to 1, for err.
 	Share float64 `json:"share"`
 	// Grace is a duration such as "2s", for leave.
 	Grace string `json:"grace"`
 }
 
-// faultVariant is one entry of the table of faults.
+// faultVariant describes one variant of Fault.
 type faultVariant struct {
 	name  string
 	help  string
 	parse func(request FaultRequest) (Fault, error)
 }
 
-// faultVariants lists every fault by its name.
+// faultVariants lists the variants of Fault.
 var faultVariants = []faultVariant{
 	faultNone,
 	faultFreeze,
 	faultIsolate,
 	faultSilent,
 	faultSlow,
-	faultErr,
+	faultFailStatements,
 	faultLeave,
 }
 
-// FaultRequestError reports a request for a fault that can't be read.
+// FaultRequestError reports a request that names an unknown fault or has an
+// invalid field.
 type FaultRequestError struct {
 	Request FaultRequest
 }
@@ -48,7 +48,8 @@
 	return fmt.Sprintf("no fault of the form %+v", e.Request)
 }
 
-// ParseFault reads a request for a fault. Its error is a *FaultRequestError.
+// ParseFault returns the fault that a request asks for. Its error is a
+// *FaultRequestError.
 func ParseFault(request FaultRequest) (Fault, error) {
 	for _, variant := range faultVariants {
 		if variant.name == request.Fault {
@@ -58,7 +59,7 @@
 	return nil, &FaultRequestError{Request: request}
 }
 
-// FaultHelp returns a line of help for each fault.
+// FaultHelp returns one line of help for each variant of Fault.
 func FaultHelp() []string {
 	lines := make([]string, 0, len(faultVariants))
 	for _, variant := range faultVariants {
--- a/internal/standin/database/fault_freeze.go
+++ b/internal/standin/database/fault_freeze.go
@@ -1,7 +1,7 @@
 package database
 
-// FaultFreeze stops the database from doing or answering anything, as a paused
-// process does. Afterwards it goes on where it was.
+// FaultFreeze suspends the database like a paused process: it neither processes
+// nor answers anything. When the fault ends, it continues where it stopped.
 type FaultFreeze struct{}
 
 func (FaultFreeze) isFault() {}
--- a/internal/standin/database/fault_isolate.go
+++ b/internal/standin/database/fault_isolate.go
@@ -1,7 +1,8 @@
 package database
 
-// FaultIsolate cuts the streams of the log between the database and others,
-// named by database or by availability zone. Clients still connect.
+// FaultIsolate interrupts log replication between this database and others,
+// which are named by database or by availability zone. Clients can still
+// connect.
 type FaultIsolate struct{ From []string }
 
 func (FaultIsolate) isFault() {}
--- a/internal/standin/database/fault_leave.go
+++ b/internal/standin/database/fault_leave.go
@@ -3,7 +3,7 @@
 import "time"
 
 // FaultLeave makes the database report that it is leaving. After Grace it
-// refuses new data connections with SQLSTATE 57P01; open ones go on.
+// rejects new data connections with SQLSTATE 57P01; open ones keep working.
 type FaultLeave struct{ Grace time.Duration }
 
 func (FaultLeave) isFault() {}
--- a/internal/standin/database/fault_none.go
+++ b/internal/standin/database/fault_none.go
@@ -1,6 +1,7 @@
 package database
 
-// FaultNone ends all faults. Connections that went silent stay silent.
+// FaultNone ends all faults. Connections that FaultSilent made silent stay
+// silent.
 type FaultNone struct{}
 
 func (FaultNone) isFault() {}
--- a/internal/standin/database/fault_silent.go
+++ b/internal/standin/database/fault_silent.go
@@ -1,8 +1,8 @@
 package database
 
-// FaultSilent makes the clients' open connections silent for good: what comes
-// in is lost, and no answer goes out, not that of a running statement either.
-// New connections work.
+// FaultSilent makes the open client connections permanently silent: the
+// database discards what it receives on them and sends no more responses,
+// including that of a running statement. New connections work.
 type FaultSilent struct{}
 
 func (FaultSilent) isFault() {}
--- a/internal/standin/database/fault_test.go
+++ b/internal/standin/database/fault_test.go
@@ -17,45 +17,47 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/database"
 )
 
-// silence is how long the tests listen for an answer that must not come.
-const silence = 30 * time.Millisecond
+// noAnswerWait is how long a test waits before it concludes that no response
+// comes.
+const noAnswerWait = 30 * time.Millisecond
 
-// isMute sends a query and reports whether no answer comes.
-func (w *wire) isMute() bool {
-	w.t.Helper()
-	w.frontend.Send(&pgproto3.Query{String: "SELECT 1"})
-	if err := w.frontend.Flush(); err != nil {
-		w.t.Fatal(err)
+// isUnanswered sends a query and reports whether no response comes.
+func (c *protocolClient) isUnanswered() bool {
+	c.t.Helper()
+	c.frontend.Send(&pgproto3.Query{String: "SELECT 1"})
+	if err := c.frontend.Flush(); err != nil {
+		c.t.Fatal(err)
 	}
-	if err := w.conn.SetReadDeadline(time.Now().Add(silence)); err != nil {
-		w.t.Fatal(err)
+	if err := c.conn.SetReadDeadline(time.Now().Add(noAnswerWait)); err != nil {
+		c.t.Fatal(err)
 	}
-	_, err := w.conn.Read(make([]byte, 1))
+	_, err := c.conn.Read(make([]byte, 1))
 	var timeout net.Error
 	return errors.As(err, &timeout) && timeout.Timeout()
 }
 
-func (w *wire) hear() {
-	w.t.Helper()
-	if err := w.conn.SetReadDeadline(time.Time{}); err != nil {
-		w.t.Fatal(err)
+// receiveHeld receives the response that a fault has held back.
+func (c *protocolClient) receiveHeld() {
+	c.t.Helper()
+	if err := c.conn.SetReadDeadline(time.Time{}); err != nil {
+		c.t.Fatal(err)
 	}
-	w.receive()
+	c.receive()
 }
 
 var clerk = map[string]string{"user": "clerk"}
 
 func TestFreeze(t *testing.T) {
 	db := startPrimary(t)
-	w := newWire(t, db, clerk)
+	client := newProtocolClient(t, db, clerk)
 	db.SetFault(database.FaultFreeze{})
-	equal(t, true, w.isMute())
+	equal(t, true, client.isUnanswered())
 	db.SetFault(database.FaultNone{})
-	w.hear()
-	equal(t, "  ready I", w.lines[len(w.lines)-1])
+	client.receiveHeld()
+	equal(t, "  ready I", client.transcript[len(client.transcript)-1])
 }
 
-func TestFrozenPrimaryLosesItsStreams(t *testing.T) {
+func TestReplicasDisconnectFromFrozenPrimary(t *testing.T) {
 	group := startGroup(t, nil)
 	group[0].SetFault(database.FaultFreeze{})
 	for _, replica := range group[1:] {
@@ -67,31 +69,31 @@
 	}
 }
 
-func TestIsolationEnds(t *testing.T) {
-	for _, at := range []int{0, 1} {
+func TestReplicaCatchesUpAfterIsolation(t *testing.T) {
+	for _, isolatedIndex := range []int{0, 1} {
 		group := startGroup(t, nil)
 		a, b := group[0], group[1]
-		group[at].SetFault(database.FaultIsolate{From: []string{"zone-a", "zone-b"}})
+		group[isolatedIndex].SetFault(database.FaultIsolate{From: []string{"zone-a", "zone-b"}})
 		await(t, b, func(s database.State) bool { return !s.Streaming })
 		execute(t, connect(t, a, nil), "INSERT INTO ledger (entry) VALUES ('e1')")
 		awaitReceived(t, group[2], position(1, 2))
 		equal(t, position(1, 1), b.State().Received)
-		group[at].SetFault(database.FaultNone{})
+		group[isolatedIndex].SetFault(database.FaultNone{})
 		awaitReceived(t, b, position(1, 2))
 	}
 }
 
 func TestSilent(t *testing.T) {
 	db := startPrimary(t)
-	w := newWire(t, db, clerk)
+	client := newProtocolClient(t, db, clerk)
 	db.SetFault(database.FaultSilent{})
-	equal(t, true, w.isMute())
-	newWire(t, db, clerk).query("SELECT 1")
+	equal(t, true, client.isUnanswered())
+	newProtocolClient(t, db, clerk).query("SELECT 1")
 	db.SetFault(database.FaultNone{})
-	equal(t, true, w.isMute())
+	equal(t, true, client.isUnanswered())
 }
 
-func TestErr(t *testing.T) {
+func TestFailStatements(t *testing.T) {
 	db := startPrimary(t)
 	conn := connect(t, db, nil)
 	db.SetFault(database.FaultFailStatements{Share: 0.5})
@@ -116,17 +118,17 @@
 		fault database.FaultLeave
 		want  string
 	}{
-		{"at once", database.FaultLeave{}, "57P01"},
-		{"after a grace", database.FaultLeave{Grace: time.Hour}, ""},
+		{"immediately", database.FaultLeave{}, "57P01"},
+		{"after a grace period", database.FaultLeave{Grace: time.Hour}, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			db := startPrimary(t)
-			open := connect(t, db, nil)
+			openConn := connect(t, db, nil)
 			db.SetFault(c.fault)
 			row, _ := call(t, control(t, db), "CALL group_status()")
 			equal(t, "t", row["leaving"].(string))
-			execute(t, open, "SELECT 1")
+			execute(t, openConn, "SELECT 1")
 			equal(t, c.want, connectState(t, db))
 		})
 	}
@@ -142,19 +144,19 @@
 	return sqlState(t, err)
 }
 
-// runAndCancel runs a statement that would not end, withdraws it, and returns
-// its SQLSTATE. Requests that come before the statement has begun change
-// nothing, so they are repeated.
+// runAndCancel runs a statement that would not end by itself, cancels it, and
+// returns its SQLSTATE. A cancel request that arrives before the statement has
+// started has no effect, so the requests are repeated.
 func runAndCancel(t *testing.T, conn *pgx.Conn, sql string) string {
 	t.Helper()
-	done := make(chan error, 1)
+	result := make(chan error, 1)
 	go func() {
 		_, err := conn.Exec(testContext(t), sql, pgx.QueryExecModeSimpleProtocol)
-		done <- err
+		result <- err
 	}()
 	for {
 		select {
-		case err := <-done:
+		case err := <-result:
 			return sqlState(t, err)
 		default:
 			if err := conn.PgConn().CancelRequest(testContext(t)); err != nil {
@@ -167,13 +169,13 @@
 // -----------------------------------------------------------------------------
 // Slots and connections.
 
-func TestSlotsAndCancelling(t *testing.T) {
+func TestSlotsAndCancellation(t *testing.T) {
 	db := startPrimary(t)
 	holder, waiter := connect(t, db, nil), connect(t, db, nil)
-	held := make(chan error, 1)
+	holderDone := make(chan error, 1)
 	go func() {
 		_, err := holder.Exec(context.Background(), "SELECT work('1h')", pgx.QueryExecModeSimpleProtocol)
-		held <- err
+		holderDone <- err
 	}()
 	status := control(t, db)
 	for {
@@ -187,7 +189,7 @@
 	if err := holder.PgConn().CancelRequest(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
-	equal(t, "57014", sqlState(t, <-held))
+	equal(t, "57014", sqlState(t, <-holderDone))
 	execute(t, waiter, "SELECT 1")
 	equal(t, 0, db.State().Busy)
 }
@@ -215,7 +217,7 @@
 	}
 }
 
-func TestWrongCancelKeyChangesNothing(t *testing.T) {
+func TestCancelWithWrongKeyIsIgnored(t *testing.T) {
 	db := startPrimary(t)
 	conn := connect(t, db, nil)
 	raw, err := net.Dial("tcp", db.Address().String())
@@ -229,7 +231,7 @@
 		t.Fatal(err)
 	}
 	if _, err := raw.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("a cancel request was answered: %v", err)
+		t.Errorf("reading after a cancel request: got error %v, want EOF", err)
 	}
 	execute(t, conn, "SELECT 1")
 }
--- a/internal/standin/database/faults.go
+++ b/internal/standin/database/faults.go
@@ -8,31 +8,36 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// faults holds what the faults in force mean for the rest of the database.
-type faults struct {
-	mu       sync.Mutex
-	frozen   bool
-	isolated map[string]bool
-	factor   float64
-	share    float64
-	// owed is the part of a failure that the statements so far have gathered.
-	owed    float64
-	leaving bool
-	closes  time.Time
-	changed chan struct{}
+// faultState holds the combined effect of the faults in force.
+type faultState struct {
+	mu     sync.Mutex
+	frozen bool
+	// isolated holds the names of the databases and zones that are isolated from
+	// this database.
+	isolated     map[string]bool
+	slowFactor   float64
+	failureShare float64
+	// failureAccumulator grows by failureShare with each statement. Each time it
+	// reaches 1, the statement fails and 1 is subtracted.
+	failureAccumulator float64
+	leaving            bool
+	// refusesFrom is the time from which a leaving database rejects new data
+	// connections.
+	refusesFrom time.Time
+	changed     chan struct{}
 }
 
-func newFaults() *faults {
-	return &faults{factor: 1, changed: make(chan struct{})}
+func newFaultState() *faultState {
+	return &faultState{slowFactor: 1, changed: make(chan struct{})}
 }
 
-// set adds a fault, or ends all of them.
-func (f *faults) set(fault Fault, now time.Time) {
+// set adds a fault. FaultNone ends all faults instead.
+func (f *faultState) set(fault Fault, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch fault := fault.(type) {
 	case FaultNone:
-		f.frozen, f.isolated, f.factor, f.share, f.owed, f.leaving = false, nil, 1, 0, 0, false
+		f.frozen, f.isolated, f.slowFactor, f.failureShare, f.failureAccumulator, f.leaving = false, nil, 1, 0, 0, false
 	case FaultFreeze:
 		f.frozen = true
 	case FaultIsolate:
@@ -41,33 +46,35 @@
 			f.isolated[name] = true
 		}
 	case FaultSilent:
-		// The connections themselves are marked.
+		// Database.silenceSessions marks the connections instead.
 	case FaultSlow:
-		f.factor = fault.Factor
+		f.slowFactor = fault.Factor
 	case FaultFailStatements:
-		f.share = fault.Share
+		f.failureShare = fault.Share
 	case FaultLeave:
-		f.leaving, f.closes = true, now.Add(fault.Grace)
+		f.leaving, f.refusesFrom = true, now.Add(fault.Grace)
 	}
 	close(f.changed)
 	f.changed = make(chan struct{})
 }
 
-// awaitThaw waits while the database is frozen, or until done is closed. It
-// reports whether the database may go on.
-func (f *faults) awaitThaw(done <-chan struct{}) bool {
+// awaitThaw blocks while the database is frozen, or until done is closed. It
+// reports whether the database is not frozen.
+func (f *faultState) awaitThaw(done <-chan struct{}) bool {
 	return f.await(done, func() bool { return !f.frozen })
 }
 
-// awaitReachable waits while the database is isolated from another, or until
-// the context ends. It reports whether the other is reachable.
-func (f *faults) awaitReachable(ctx context.Context, name model.DatabaseID, zone model.ZoneID) bool {
+// awaitReachable blocks while this database is isolated from another one, or
+// until the context ends. It reports whether the other one is reachable.
+func (f *faultState) awaitReachable(ctx context.Context, name model.DatabaseID, zone model.ZoneID) bool {
 	return f.await(ctx.Done(), func() bool {
 		return !f.isolated[string(name)] && !f.isolated[string(zone)]
 	})
 }
 
-func (f *faults) await(done <-chan struct{}, ready func() bool) bool {
+// await blocks until ready returns true, or until done is closed. It reports
+// whether ready returned true.
+func (f *faultState) await(done <-chan struct{}, ready func() bool) bool {
 	for {
 		f.mu.Lock()
 		changed, isReady := f.changed, ready()
@@ -83,29 +90,30 @@
 	}
 }
 
-// stretch returns how long a statement takes.
-func (f *faults) stretch(duration time.Duration) time.Duration {
+// scaleDuration returns how long a statement takes under the fault slow, given
+// its usual duration.
+func (f *faultState) scaleDuration(duration time.Duration) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Duration(float64(duration) * f.factor)
+	return time.Duration(float64(duration) * f.slowFactor)
 }
 
 // failsNext reports whether the next statement fails.
-func (f *faults) failsNext() bool {
+func (f *faultState) failsNext() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.owed += f.share
-	if f.owed < 1 {
+	f.failureAccumulator += f.failureShare
+	if f.failureAccumulator < 1 {
 		return false
 	}
-	f.owed--
+	f.failureAccumulator--
 	return true
 }
 
-// isLeaving reports whether the database is leaving, and whether it refuses
-// new data connections.
-func (f *faults) isLeaving(now time.Time) (leaving, closed bool) {
+// isLeaving reports whether the database is leaving, and whether it rejects new
+// data connections.
+func (f *faultState) isLeaving(now time.Time) (leaving, refusing bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.leaving, f.leaving && !now.Before(f.closes)
+	return f.leaving, f.leaving && !now.Before(f.refusesFrom)
 }
--- a/internal/standin/database/frame.go
+++ b/internal/standin/database/frame.go
@@ -11,24 +11,26 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// streamMagic begins a connection over which a replica pulls the log. No
-// startup packet of the PostgreSQL protocol begins so.
+// streamMagic is sent first on a connection over which a replica pulls the log.
+// No startup packet of the PostgreSQL protocol begins with these bytes.
 const streamMagic = "EGR1"
 
-// frameLimit is the greatest length of a frame, in bytes.
-const frameLimit = 64 << 20
+// maxFrameLength is the maximum length of a frame, in bytes.
+const maxFrameLength = 64 << 20
 
-// hello is the replica's first frame.
-type hello struct {
+// streamStartup is the first frame that a replica sends. Spans and Last
+// describe its log.
+type streamStartup struct {
 	Name  model.DatabaseID `msgpack:"name"`
 	Zone  model.ZoneID     `msgpack:"zone"`
 	Term  model.Term       `msgpack:"term"`
-	Spans []span           `msgpack:"spans"`
+	Spans []termSpan       `msgpack:"spans"`
 	Last  uint64           `msgpack:"last"`
 }
 
-// welcome is the primary's first frame. Entries after Common follow.
-type welcome struct {
+// streamReady is the first frame that the primary sends. The batches after it
+// hold the entries after the offset Common.
+type streamReady struct {
 	Name   model.DatabaseID `msgpack:"name"`
 	Zone   model.ZoneID     `msgpack:"zone"`
 	Term   model.Term       `msgpack:"term"`
@@ -37,19 +39,22 @@
 	Last   uint64           `msgpack:"last"`
 }
 
-// batch is each further frame of the primary; an empty one is a heartbeat.
+// batch is each further frame that the primary sends. An empty batch is a
+// heartbeat.
 type batch struct {
 	Entries []entry `msgpack:"entries"`
 }
 
-// frameError reports a frame that is too long.
-type frameError struct{ length uint32 }
+// frameLengthError reports a frame that exceeds maxFrameLength.
+type frameLengthError struct{ length uint32 }
 
 // Error implements error.
-func (e *frameError) Error() string { return fmt.Sprintf("frame of %d bytes", e.length) }
+func (e *frameLengthError) Error() string {
+	return fmt.Sprintf("frame of %d bytes is too long", e.length)
+}
 
-// writeFrame writes a value as the length of its msgpack form, in four bytes,
-// and the form.
+// writeFrame encodes a value as msgpack and writes it, preceded by its length
+// in four bytes, big-endian.
 func writeFrame(w io.Writer, value any) error {
 	body, err := msgpack.Marshal(value)
 	if err != nil {
@@ -60,15 +65,15 @@
 	return errors.Wrap(err, "write a frame")
 }
 
-// readFrame reads what writeFrame wrote.
+// readFrame reads a frame that writeFrame wrote and decodes it into value.
 func readFrame(r io.Reader, value any) error {
 	var head [4]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return errors.Wrap(err, "read a frame's length")
 	}
 	length := binary.BigEndian.Uint32(head[:])
-	if length > frameLimit {
-		return &frameError{length: length}
+	if length > maxFrameLength {
+		return &frameLengthError{length: length}
 	}
 	body := make([]byte, length)
 	if _, err := io.ReadFull(r, body); err != nil {
--- a/internal/standin/database/log.go
+++ b/internal/standin/database/log.go
@@ -5,7 +5,7 @@
 // -----------------------------------------------------------------------------
 // Entries.
 
-// op tells what a change does to the content.
+// op is the kind of a change.
 type op int
 
 // The values of op.
@@ -20,25 +20,26 @@
 	opAppend
 )
 
-// change is one change of the content by a commit.
+// change is one change that a commit makes to the content.
 type change struct {
 	Op    op     `msgpack:"op"`
 	Key   string `msgpack:"key"`
 	Value string `msgpack:"val"`
 }
 
-// entry is one entry of the log: a commit, the opening of a term, or the
-// settling of an idempotency key.
+// entry is one entry of the log: a commit, the start of a term, or the
+// settlement of an idempotency key as not committed.
 type entry struct {
 	Position model.Position `msgpack:"pos"`
-	// Key is the idempotency key of the commit, or empty.
+	// Key is the idempotency key of the commit or the settlement; it may be empty.
 	Key string `msgpack:"key"`
-	// Settled says that Key was not committed and never will be.
+	// Settled tells that Key was not committed and never will be.
 	Settled bool     `msgpack:"set"`
 	Changes []change `msgpack:"chg"`
 }
 
-// keyOutcome tells what the log holds of an idempotency key.
+// keyOutcome tells what the log holds for an idempotency key: its commit, or
+// its settlement as not committed, and the position of that entry.
 type keyOutcome struct {
 	committed bool
 	position  model.Position
@@ -47,7 +48,7 @@
 // -----------------------------------------------------------------------------
 // The log.
 
-// entryLog is a log of entries whose offsets begin at 1.
+// entryLog is the log of a database. The offsets of its entries start at 1.
 type entryLog struct {
 	entries []entry
 	keys    map[string]keyOutcome
@@ -55,10 +56,11 @@
 
 func newEntryLog() entryLog { return entryLog{keys: map[string]keyOutcome{}} }
 
-// last returns the offset of the last entry, or 0.
-func (l *entryLog) last() uint64 { return uint64(len(l.entries)) }
+// lastOffset returns the offset of the last entry, or 0 if the log is empty.
+func (l *entryLog) lastOffset() uint64 { return uint64(len(l.entries)) }
 
-// position returns the position of the entry at an offset, zero for offset 0.
+// position returns the position of the entry at an offset, or the zero position
+// for offset 0.
 func (l *entryLog) position(offset uint64) model.Position {
 	if offset == 0 {
 		return model.Position{}
@@ -66,16 +68,16 @@
 	return l.entries[offset-1].Position
 }
 
-// batchLimit is the greatest number of entries that are sent at once.
-const batchLimit = 4096
+// maxBatchEntries is the maximum number of entries in one batch.
+const maxBatchEntries = 4096
 
-// from returns the next entries from an offset on.
-func (l *entryLog) from(offset uint64) []entry {
+// nextEntries returns up to maxBatchEntries entries, starting at an offset.
+func (l *entryLog) nextEntries(offset uint64) []entry {
 	entries := l.entries[offset-1:]
-	return entries[:min(len(entries), batchLimit)]
+	return entries[:min(len(entries), maxBatchEntries)]
 }
 
-// append adds an entry whose offset is the next one.
+// append appends an entry, whose offset must be the next one.
 func (l *entryLog) append(e entry) {
 	l.entries = append(l.entries, e)
 	if e.Key != "" {
@@ -83,47 +85,50 @@
 	}
 }
 
-// truncate drops the entries after an offset.
+// truncate removes the entries after an offset.
 func (l *entryLog) truncate(offset uint64) {
 	for _, dropped := range l.entries[offset:] {
 		delete(l.keys, dropped.Key)
 	}
-	// The capacity is cut too: streams may still read the old entries.
+	// The capacity is limited too, so that the next append copies the entries:
+	// streams may still read the old ones.
 	l.entries = l.entries[:offset:offset]
 }
 
 // -----------------------------------------------------------------------------
 // Common prefixes.
 
-// span is a run of entries of one term.
-type span struct {
+// termSpan is a run of consecutive entries of one term. First is the offset of
+// the first one.
+type termSpan struct {
 	Term  model.Term `msgpack:"term"`
 	First uint64     `msgpack:"first"`
 }
 
-// spans returns the runs of entries of each term, in order.
-func (l *entryLog) spans() []span {
-	var spans []span
+// spans returns the span of each term in the log, in order.
+func (l *entryLog) spans() []termSpan {
+	var spans []termSpan
 	for i, e := range l.entries {
 		if i == 0 || e.Position.Term != spans[len(spans)-1].Term {
-			spans = append(spans, span{Term: e.Position.Term, First: e.Position.Offset})
+			spans = append(spans, termSpan{Term: e.Position.Term, First: e.Position.Offset})
 		}
 	}
 	return spans
 }
 
-// common returns the last offset at which this log and another, given by its
-// spans and last offset, hold an entry of the same term. Only one primary
-// appends in a term, so all before it is shared as well.
-func (l *entryLog) common(spans []span, last uint64) uint64 {
-	offset := min(l.last(), last)
+// commonOffset returns the last offset at which this log and another, given by
+// its spans and last offset, hold an entry of the same term. Only one primary
+// appends in a term, so the logs also agree on all entries before that offset.
+func (l *entryLog) commonOffset(spans []termSpan, last uint64) uint64 {
+	offset := min(l.lastOffset(), last)
 	for offset > 0 && termAt(spans, offset) != l.position(offset).Term {
 		offset--
 	}
 	return offset
 }
 
-func termAt(spans []span, offset uint64) model.Term {
+// termAt returns the term of the entry at an offset, given the spans of its log.
+func termAt(spans []termSpan, offset uint64) model.Term {
 	var term model.Term
 	for _, s := range spans {
 		if s.First > offset {
--- a/internal/standin/database/node.go
+++ b/internal/standin/database/node.go
@@ -7,9 +7,9 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// node is the replicated state of one database: its role and term, its log,
-// and the content as far as the log is applied. All methods may be called from
-// any goroutine.
+// node is the replicated state of one database: its role and term, its log, and
+// the content as of the last applied entry. The methods that lock mu may be
+// called from any goroutine; the others require that the caller has locked it.
 type node struct {
 	mu    sync.Mutex
 	name  model.DatabaseID
@@ -17,38 +17,40 @@
 	role  model.Role
 	term  model.Term
 	nonce model.Nonce
-	// demotions counts the times that this node stopped being primary.
+	// demotions is the number of times that this node stopped being primary.
 	demotions uint64
-	// joining says that the node began without its log and has not caught up.
-	joining bool
+	// catchingUp is true if the node started without its log and has not caught up with
+	// its source since.
+	catchingUp bool
 
 	log     entryLog
 	applied uint64
 	content content
-	// arrivals holds when each entry that is not applied yet was received.
-	arrivals []time.Time
-	lag      time.Duration
+	// receiveTimes holds the time of reception of each entry that is not applied yet.
+	receiveTimes []time.Time
+	lag          time.Duration
 
-	target    target
-	retarget  chan struct{}
-	streaming bool
-	changed   chan struct{}
+	source        streamSource
+	sourceChanged chan struct{}
+	streaming     bool
+	changed       chan struct{}
 }
 
-// newNode returns a replica without a log, or the primary that opens a term.
+// newNode returns a replica without a log, or a primary whose log starts its
+// term.
 func newNode(options Options) *node {
 	n := &node{
-		name:     options.Name,
-		zone:     options.Zone,
-		log:      newEntryLog(),
-		content:  newContent(),
-		lag:      options.ApplyLag,
-		retarget: make(chan struct{}),
-		changed:  make(chan struct{}),
+		name:          options.Name,
+		zone:          options.Zone,
+		log:           newEntryLog(),
+		content:       newContent(),
+		lag:           options.ApplyLag,
+		sourceChanged: make(chan struct{}),
+		changed:       make(chan struct{}),
 	}
 	if options.Source.IsValid() {
-		n.joining = true
-		n.target.address = options.Source
+		n.catchingUp = true
+		n.source.address = options.Source
 	}
 	if options.Primary {
 		n.role = model.RolePrimary
@@ -58,21 +60,21 @@
 	return n
 }
 
-// notify wakes everyone that waits for a change.
+// notify wakes all goroutines that wait for a change of the node.
 func (n *node) notify() {
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// changes returns a channel that is closed at the next change of the node.
-func (n *node) changes() <-chan struct{} {
+// changeSignal returns a channel that is closed at the next change of the node.
+func (n *node) changeSignal() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.changed
 }
 
 // snapshot returns the node's part of the state, and a channel that is closed
-// when it changes.
+// when the node changes.
 func (n *node) snapshot() (State, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -92,9 +94,9 @@
 		Role:      n.role,
 		Term:      n.term,
 		Nonce:     n.nonce,
-		Received:  n.log.position(n.log.last()),
+		Received:  n.log.position(n.log.lastOffset()),
 		Applied:   n.log.position(n.applied),
-		Source:    n.target.name,
+		Source:    n.source.name,
 		Streaming: n.streaming,
 	}
 }
@@ -102,82 +104,87 @@
 // -----------------------------------------------------------------------------
 // Reading and committing.
 
-// guard tells what a statement relies on.
-type guard struct {
-	// work is what the connection expects, or nil.
-	work *work
-	// demotions is the count at the start of the transaction.
+// precondition is what must still hold when a statement runs.
+type precondition struct {
+	// expectedWork is the term and key that the session expects, nil if it expects
+	// none.
+	expectedWork *workExpectation
+	// demotions is the value of node.demotions when the transaction began.
 	demotions uint64
 }
 
-// check returns the error that stops a statement under guard.
-func (n *node) check(g guard) error {
-	if g.demotions != n.demotions {
-		return failure(stateTerm, "the database is no longer primary; its term is %d", n.term)
+// checkPrecondition returns an error if a statement must not run because the
+// precondition does not hold.
+func (n *node) checkPrecondition(pre precondition) error {
+	if pre.demotions != n.demotions {
+		return newSQLError(stateTermMismatch, "the database is no longer primary; its term is %d", n.term)
 	}
-	if g.work != nil && g.work.term != n.term {
-		return failure(stateTerm, "the database's term is %d, not %d", n.term, g.work.term)
+	if pre.expectedWork != nil && pre.expectedWork.term != n.term {
+		return newSQLError(stateTermMismatch, "the database's term is %d, not %d", n.term, pre.expectedWork.term)
 	}
 	return nil
 }
 
-// checkWritable returns the error that stops a write under guard.
-func (n *node) checkWritable(g guard) error {
-	if err := n.check(g); err != nil {
+// checkWritable returns an error if a write must not run because the
+// precondition does not hold or the node is not primary.
+func (n *node) checkWritable(pre precondition) error {
+	if err := n.checkPrecondition(pre); err != nil {
 		return err
 	}
 	if n.role != model.RolePrimary {
-		return failure(stateReadOnly, "the database is a replica")
+		return newSQLError(stateReadOnly, "the database is a replica")
 	}
 	return nil
 }
 
-// begin returns the guard of a transaction that starts now.
-func (n *node) begin(w *work) (guard, error) {
+// begin returns the precondition of a transaction that starts now.
+func (n *node) begin(expected *workExpectation) (precondition, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	g := guard{work: w, demotions: n.demotions}
-	return g, n.check(g)
+	pre := precondition{expectedWork: expected, demotions: n.demotions}
+	return pre, n.checkPrecondition(pre)
 }
 
-// look runs a function on the applied content and returns its position.
-func (n *node) look(g guard, writes bool, run func(c *content) error) (model.Position, error) {
+// withContent calls a function with the applied content and returns the
+// position of the content. With writes, the node must be primary.
+func (n *node) withContent(pre precondition, writes bool, run func(c *content) error) (model.Position, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	check := n.check
+	check := n.checkPrecondition
 	if writes {
 		check = n.checkWritable
 	}
-	if err := check(g); err != nil {
+	if err := check(pre); err != nil {
 		return model.Position{}, err
 	}
 	return n.log.position(n.applied), run(&n.content)
 }
 
-// commit appends changes to the log and applies them. It returns the position
-// of the commit.
-func (n *node) commit(g guard, changes []change) (model.Position, error) {
+// commit appends an entry with changes to the log and applies it. It returns
+// the position of the commit.
+func (n *node) commit(pre precondition, changes []change) (model.Position, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if err := n.checkWritable(g); err != nil {
+	if err := n.checkWritable(pre); err != nil {
 		return model.Position{}, err
 	}
 	key := ""
-	if g.work != nil {
-		key = g.work.key
+	if pre.expectedWork != nil {
+		key = pre.expectedWork.key
 	}
 	if _, known := n.log.keys[key]; known {
-		return model.Position{}, failure(stateDuplicate, "the key %q was committed or settled before", key)
+		return model.Position{}, newSQLError(stateDuplicateKey, "the key %q was committed or settled before", key)
 	}
-	if existing, conflict := n.content.conflict(changes); conflict {
-		return model.Position{}, failure(stateUniqueViolation, "the key %q exists", existing)
+	if existing, conflict := n.content.duplicateInsert(changes); conflict {
+		return model.Position{}, newSQLError(stateUniqueViolation, "the key %q exists", existing)
 	}
 	return n.appendEntry(entry{Key: key, Changes: changes}), nil
 }
 
-// appendEntry adds an entry of the primary's own term, applied at once.
+// appendEntry appends an entry in the primary's own term and applies it at
+// once.
 func (n *node) appendEntry(e entry) model.Position {
-	e.Position = model.Position{Term: n.term, Offset: n.log.last() + 1}
+	e.Position = model.Position{Term: n.term, Offset: n.log.lastOffset() + 1}
 	n.log.append(e)
 	n.content.apply(e.Changes)
 	n.applied = e.Position.Offset
@@ -188,7 +195,8 @@
 // -----------------------------------------------------------------------------
 // Applying what a replica received.
 
-// setLag changes the time between receiving and applying.
+// setLag changes the time between the reception of an entry and its
+// application.
 func (n *node) setLag(lag time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -196,33 +204,34 @@
 	n.notify()
 }
 
-// applyDue applies the entries that were received a lag ago. It returns the
-// time until the next one is due, or a negative time where there is none, and
-// a channel that is closed at the next change.
+// applyDue applies the entries that were received at least the apply lag ago.
+// It returns the time until the next entry is due, negative if there is none,
+// and a channel that is closed at the next change.
 func (n *node) applyDue(now time.Time) (time.Duration, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	before := n.applied
-	for len(n.arrivals) > 0 && now.Sub(n.arrivals[0]) >= n.lag {
+	appliedBefore := n.applied
+	for len(n.receiveTimes) > 0 && now.Sub(n.receiveTimes[0]) >= n.lag {
 		n.applyNext()
 	}
-	if n.applied != before {
+	if n.applied != appliedBefore {
 		n.notify()
 	}
-	if len(n.arrivals) == 0 {
+	if len(n.receiveTimes) == 0 {
 		return -1, n.changed
 	}
-	return n.lag - now.Sub(n.arrivals[0]), n.changed
+	return n.lag - now.Sub(n.receiveTimes[0]), n.changed
 }
 
+// applyNext applies the entry after the last applied one.
 func (n *node) applyNext() {
 	n.applied++
 	n.content.apply(n.log.entries[n.applied-1].Changes)
-	n.arrivals = n.arrivals[1:]
+	n.receiveTimes = n.receiveTimes[1:]
 }
 
-// dropTail drops the entries after an offset, and rebuilds the content where
-// some of them were applied.
+// dropTail removes the entries after an offset from the log. It rebuilds the
+// content if one of them was applied.
 func (n *node) dropTail(offset uint64) {
 	n.log.truncate(offset)
 	if n.applied > offset {
@@ -232,5 +241,5 @@
 		}
 		n.applied = offset
 	}
-	n.arrivals = n.arrivals[:offset-n.applied]
+	n.receiveTimes = n.receiveTimes[:offset-n.applied]
 }
--- a/internal/standin/database/node_stream.go
+++ b/internal/standin/database/node_stream.go
@@ -7,120 +7,124 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// target is the primary that a replica follows; its name is empty until it is
-// known.
-type target struct {
+// streamSource is the primary that a replica follows. Its name may be empty
+// until the primary has sent it.
+type streamSource struct {
 	name    model.DatabaseID
 	address netip.AddrPort
 }
 
-// setTarget ends the stream in progress and changes what is followed.
-func (n *node) setTarget(next target) {
-	n.target = next
+// setSource changes the source and ends the stream in progress.
+func (n *node) setSource(next streamSource) {
+	n.source = next
 	n.streaming = false
-	close(n.retarget)
-	n.retarget = make(chan struct{})
+	close(n.sourceChanged)
+	n.sourceChanged = make(chan struct{})
 	n.notify()
 }
 
-// followed returns what is followed, and a channel that is closed when that
-// changes or the term is raised.
-func (n *node) followed() (target, <-chan struct{}) {
+// currentSource returns the source, and a channel that is closed when the
+// source changes or the term is raised.
+func (n *node) currentSource() (streamSource, <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.target, n.retarget
+	return n.source, n.sourceChanged
 }
 
 // -----------------------------------------------------------------------------
-// The primary's end of a stream.
+// Primary side of a stream.
 
-// greet returns what the primary answers to a replica's hello, or false where
-// the stream is refused.
-func (n *node) greet(h hello) (welcome, bool) {
+// acceptReplica returns the primary's response to a replica that connects, or
+// false if the stream must be rejected: this node is not primary, the replica
+// has a higher term, or it has entries of the current term that this log lacks.
+func (n *node) acceptReplica(startup streamStartup) (streamReady, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.role != model.RolePrimary || h.Term > n.term {
-		return welcome{}, false
+	if n.role != model.RolePrimary || startup.Term > n.term {
+		return streamReady{}, false
 	}
-	common := n.log.common(h.Spans, h.Last)
-	if common < h.Last && termAt(h.Spans, h.Last) == n.term {
-		// The replica holds entries of this very term: this log was lost.
-		return welcome{}, false
+	common := n.log.commonOffset(startup.Spans, startup.Last)
+	if common < startup.Last && termAt(startup.Spans, startup.Last) == n.term {
+		// The replica has entries of the current term that this log lacks, which
+		// means that this log was lost.
+		return streamReady{}, false
 	}
-	return welcome{
+	return streamReady{
 		Name: n.name, Zone: n.zone, Term: n.term, Nonce: n.nonce,
-		Common: common, Last: n.log.last(),
+		Common: common, Last: n.log.lastOffset(),
 	}, true
 }
 
-// entriesFrom returns the entries from an offset on, or false where the node is
-// no longer primary of term.
+// entriesFrom returns the next entries from an offset on, or false if the node
+// is no longer primary of term.
 func (n *node) entriesFrom(offset uint64, term model.Term) ([]entry, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.role != model.RolePrimary || n.term != term {
 		return nil, false
 	}
-	return n.log.from(offset), true
+	return n.log.nextEntries(offset), true
 }
 
 // -----------------------------------------------------------------------------
-// The replica's end of a stream.
+// Replica side of a stream.
 
-// hello returns what a replica says first.
-func (n *node) hello() hello {
+// startupMessage returns the first frame that the replica sends.
+func (n *node) startupMessage() streamStartup {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return hello{Name: n.name, Zone: n.zone, Term: n.term, Spans: n.log.spans(), Last: n.log.last()}
+	return streamStartup{Name: n.name, Zone: n.zone, Term: n.term, Spans: n.log.spans(), Last: n.log.lastOffset()}
 }
 
-// beginStream takes over the primary's term and drops the tail that it does
-// not share. It reports false where the stream must not be used: the target
-// has changed, or the term is lower.
-func (n *node) beginStream(retarget <-chan struct{}, w welcome) bool {
+// beginStream adopts the primary's term and removes the entries that the
+// primary's log does not have. It returns false if the stream must not be used:
+// the source has changed, the primary's term is lower, or the common offset is
+// beyond this log.
+func (n *node) beginStream(sourceChanged <-chan struct{}, ready streamReady) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if retarget != n.retarget || w.Term < n.term || w.Common > n.log.last() {
+	if sourceChanged != n.sourceChanged || ready.Term < n.term || ready.Common > n.log.lastOffset() {
 		return false
 	}
-	if w.Term > n.term || n.nonce == "" {
-		n.term, n.nonce = w.Term, w.Nonce
+	if ready.Term > n.term || n.nonce == "" {
+		n.term, n.nonce = ready.Term, ready.Nonce
 	}
-	n.target.name = w.Name
+	n.source.name = ready.Name
 	n.streaming = true
-	n.dropTail(w.Common)
-	n.joining = n.joining && n.log.last() < w.Last
+	n.dropTail(ready.Common)
+	n.catchingUp = n.catchingUp && n.log.lastOffset() < ready.Last
 	n.notify()
 	return true
 }
 
-// receive appends entries to the log. It reports false where the stream must
-// not be used any more.
-func (n *node) receive(retarget <-chan struct{}, w welcome, entries []entry, now time.Time) bool {
+// receive appends entries to the log. It returns false if the stream must not
+// be used any longer.
+func (n *node) receive(sourceChanged <-chan struct{}, ready streamReady, entries []entry, now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if retarget != n.retarget {
+	if sourceChanged != n.sourceChanged {
 		return false
 	}
 	for _, e := range entries {
-		if e.Position.Offset != n.log.last()+1 {
+		if e.Position.Offset != n.log.lastOffset()+1 {
 			return false
 		}
 		n.log.append(e)
-		n.arrivals = append(n.arrivals, now)
+		n.receiveTimes = append(n.receiveTimes, now)
 	}
-	n.joining = n.joining && n.log.last() < w.Last
+	n.catchingUp = n.catchingUp && n.log.lastOffset() < ready.Last
 	if len(entries) > 0 {
 		n.notify()
 	}
 	return true
 }
 
-// endStream tells that the stream is gone.
-func (n *node) endStream(retarget <-chan struct{}) {
+// endStream records that the stream has ended, unless the source has changed
+// since.
+func (n *node) endStream(sourceChanged <-chan struct{}) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if retarget == n.retarget && n.streaming {
+	if sourceChanged == n.sourceChanged && n.streaming {
 		n.streaming = false
 		n.notify()
 	}
--- a/internal/standin/database/node_test.go
+++ b/internal/standin/database/node_test.go
@@ -11,13 +11,14 @@
 
 func appendTerms(l *entryLog, terms []int) {
 	for _, term := range terms {
-		l.append(entry{Position: model.Position{Term: model.Term(term), Offset: l.last() + 1}})
+		l.append(entry{Position: model.Position{Term: model.Term(term), Offset: l.lastOffset() + 1}})
 	}
 }
 
-// TestCommonPrefix draws two logs with a shared prefix, after which the terms
-// of one are even and those of the other are odd.
-func TestCommonPrefix(t *testing.T) {
+// TestCommonOffset draws two logs with a shared prefix, after which the terms
+// of one are even and those of the other are odd. The last common offset must
+// be the end of the prefix.
+func TestCommonOffset(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shared := rapid.SliceOfN(rapid.IntRange(0, 1), 0, 20).Draw(t, "shared")
 		term := 0
@@ -38,15 +39,15 @@
 		}
 		appendTerms(&a, tail("a", 2*term+2))
 		appendTerms(&b, tail("b", 2*term+3))
-		if diff := cmp.Diff(uint64(len(shared)), a.common(b.spans(), b.last())); diff != "" {
+		if diff := cmp.Diff(uint64(len(shared)), a.commonOffset(b.spans(), b.lastOffset())); diff != "" {
 			t.Fatalf("(-want +got)\n%s", diff)
 		}
 	})
 }
 
-// TestViewIsWhatCommitWouldGive compares reads inside a transaction with the
-// content after its commit.
-func TestViewIsWhatCommitWouldGive(t *testing.T) {
+// TestTransactionViewMatchesCommittedContent compares the reads inside a
+// transaction with those of the content after its commit.
+func TestTransactionViewMatchesCommittedContent(t *testing.T) {
 	changes := rapid.SliceOf(rapid.Custom(func(t *rapid.T) change {
 		return change{
 			Op:    op(rapid.IntRange(int(opInsert), int(opAppend)).Draw(t, "op")),
@@ -55,43 +56,43 @@
 		}
 	}))
 	rapid.Check(t, func(t *rapid.T) {
-		base, after := newContent(), newContent()
-		before, buffered := changes.Draw(t, "before"), changes.Draw(t, "buffered")
-		base.apply(before)
-		after.apply(before)
-		after.apply(buffered)
-		seen, want := view{base: &base, changes: buffered}, view{base: &after}
+		start, final := newContent(), newContent()
+		initial, buffered := changes.Draw(t, "initial"), changes.Draw(t, "buffered")
+		start.apply(initial)
+		final.apply(initial)
+		final.apply(buffered)
+		uncommitted, committed := transactionView{base: &start, changes: buffered}, transactionView{base: &final}
 		for _, key := range []string{"a", "b", "c"} {
-			got, found := seen.value(key)
-			wanted, exists := want.value(key)
+			got, found := uncommitted.value(key)
+			wanted, exists := committed.value(key)
 			if found != exists || found && got != wanted {
 				t.Fatalf("%s: got %q %v, want %q %v", key, got, found, wanted, exists)
 			}
 		}
-		if diff := cmp.Diff(want.entries(), seen.entries()); diff != "" {
+		if diff := cmp.Diff(committed.ledgerEntries(), uncommitted.ledgerEntries()); diff != "" {
 			t.Fatalf("(-want +got)\n%s", diff)
 		}
 	})
 }
 
-func TestGreetRefuses(t *testing.T) {
+func TestAcceptReplica(t *testing.T) {
 	primary := newNode(Options{Name: "a", Primary: true, Term: 3})
 	replica := newNode(Options{Name: "b"})
 	cases := []struct {
-		name string
-		node *node
-		say  hello
-		want bool
+		name    string
+		node    *node
+		startup streamStartup
+		want    bool
 	}{
-		{"empty replica", primary, hello{}, true},
-		{"diverged in a lower term", primary, hello{Term: 3, Spans: []span{{Term: 1, First: 1}}, Last: 9}, true},
-		{"higher term", primary, hello{Term: 4}, false},
-		{"more of this very term", primary, hello{Term: 3, Spans: []span{{Term: 3, First: 1}}, Last: 2}, false},
-		{"no primary", replica, hello{}, false},
+		{"empty replica", primary, streamStartup{}, true},
+		{"diverged in a lower term", primary, streamStartup{Term: 3, Spans: []termSpan{{Term: 1, First: 1}}, Last: 9}, true},
+		{"higher term", primary, streamStartup{Term: 4}, false},
+		{"entries of the current term that the primary lacks", primary, streamStartup{Term: 3, Spans: []termSpan{{Term: 3, First: 1}}, Last: 2}, false},
+		{"not a primary", replica, streamStartup{}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, ok := c.node.greet(c.say)
+			_, ok := c.node.acceptReplica(c.startup)
 			if diff := cmp.Diff(c.want, ok); diff != "" {
 				t.Errorf("(-want +got)\n%s", diff)
 			}
@@ -99,10 +100,10 @@
 	}
 }
 
-func TestSlotsAreGrantedInOrder(t *testing.T) {
-	s := &slots{size: 1}
-	granted := []chan struct{}{s.enter(), s.enter(), s.enter(), s.enter()}
-	s.leave(granted[1])
+func TestSlotsAreGrantedFirstComeFirstServed(t *testing.T) {
+	s := &slots{limit: 1}
+	granted := []chan struct{}{s.enqueue(), s.enqueue(), s.enqueue(), s.enqueue()}
+	s.cancelWait(granted[1])
 	s.release()
 	var got []bool
 	for _, g := range granted {
@@ -116,7 +117,7 @@
 	if diff := cmp.Diff([]bool{true, false, true, false}, got); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
 	}
-	s.leave(granted[2])
+	s.cancelWait(granted[2])
 	s.release()
 	if diff := cmp.Diff(0, s.inUse()); diff != "" {
 		t.Errorf("(-want +got)\n%s", diff)
@@ -133,8 +134,8 @@
 	f.Fuzz(func(t *testing.T, sql string) {
 		statements, err := parse(sql)
 		if err != nil && len(statements) > 0 {
-			t.Errorf("statements beside the error %v", err)
+			t.Errorf("parse returned statements together with the error %v", err)
 		}
-		parameters(sql)
+		parameterCount(sql)
 	})
 }
--- a/internal/standin/database/parse_form.go
+++ b/internal/standin/database/parse_form.go
@@ -4,22 +4,23 @@
 	"strings"
 )
 
-// form is one form of statement. In its text, ? stands for a string, a number
-// or a parameter, @ for a word, # for any of them, and ... for whatever comes.
-type form struct {
-	text string
-	make func(m match) statement
+// statementPattern is the syntax of one statement. In its text, ? stands for a
+// string, a number or a parameter, @ for a word, # for any of these, and ...
+// for all remaining tokens.
+type statementPattern struct {
+	text  string
+	build func(m match) statement
 }
 
-// match holds what a form's signs stood for.
+// match holds the tokens that matched a pattern's placeholders.
 type match struct {
-	operands []operand
-	words    []string
-	rest     []token
+	operands  []operand
+	words     []string
+	remaining []token
 }
 
-// forms lists every statement that the stand-in knows.
-var forms = []form{
+// statementPatterns lists the syntax of every supported statement.
+var statementPatterns = []statementPattern{
 	{"SELECT value FROM kv WHERE key = ?", func(m match) statement { return selectValue{m.operands[0]} }},
 	{"SELECT key, value FROM kv", func(match) statement { return selectAll{} }},
 	{"SELECT key, value FROM kv ORDER BY key", func(match) statement { return selectAll{} }},
@@ -39,14 +40,14 @@
 	{"NOTICE ?", func(m match) statement { return sendNotice{m.operands[0]} }},
 	{"COPY ...", func(match) statement { return copyStatement{} }},
 
-	{"BEGIN ...", makeBegin},
-	{"START TRANSACTION ...", makeBegin},
+	{"BEGIN ...", buildBegin},
+	{"START TRANSACTION ...", buildBegin},
 	{"COMMIT", func(match) statement { return commitTransaction{} }},
 	{"END", func(match) statement { return commitTransaction{} }},
 	{"ROLLBACK", func(match) statement { return rollbackTransaction{} }},
-	{"SET @ = #", makeSet},
-	{"SET @ TO #", makeSet},
-	{"SET SESSION @ = #", makeSet},
+	{"SET @ = #", buildSet},
+	{"SET @ TO #", buildSet},
+	{"SET SESSION @ = #", buildSet},
 	{"SHOW @", func(m match) statement { return showSetting{strings.ToLower(m.words[0])} }},
 	{"RESET @", func(m match) statement { return resetSetting{strings.ToLower(m.words[0])} }},
 	{"DISCARD ALL", func(match) statement { return discardAll{} }},
@@ -62,38 +63,39 @@
 	{"CALL group_settle(?, ?)", func(m match) statement { return callSettle{m.operands[0], m.operands[1]} }},
 }
 
-func makeBegin(m match) statement {
+func buildBegin(m match) statement {
 	readOnly := false
-	for i, word := range m.rest {
-		readOnly = readOnly || word.is("ONLY") && i > 0 && m.rest[i-1].is("READ")
+	for i, word := range m.remaining {
+		readOnly = readOnly || word.is("ONLY") && i > 0 && m.remaining[i-1].is("READ")
 	}
 	return beginTransaction{readOnly: readOnly}
 }
 
-func makeSet(m match) statement {
+func buildSet(m match) statement {
 	return setSetting{name: strings.ToLower(m.words[0]), value: m.operands[0]}
 }
 
-// formTokens holds the tokens of each form's text.
-var formTokens = tokenizeForms()
+// patternTokens holds the tokens of each pattern's text.
+var patternTokens = tokenizePatterns()
 
-func tokenizeForms() [][]token {
-	all := make([][]token, 0, len(forms))
-	for _, f := range forms {
-		tokens, err := tokenize(f.text)
+func tokenizePatterns() [][]token {
+	tokenLists := make([][]token, 0, len(statementPatterns))
+	for _, p := range statementPatterns {
+		tokens, err := tokenize(p.text)
 		if err != nil {
 			panic(err)
 		}
-		all = append(all, tokens)
+		tokenLists = append(tokenLists, tokens)
 	}
-	return all
+	return tokenLists
 }
 
-// SupportedStatements returns the text of every statement that the stand-in knows.
+// SupportedStatements returns the pattern of every supported statement, with
+// the placeholders ?, @, # and "...".
 func SupportedStatements() []string {
-	texts := make([]string, 0, len(forms))
-	for _, f := range forms {
-		texts = append(texts, f.text)
+	texts := make([]string, 0, len(statementPatterns))
+	for _, p := range statementPatterns {
+		texts = append(texts, p.text)
 	}
 	return texts
 }
@@ -101,8 +103,8 @@
 // -----------------------------------------------------------------------------
 // Parsing.
 
-// parse reads the statements of SQL text. There is none where the text is
-// empty or a comment.
+// parse parses SQL text that holds any number of statements, separated by
+// semicolons. It returns none if the text is blank or consists of comments.
 func parse(sql string) ([]statement, error) {
 	tokens, err := tokenize(sql)
 	if err != nil {
@@ -115,7 +117,7 @@
 			length++
 		}
 		if length > 0 {
-			st, err := parseOne(tokens[:length])
+			st, err := parseStatement(tokens[:length])
 			if err != nil {
 				return nil, err
 			}
@@ -126,52 +128,56 @@
 	return statements, nil
 }
 
-func parseOne(tokens []token) (statement, error) {
-	for i, f := range forms {
-		if m, ok := matchForm(formTokens[i], tokens); ok {
-			return f.make(m), nil
+func parseStatement(tokens []token) (statement, error) {
+	for i, p := range statementPatterns {
+		if m, ok := matchPattern(patternTokens[i], tokens); ok {
+			return p.build(m), nil
 		}
 	}
-	return nil, failure(stateSyntax, "the stand-in knows no such statement near %q", tokens[0].text)
+	return nil, newSQLError(stateSyntax, "the stand-in knows no such statement near %q", tokens[0].text)
 }
 
-func matchForm(wanted, tokens []token) (match, bool) {
+// matchPattern reports whether tokens match a pattern, and returns what its
+// placeholders matched.
+func matchPattern(pattern, tokens []token) (match, bool) {
 	var m match
-	for i, want := range wanted {
-		if want.is(".") {
-			m.rest = tokens[i:]
+	for i, expectedToken := range pattern {
+		if expectedToken.is(".") {
+			m.remaining = tokens[i:]
 			return m, true
 		}
-		if i >= len(tokens) || !m.take(want, tokens[i]) {
+		if i >= len(tokens) || !m.matchToken(expectedToken, tokens[i]) {
 			return match{}, false
 		}
 	}
-	return m, len(tokens) == len(wanted)
+	return m, len(tokens) == len(pattern)
 }
 
-// take matches one token, and keeps it where a sign stands for it.
-func (m *match) take(want, have token) bool {
-	value, isOperand := have.operand()
-	isWord := have.kind == tokenWord
+// matchToken reports whether a token matches one of the pattern, and stores the
+// token if the pattern's is a placeholder.
+func (m *match) matchToken(expected, actual token) bool {
+	value, isOperand := actual.operand()
+	isWord := actual.kind == tokenWord
 	switch {
-	case want.is("?"):
+	case expected.is("?"):
 		m.operands = append(m.operands, value)
 		return isOperand
-	case want.is("@"):
-		m.words = append(m.words, have.text)
+	case expected.is("@"):
+		m.words = append(m.words, actual.text)
 		return isWord
-	case want.is("#"):
+	case expected.is("#"):
 		if isWord {
-			value = operand{literal: have.text}
+			value = operand{literal: actual.text}
 		}
 		m.operands = append(m.operands, value)
 		return isWord || isOperand
 	}
-	return have.is(want.text) || have.kind == tokenNumber && want.kind == tokenNumber && have.text == want.text
+	return actual.is(expected.text) || actual.kind == tokenNumber && expected.kind == tokenNumber && actual.text == expected.text
 }
 
-// parameters returns the number of the highest parameter in SQL text.
-func parameters(sql string) int {
+// parameterCount returns the number of the highest parameter in SQL text, or 0
+// if there is none.
+func parameterCount(sql string) int {
 	tokens, err := tokenize(sql)
 	if err != nil {
 		return 0
--- a/internal/standin/database/parse_token.go
+++ b/internal/standin/database/parse_token.go
@@ -6,7 +6,7 @@
 	"unicode"
 )
 
-// tokenKind tells what a token is.
+// tokenKind is the kind of a token.
 type tokenKind int
 
 // The values of tokenKind.
@@ -15,20 +15,20 @@
 	tokenString
 	tokenNumber
 	tokenParameter
-	tokenMark
+	tokenPunctuation
 )
 
-// token is the smallest part of a statement.
+// token is one lexical token of a statement.
 type token struct {
 	kind tokenKind
 	text string
 }
 
-// tokenize splits SQL text into tokens and drops comments.
+// tokenize splits SQL text into tokens. It drops whitespace and comments.
 func tokenize(sql string) ([]token, error) {
 	var tokens []token
 	for {
-		rest, err := skipBlanks(sql)
+		rest, err := skipSpaceAndComments(sql)
 		if err != nil || rest == "" {
 			return tokens, err
 		}
@@ -41,8 +41,9 @@
 	}
 }
 
-// skipBlanks drops blanks and comments at the beginning.
-func skipBlanks(sql string) (string, error) {
+// skipSpaceAndComments returns SQL text without its leading whitespace and
+// comments.
+func skipSpaceAndComments(sql string) (string, error) {
 	for {
 		sql = strings.TrimLeftFunc(sql, unicode.IsSpace)
 		switch {
@@ -51,7 +52,7 @@
 		case strings.HasPrefix(sql, "/*"):
 			_, rest, closed := strings.Cut(sql, "*/")
 			if !closed {
-				return "", failure(stateSyntax, "unterminated comment")
+				return "", newSQLError(stateSyntax, "unterminated comment")
 			}
 			sql = rest
 		default:
@@ -60,7 +61,8 @@
 	}
 }
 
-// nextToken returns the token at the beginning, and its length in bytes.
+// nextToken returns the token at the start of SQL text, and its length in
+// bytes.
 func nextToken(sql string) (token, int, error) {
 	first := sql[0]
 	switch {
@@ -69,53 +71,55 @@
 	case first == '"':
 		length := strings.IndexByte(sql[1:], '"')
 		if length < 0 {
-			return token{}, 0, failure(stateSyntax, "unterminated identifier")
+			return token{}, 0, newSQLError(stateSyntax, "unterminated identifier")
 		}
 		return token{tokenWord, sql[1 : 1+length]}, length + 2, nil
 	case first == '$':
-		length := 1 + spanOf(sql[1:], isDigit)
+		length := 1 + prefixLength(sql[1:], isDigitByte)
 		return token{tokenParameter, sql[1:length]}, length, nil
-	case isDigit(first), first == '-' && len(sql) > 1 && isDigit(sql[1]):
-		length := 1 + spanOf(sql[1:], isNumeral)
+	case isDigitByte(first), first == '-' && len(sql) > 1 && isDigitByte(sql[1]):
+		length := 1 + prefixLength(sql[1:], isNumberByte)
 		return token{tokenNumber, sql[:length]}, length, nil
-	case isLetter(first):
-		length := spanOf(sql, isWord)
+	case isLetterByte(first):
+		length := prefixLength(sql, isWordByte)
 		return token{tokenWord, sql[:length]}, length, nil
 	}
-	return token{tokenMark, sql[:1]}, 1, nil
+	return token{tokenPunctuation, sql[:1]}, 1, nil
 }
 
-// stringToken reads a literal in quotes, in which a doubled quote is one.
+// stringToken reads a quoted literal, in which two quotes stand for one.
 func stringToken(sql string) (token, int, error) {
 	var text strings.Builder
-	for at := 1; at < len(sql); at++ {
-		if sql[at] != '\'' {
-			text.WriteByte(sql[at])
+	for i := 1; i < len(sql); i++ {
+		if sql[i] != '\'' {
+			text.WriteByte(sql[i])
 			continue
 		}
-		if at+1 == len(sql) || sql[at+1] != '\'' {
-			return token{tokenString, text.String()}, at + 1, nil
+		if i+1 == len(sql) || sql[i+1] != '\'' {
+			return token{tokenString, text.String()}, i + 1, nil
 		}
 		text.WriteByte('\'')
-		at++
+		i++
 	}
-	return token{}, 0, failure(stateSyntax, "unterminated string")
+	return token{}, 0, newSQLError(stateSyntax, "unterminated string")
 }
 
-func spanOf(text string, belongs func(b byte) bool) int {
+// prefixLength returns the number of leading bytes of text that accepts holds for.
+func prefixLength(text string, accepts func(b byte) bool) int {
 	length := 0
-	for length < len(text) && belongs(text[length]) {
+	for length < len(text) && accepts(text[length]) {
 		length++
 	}
 	return length
 }
 
-func isDigit(b byte) bool   { return b >= '0' && b <= '9' }
-func isNumeral(b byte) bool { return isDigit(b) || b == '.' }
-func isLetter(b byte) bool  { return b == '_' || b|0x20 >= 'a' && b|0x20 <= 'z' }
-func isWord(b byte) bool    { return isLetter(b) || isDigit(b) || b == '.' }
+func isDigitByte(b byte) bool  { return b >= '0' && b <= '9' }
+func isNumberByte(b byte) bool { return isDigitByte(b) || b == '.' }
+func isLetterByte(b byte) bool { return b == '_' || b|0x20 >= 'a' && b|0x20 <= 'z' }
+func isWordByte(b byte) bool   { return isLetterByte(b) || isDigitByte(b) || b == '.' }
 
-// operand returns the value that a token stands for.
+// operand returns the operand that a token denotes, or false if it denotes
+// none.
 func (t token) operand() (operand, bool) {
 	switch t.kind {
 	case tokenString, tokenNumber:
@@ -127,7 +131,7 @@
 	return operand{}, false
 }
 
-// is reports whether a token is a word or mark, in any case.
+// is reports whether a token is the given word or punctuation, ignoring case.
 func (t token) is(text string) bool {
-	return (t.kind == tokenWord || t.kind == tokenMark) && strings.EqualFold(t.text, text)
+	return (t.kind == tokenWord || t.kind == tokenPunctuation) && strings.EqualFold(t.text, text)
 }
--- a/internal/standin/database/query_test.go
+++ b/internal/standin/database/query_test.go
@@ -7,8 +7,8 @@
 	"github.com/jackc/pgx/v5"
 )
 
-// modes are the ways in which pgx sends statements.
-var modes = []pgx.QueryExecMode{
+// queryExecModes are the ways in which pgx can send statements.
+var queryExecModes = []pgx.QueryExecMode{
 	pgx.QueryExecModeCacheStatement,
 	pgx.QueryExecModeCacheDescribe,
 	pgx.QueryExecModeDescribeExec,
@@ -17,7 +17,7 @@
 }
 
 func TestDriverModes(t *testing.T) {
-	for _, mode := range modes {
+	for _, mode := range queryExecModes {
 		t.Run(mode.String(), func(t *testing.T) {
 			ctx := testContext(t)
 			db := startPrimary(t)
--- a/internal/standin/database/replication_test.go
+++ b/internal/standin/database/replication_test.go
@@ -11,8 +11,9 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/database"
 )
 
-// startGroup runs a primary a and replicas b and c, all streaming.
-func startGroup(t *testing.T, change func(options *database.Options)) []*database.Database {
+// startGroup starts a primary a and replicas b and c, and returns when the
+// replicas receive the log.
+func startGroup(t *testing.T, adjust func(options *database.Options)) []*database.Database {
 	t.Helper()
 	var group []*database.Database
 	for i, name := range []model.DatabaseID{"a", "b", "c"} {
@@ -22,8 +23,8 @@
 		} else {
 			options.Source = group[0].Address()
 		}
-		if change != nil {
-			change(&options)
+		if adjust != nil {
+			adjust(&options)
 		}
 		group = append(group, start(t, options))
 	}
@@ -42,8 +43,8 @@
 	})
 }
 
-// call runs a control statement and returns its row by column, or the SQLSTATE
-// of its failure.
+// call runs a control statement. It returns the row by column name, or the
+// SQLSTATE of the error.
 func call(t *testing.T, conn *pgx.Conn, sql string) (map[string]any, string) {
 	t.Helper()
 	rows, err := conn.Query(testContext(t), sql)
@@ -54,17 +55,18 @@
 	return row, sqlState(t, err)
 }
 
-// sqlState returns the SQLSTATE of an error, or nothing where there is none.
+// sqlState returns the SQLSTATE of an error, or an empty string if there is no
+// error.
 func sqlState(t *testing.T, err error) string {
 	t.Helper()
-	var failed *pgconn.PgError
-	if err != nil && !errors.As(err, &failed) {
+	var pgErr *pgconn.PgError
+	if err != nil && !errors.As(err, &pgErr) {
 		t.Fatal(err)
 	}
-	if failed == nil {
+	if pgErr == nil {
 		return ""
 	}
-	return failed.Code
+	return pgErr.Code
 }
 
 func position(term, offset int) model.Position {
@@ -80,7 +82,7 @@
 	}
 }
 
-func TestFailoverDropsTheDivergedTail(t *testing.T) {
+func TestOldPrimaryDropsDivergedEntries(t *testing.T) {
 	group := startGroup(t, nil)
 	a, b, c := group[0], group[1], group[2]
 	old := connect(t, a, nil)
--- a/internal/standin/database/result.go
+++ b/internal/standin/database/result.go
@@ -9,33 +9,33 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// The types of columns, by their object identifiers.
+// The PostgreSQL object identifiers of the column types.
 const (
 	oidText uint32 = 25
 	oidInt8 uint32 = 20
 )
 
-// formatBinary is the protocol's code of the binary form of a value.
+// formatBinary is the protocol's code for the binary format of a value.
 const formatBinary = 1
 
-// column is one column of an answer.
+// column is one column of a result.
 type column struct {
-	name string
-	oid  uint32
+	name    string
+	typeOID uint32
 }
 
-// result is the answer of a statement. Rows are made one by one, so that a
-// large answer needs no large memory.
+// result is the result of a statement. Rows are built one by one, so that a
+// large result does not need to fit into memory.
 type result struct {
 	columns []column
-	// length is the number of rows, row makes one of them: strings for text
-	// columns, int64 for others.
-	length int
-	row    func(index int) []any
-	tag    string
-	// position is that of the state that was read.
+	// rowCount is the number of rows, and row returns one of them: a string for
+	// each text column and an int64 for any other.
+	rowCount int
+	row      func(index int) []any
+	tag      string
+	// position is the position of the content that the statement read.
 	position model.Position
-	// committed is the position of the commit, zero where there was none.
+	// committed is the position of the commit, or zero if there was none.
 	committed model.Position
 	notice    string
 }
@@ -43,35 +43,35 @@
 // oneRow returns a result of one row.
 func oneRow(columns []column, values ...any) result {
 	return result{
-		columns: columns, tag: "SELECT 1", length: 1,
+		columns: columns, tag: "SELECT 1", rowCount: 1,
 		row: func(int) []any { return values },
 	}
 }
 
 // manyRows returns a result of any number of rows.
-func manyRows(columns []column, length int, row func(index int) []any) result {
-	return result{columns: columns, tag: "SELECT " + strconv.Itoa(length), length: length, row: row}
+func manyRows(columns []column, rowCount int, row func(index int) []any) result {
+	return result{columns: columns, tag: "SELECT " + strconv.Itoa(rowCount), rowCount: rowCount, row: row}
 }
 
-// described returns the message that announces columns in the formats that the
-// client asked for.
-func described(columns []column, formats []int16) *pgproto3.RowDescription {
+// rowDescription returns the message that describes columns, in the formats
+// that the client requested.
+func rowDescription(columns []column, formats []int16) *pgproto3.RowDescription {
 	fields := make([]pgproto3.FieldDescription, 0, len(columns))
 	for i, c := range columns {
 		size := int16(-1)
-		if c.oid == oidInt8 {
+		if c.typeOID == oidInt8 {
 			size = 8
 		}
 		fields = append(fields, pgproto3.FieldDescription{
-			Name: []byte(c.name), DataTypeOID: c.oid, DataTypeSize: size,
+			Name: []byte(c.name), DataTypeOID: c.typeOID, DataTypeSize: size,
 			TypeModifier: -1, Format: formatOf(formats, i),
 		})
 	}
 	return &pgproto3.RowDescription{Fields: fields}
 }
 
-// formatOf returns the format of a column: formats holds none, one for all, or
-// one for each.
+// formatOf returns the format of a column. The slice formats holds no element,
+// one for all columns, or one for each column.
 func formatOf(formats []int16, index int) int16 {
 	switch len(formats) {
 	case 0:
@@ -85,8 +85,8 @@
 	return 0
 }
 
-// encoded returns the message that carries a row.
-func encoded(row []any, formats []int16) *pgproto3.DataRow {
+// dataRow returns the message that holds a row.
+func dataRow(row []any, formats []int16) *pgproto3.DataRow {
 	values := make([][]byte, 0, len(row))
 	for i, value := range row {
 		values = append(values, encodeValue(value, formatOf(formats, i)))
--- a/internal/standin/database/session.go
+++ b/internal/standin/database/session.go
@@ -14,45 +14,48 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/task"
 )
 
-// session is one client's connection.
+// session is one client connection.
 type session struct {
-	database *Database
-	conn     *gatedConn
-	backend  *pgproto3.Backend
-	process  uint32
-	secret   []byte
-	// control says that the connection is for control statements.
+	database  *Database
+	conn      *faultConn
+	backend   *pgproto3.Backend
+	processID uint32
+	secretKey []byte
+	// control tells that the connection accepts control statements only.
 	control bool
-	// startup holds the startup parameters, settings what was set since.
+	// startup holds the startup parameters, and settings the values that were set
+	// since.
 	startup, settings map[string]string
-	work              *work
+	expectedWork      *workExpectation
 	readOnly          bool
 	tx                *transaction
-	prepared          map[string]prepared
+	prepared          map[string]preparedStatement
 	portals           map[string]*portal
-	// held is an answer whose end is kept back until it is clear whether it
-	// commits.
-	held *result
-	// skipping says that an error has ended the extended queries up to Sync.
-	skipping bool
+	// pendingResult is the result whose rows have been sent but whose CommandComplete
+	// is delayed until it is known whether the statement ends the implicit transaction,
+	// and thus whether it commits.
+	pendingResult *result
+	// skipUntilSync tells that messages are ignored up to the next Sync, because an
+	// extended query failed.
+	skipUntilSync bool
 
 	mu sync.Mutex
-	// cancel withdraws the running statement, nil where there is none.
+	// cancel cancels the running statement. It is nil if none is running.
 	cancel context.CancelCauseFunc
 }
 
-func newSession(database *Database, conn *gatedConn, reader *bufio.Reader) *session {
+func newSession(database *Database, conn *faultConn, reader *bufio.Reader) *session {
 	return &session{
 		database: database,
 		conn:     conn,
 		backend:  pgproto3.NewBackend(reader, conn),
 		settings: map[string]string{},
-		prepared: map[string]prepared{},
+		prepared: map[string]preparedStatement{},
 		portals:  map[string]*portal{},
 	}
 }
 
-// serve speaks with the client until either side ends the connection.
+// serve serves the client until either side closes the connection.
 func (s *session) serve(ctx context.Context) {
 	startup, err := s.receiveStartup()
 	if err != nil {
@@ -72,14 +75,15 @@
 		s.reject(err)
 		return
 	}
-	if s.greet() != nil {
+	if s.completeStartup() != nil {
 		return
 	}
 	for s.receive(ctx) {
 	}
 }
 
-// receive handles one message, and reports whether more may come.
+// receive receives and handles one message. It reports whether the connection
+// stays open.
 func (s *session) receive(ctx context.Context) bool {
 	message, err := s.backend.Receive()
 	if err != nil {
@@ -89,31 +93,31 @@
 }
 
 func (s *session) handle(ctx context.Context, message pgproto3.FrontendMessage) bool {
-	if s.skipping && !endsSkipping(message) {
+	if s.skipUntilSync && !endsSkip(message) {
 		return true
 	}
 	switch message := message.(type) {
 	case *pgproto3.Query:
 		s.query(ctx, message.String)
-		return s.ready()
+		return s.sendReady()
 	case *pgproto3.Sync:
-		s.skipping = false
-		s.finish(true)
-		return s.ready()
+		s.skipUntilSync = false
+		s.completeResult(true)
+		return s.sendReady()
 	case *pgproto3.Flush:
-		s.finish(true)
+		s.completeResult(true)
 		return s.backend.Flush() == nil
 	case *pgproto3.Terminate:
 		return false
 	}
-	s.finish(false)
-	if !s.skipping {
-		s.extended(ctx, message)
+	s.completeResult(false)
+	if !s.skipUntilSync {
+		s.handleExtended(ctx, message)
 	}
 	return true
 }
 
-func endsSkipping(message pgproto3.FrontendMessage) bool {
+func endsSkip(message pgproto3.FrontendMessage) bool {
 	switch message.(type) {
 	case *pgproto3.Sync, *pgproto3.Terminate, *pgproto3.Query:
 		return true
@@ -121,8 +125,9 @@
 	return false
 }
 
-// ready tells the client that the next statement may come, and sends all.
-func (s *session) ready() bool {
+// sendReady tells the client that it may send the next statement, and flushes
+// all responses. It reports whether the connection stays open.
+func (s *session) sendReady() bool {
 	s.backend.Send(&pgproto3.ReadyForQuery{TxStatus: s.tx.status()})
 	return s.backend.Flush() == nil
 }
@@ -130,8 +135,8 @@
 // -----------------------------------------------------------------------------
 // Connecting.
 
-// receiveStartup returns the startup parameters. Its error ends the
-// connection.
+// receiveStartup returns the startup parameters. After an error the connection
+// must be closed.
 func (s *session) receiveStartup() (map[string]string, error) {
 	for {
 		message, err := s.backend.ReceiveStartupMessage()
@@ -143,9 +148,10 @@
 			return message.Parameters, nil
 		case *pgproto3.CancelRequest:
 			s.database.cancelStatement(message.ProcessID, message.SecretKey)
-			return nil, failure(stateCanceled, "a cancel request ends its connection")
+			return nil, newSQLError(stateCanceled, "a cancel request ends its connection")
 		default:
-			// Encryption is refused; the client goes on without it.
+			// An SSL or GSS encryption request is refused; the client may continue
+			// without encryption.
 			if _, err := s.conn.Write([]byte{'N'}); err != nil {
 				return nil, errors.Wrap(err, "refuse encryption")
 			}
@@ -153,10 +159,11 @@
 	}
 }
 
-// register counts the connection and gives it a process id.
+// register adds the connection to the open ones and assigns its process ID. It
+// returns an error if the database rejects the connection.
 func (d *Database) register(s *session) error {
-	_, closed := d.faults.isLeaving(time.Now())
-	if closed && !s.control {
+	_, refusing := d.faults.isLeaving(time.Now())
+	if refusing && !s.control {
 		return &sqlError{state: stateLeaving, message: "the database is leaving", fatal: true}
 	}
 	d.mu.Lock()
@@ -165,13 +172,13 @@
 		return &sqlError{state: stateTooManyConnections, message: "too many connections", fatal: true}
 	}
 	d.connections++
-	d.lastProcess++
-	s.process = d.lastProcess
-	s.secret = make([]byte, 4)
-	for i := range s.secret {
-		s.secret[i] = byte(rand.Uint32())
+	d.lastProcessID++
+	s.processID = d.lastProcessID
+	s.secretKey = make([]byte, 4)
+	for i := range s.secretKey {
+		s.secretKey[i] = byte(rand.Uint32())
 	}
-	d.sessions[s.process] = s
+	d.sessions[s.processID] = s
 	return nil
 }
 
@@ -179,7 +186,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.connections--
-	delete(d.sessions, s.process)
+	delete(d.sessions, s.processID)
 }
 
 func (s *session) authenticate() error {
@@ -188,10 +195,10 @@
 	}
 	s.backend.Send(&pgproto3.AuthenticationCleartextPassword{})
 	if err := s.backend.Flush(); err != nil {
-		return errors.Wrap(err, "ask for the password")
+		return errors.Wrap(err, "request the password")
 	}
 	if err := s.backend.SetAuthType(pgproto3.AuthTypeCleartextPassword); err != nil {
-		return errors.Wrap(err, "ask for the password")
+		return errors.Wrap(err, "request the password")
 	}
 	message, err := s.backend.Receive()
 	if err != nil {
@@ -204,8 +211,9 @@
 	return nil
 }
 
-// reportedAtStart lists the settings that a client is told when it connects.
-var reportedAtStart = [][2]string{
+// initialParameters lists the parameters that are sent to each client when it
+// connects.
+var initialParameters = [][2]string{
 	{"server_version", "16.0"},
 	{"server_encoding", "UTF8"},
 	{"client_encoding", "UTF8"},
@@ -215,58 +223,62 @@
 	{"standard_conforming_strings", "on"},
 }
 
-func (s *session) greet() error {
+// completeStartup sends what ends the startup phase: parameters, cancellation key
+// and ReadyForQuery.
+func (s *session) completeStartup() error {
 	s.backend.Send(&pgproto3.AuthenticationOk{})
-	for _, setting := range reportedAtStart {
-		s.report(setting[0], setting[1])
+	for _, setting := range initialParameters {
+		s.sendParameterStatus(setting[0], setting[1])
 	}
-	s.backend.Send(&pgproto3.BackendKeyData{ProcessID: s.process, SecretKey: s.secret})
+	s.backend.Send(&pgproto3.BackendKeyData{ProcessID: s.processID, SecretKey: s.secretKey})
 	s.backend.Send(&pgproto3.ReadyForQuery{TxStatus: s.tx.status()})
-	return errors.Wrap(s.backend.Flush(), "greet the client")
+	return errors.Wrap(s.backend.Flush(), "complete the startup")
 }
 
-func (s *session) report(name, value string) {
+func (s *session) sendParameterStatus(name, value string) {
 	s.backend.Send(&pgproto3.ParameterStatus{Name: name, Value: value})
 }
 
-// reject sends an error and leaves the connection to be closed.
+// reject sends an error. The caller closes the connection.
 func (s *session) reject(err error) {
 	s.sendError(err)
 	_ = s.backend.Flush()
 }
 
-// sendError sends an error as the protocol does.
+// sendError sends an error as an ErrorResponse. An error that is not a
+// *sqlError is sent as a protocol violation.
 func (s *session) sendError(err error) {
-	var known *sqlError
-	if !errors.As(err, &known) {
-		known = failure(stateProtocol, "%s", err)
+	var sqlErr *sqlError
+	if !errors.As(err, &sqlErr) {
+		sqlErr = newSQLError(stateProtocol, "%s", err)
 	}
 	s.backend.Send(&pgproto3.ErrorResponse{
-		Severity: known.severity(), SeverityUnlocalized: known.severity(),
-		Code: known.state, Message: known.message,
+		Severity: sqlErr.severity(), SeverityUnlocalized: sqlErr.severity(),
+		Code: sqlErr.state, Message: sqlErr.message,
 	})
 }
 
 // -----------------------------------------------------------------------------
-// Cancelling.
+// Cancellation.
 
-// cancelStatement withdraws what runs on the connection with a process id and
-// secret; nothing happens where there is none.
+// cancelStatement cancels the running statement of the session with a process
+// ID and secret key. It does nothing if there is no such session or statement.
 func (d *Database) cancelStatement(process uint32, secret []byte) {
 	d.mu.Lock()
 	s := d.sessions[process]
 	d.mu.Unlock()
-	if s == nil || string(s.secret) != string(secret) {
+	if s == nil || string(s.secretKey) != string(secret) {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.cancel != nil {
-		s.cancel(failure(stateCanceled, "canceling statement due to user request"))
+		s.cancel(newSQLError(stateCanceled, "canceling statement due to user request"))
 	}
 }
 
-// cancellable returns the context of a running statement, and what ends it.
+// cancellable returns the context for a statement, which cancelStatement can
+// cancel, and a function that must be called when the statement has ended.
 func (s *session) cancellable(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	s.setCancel(cancel)
@@ -285,14 +297,14 @@
 // -----------------------------------------------------------------------------
 // Simple queries.
 
-// query runs the statements of a simple query, as one transaction where it
-// does not say otherwise.
+// query runs the statements of a simple query. They form one implicit
+// transaction, unless they contain transaction statements.
 func (s *session) query(ctx context.Context, sql string) {
-	s.skipping = false
-	s.finish(true)
+	s.skipUntilSync = false
+	s.completeResult(true)
 	statements, err := parse(sql)
 	if err != nil {
-		s.fail(err)
+		s.failStatement(err)
 		return
 	}
 	if len(statements) == 0 {
@@ -300,38 +312,38 @@
 		return
 	}
 	for i, st := range statements {
-		res, err := s.run(ctx, st, nil)
+		res, err := s.runStatement(ctx, st, nil)
 		if err != nil {
-			s.fail(err)
+			s.failStatement(err)
 			return
 		}
 		if len(res.columns) > 0 {
-			s.backend.Send(described(res.columns, nil))
+			s.backend.Send(rowDescription(res.columns, nil))
 		}
-		if s.sendRows(res, nil, 0, res.length) != nil {
+		if s.sendRows(res, nil, 0, res.rowCount) != nil {
 			return
 		}
-		s.held = &res
-		s.finish(i == len(statements)-1)
+		s.pendingResult = &res
+		s.completeResult(i == len(statements)-1)
 	}
 }
 
-// fail sends an error and undoes the transaction in progress.
-func (s *session) fail(err error) {
-	s.held = nil
+// failStatement sends an error and rolls back the transaction in progress.
+func (s *session) failStatement(err error) {
+	s.pendingResult = nil
 	s.tx = s.tx.afterError()
 	s.sendError(err)
 }
 
-// flushSize is the amount of rows after which an answer is sent on, counted in
-// rows.
-const flushSize = 256
+// flushRows is the number of rows after which the rows so far are flushed.
+const flushRows = 256
 
-// sendRows sends the rows of a result from one to before another.
+// sendRows sends the rows of a result from index from up to, but excluding,
+// index to.
 func (s *session) sendRows(res result, formats []int16, from, to int) error {
 	for i := from; i < to; i++ {
-		s.backend.Send(encoded(res.row(i), formats))
-		if (i+1)%flushSize == 0 {
+		s.backend.Send(dataRow(res.row(i), formats))
+		if (i+1)%flushRows == 0 {
 			if err := s.backend.Flush(); err != nil {
 				return errors.Wrap(err, "send rows")
 			}
@@ -340,43 +352,43 @@
 	return nil
 }
 
-// finish ends the answer that is held back. With last, a transaction that no
-// BEGIN has opened is committed before.
-func (s *session) finish(last bool) {
-	committed, err := s.commitImplicit(last)
+// completeResult sends the end of the pending result. If isLast is true, it
+// first commits the implicit transaction.
+func (s *session) completeResult(isLast bool) {
+	committed, err := s.commitImplicit(isLast)
 	if err != nil {
-		s.fail(err)
+		s.failStatement(err)
 		return
 	}
-	held := s.held
-	s.held = nil
-	if held != nil && !held.committed.IsZero() {
-		committed = held.committed
+	pending := s.pendingResult
+	s.pendingResult = nil
+	if pending != nil && !pending.committed.IsZero() {
+		committed = pending.committed
 	}
 	if !committed.IsZero() {
-		s.report("group_position", committed.String())
-		s.report("group_commit", committed.String())
+		s.sendParameterStatus("group_position", committed.String())
+		s.sendParameterStatus("group_commit", committed.String())
 	}
-	if held != nil {
-		s.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(held.tag)})
+	if pending != nil {
+		s.backend.Send(&pgproto3.CommandComplete{CommandTag: []byte(pending.tag)})
 	}
 }
 
-// resetAll ends all session state.
+// resetAll resets the settings and removes the prepared statements and portals.
 func (s *session) resetAll() {
 	clear(s.settings)
 	clear(s.prepared)
 	clear(s.portals)
-	s.work = nil
+	s.expectedWork = nil
 	s.readOnly = false
 }
 
-// setting returns the value of a setting in force.
+// setting returns the value of a setting, and whether the setting exists.
 func (s *session) setting(name string) (string, bool) {
 	if value, found := s.settings[name]; found {
 		return value, true
 	}
-	for _, reported := range reportedAtStart {
+	for _, reported := range initialParameters {
 		if strings.EqualFold(reported[0], name) {
 			return reported[1], true
 		}
--- a/internal/standin/database/slots.go
+++ b/internal/standin/database/slots.go
@@ -5,64 +5,68 @@
 	"sync"
 )
 
-// slots bounds the statements that run at once. Who waits is served first
-// come, first served.
+// slots limits the statements that run at the same time. Waiting statements get
+// slots in the order of their arrival.
 type slots struct {
 	mu      sync.Mutex
-	size    int
-	busy    int
-	waiting []chan struct{}
+	limit   int
+	used    int
+	waiters []chan struct{}
 }
 
-// acquire waits for a slot, or for the end of the context.
+// acquire waits for a slot. Its error is the cause of the end of the context.
 func (s *slots) acquire(ctx context.Context) error {
-	granted := s.enter()
+	granted := s.enqueue()
 	select {
 	case <-granted:
 		return nil
 	case <-ctx.Done():
-		s.leave(granted)
+		s.cancelWait(granted)
 		return context.Cause(ctx)
 	}
 }
 
-// enter queues for a slot; the channel returned is closed when it is granted.
-func (s *slots) enter() chan struct{} {
+// enqueue adds a waiter for a slot. The returned channel is closed when the
+// slot is granted.
+func (s *slots) enqueue() chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	granted := make(chan struct{})
-	s.waiting = append(s.waiting, granted)
-	s.grant()
+	s.waiters = append(s.waiters, granted)
+	s.grantWaiters()
 	return granted
 }
 
-// leave gives up waiting, or the slot that was granted meanwhile.
-func (s *slots) leave(granted chan struct{}) {
+// cancelWait removes a waiter, or releases its slot if that has been granted
+// already.
+func (s *slots) cancelWait(granted chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, waiting := range s.waiting {
-		if waiting == granted {
-			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
+	for i, waiter := range s.waiters {
+		if waiter == granted {
+			s.waiters = append(s.waiters[:i], s.waiters[i+1:]...)
 			return
 		}
 	}
-	s.busy--
-	s.grant()
+	s.used--
+	s.grantWaiters()
 }
 
-// release returns a slot.
+// release releases a slot.
 func (s *slots) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.busy--
-	s.grant()
+	s.used--
+	s.grantWaiters()
 }
 
-func (s *slots) grant() {
-	for s.busy < s.size && len(s.waiting) > 0 {
-		close(s.waiting[0])
-		s.waiting = s.waiting[1:]
-		s.busy++
+// grantWaiters grants the free slots to the first waiters. It requires that mu is
+// locked.
+func (s *slots) grantWaiters() {
+	for s.used < s.limit && len(s.waiters) > 0 {
+		close(s.waiters[0])
+		s.waiters = s.waiters[1:]
+		s.used++
 	}
 }
 
@@ -70,5 +74,5 @@
 func (s *slots) inUse() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.busy
+	return s.used
 }
--- a/internal/standin/database/sqlstate.go
+++ b/internal/standin/database/sqlstate.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// sqlError is a failure as a client gets it.
+// sqlError is an error that is sent to a client.
 type sqlError struct {
 	state   string
 	message string
-	// fatal says that the connection ends.
+	// fatal tells that the connection is closed after the error.
 	fatal bool
 }
 
 // Error implements error.
 func (e *sqlError) Error() string { return fmt.Sprintf("%s (SQLSTATE %s)", e.message, e.state) }
 
-// severity names how grave the failure is, as the protocol does.
+// severity returns the protocol's name for the severity of the error.
 func (e *sqlError) severity() string {
 	if e.fatal {
 		return "FATAL"
@@ -21,7 +21,7 @@
 	return "ERROR"
 }
 
-// The SQLSTATEs in use.
+// The SQLSTATEs that are sent to clients.
 const (
 	stateUnsupported        = "0A000"
 	stateInvalidParameter   = "22023"
@@ -30,26 +30,29 @@
 	stateActiveTransaction  = "25001"
 	stateReadOnly           = "25006"
 	stateFailedTransaction  = "25P02"
-	stateNoStatement        = "26000"
+	stateUnknownStatement   = "26000"
 	stateInvalidPassword    = "28P01"
-	stateNoPortal           = "34000"
+	stateUnknownPortal      = "34000"
 	stateSyntax             = "42601"
 	stateUnknownSetting     = "42704"
 	stateTooManyConnections = "53300"
 	stateCanceled           = "57014"
 	stateLeaving            = "57P01"
-	stateNotYet             = "57P03"
-	stateInputOutput        = "58030"
+	stateNotReady           = "57P03"
+	stateIOError            = "58030"
 	stateProtocol           = "08P01"
 
-	// stateConflict: a control statement names a lower term, or another nonce.
-	stateConflict = "EG001"
-	// stateTerm: the statement expects another term.
-	stateTerm = "EG002"
-	// stateDuplicate: the idempotency key was committed or settled before.
-	stateDuplicate = "EG003"
+	// stateTermConflict: a control statement names a term or nonce that does not fit
+	// the database's term, nonce or role.
+	stateTermConflict = "EG001"
+	// stateTermMismatch: the session expects another term, or the database stopped
+	// being primary during the transaction.
+	stateTermMismatch = "EG002"
+	// stateDuplicateKey: the idempotency key was committed or settled before.
+	stateDuplicateKey = "EG003"
 )
 
-func failure(state, format string, args ...any) *sqlError {
+// newSQLError returns an error that does not close the connection.
+func newSQLError(state, format string, args ...any) *sqlError {
 	return &sqlError{state: state, message: fmt.Sprintf(format, args...)}
 }
--- a/internal/standin/database/statement.go
+++ b/internal/standin/database/statement.go
@@ -6,18 +6,18 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// statement is one SQL statement of the small set that the stand-in knows. The
-// table of forms in parse_form.go makes each from its text.
+// statement is one supported SQL statement. The table statementPatterns in
+// parse_form.go defines the syntax of each.
 type statement interface{ isStatement() }
 
-// operand is a literal, or the number of a parameter, from 1.
+// operand is a literal, or the number of a parameter, counted from 1.
 type operand struct {
 	literal   string
 	parameter int
 }
 
 // -----------------------------------------------------------------------------
-// Data: these hold a slot while they run.
+// Data statements. Each holds a slot while it runs.
 
 type (
 	selectValue   struct{ key operand }
@@ -50,7 +50,7 @@
 func (copyStatement) isStatement() {}
 
 // -----------------------------------------------------------------------------
-// Transactions and sessions.
+// Transaction and session statements.
 
 type (
 	beginTransaction    struct{ readOnly bool }
@@ -76,7 +76,7 @@
 func (deallocate) isStatement()          {}
 
 // -----------------------------------------------------------------------------
-// Control.
+// Control statements.
 
 type (
 	callStatus  struct{}
@@ -94,7 +94,8 @@
 func (callFollow) isStatement()  {}
 func (callSettle) isStatement()  {}
 
-// isControl reports whether a statement belongs on a control connection.
+// isControl reports whether a statement is a control statement, which runs on a
+// control connection only.
 func isControl(st statement) bool {
 	switch st.(type) {
 	case callStatus, callWait, callFence, callPromote, callFollow, callSettle:
@@ -103,15 +104,16 @@
 	return false
 }
 
-// work is what a connection's SET group_work expects.
-type work struct {
+// workExpectation is the value of the setting group_work: the term that the
+// session expects, and the idempotency key of its transaction.
+type workExpectation struct {
 	term model.Term
 	key  string
 }
 
-// columnsOf returns the columns of a statement's rows, none where it has no
-// rows.
-func columnsOf(st statement) []column {
+// statementColumns returns the columns of a statement's result, or nil if it
+// returns no rows.
+func statementColumns(st statement) []column {
 	switch st := st.(type) {
 	case selectValue:
 		return []column{{"value", oidText}}
@@ -147,22 +149,23 @@
 	return false
 }
 
-// duration returns how long a statement takes that takes the usual time
-// otherwise.
-func (d *Database) duration(st statement, args arguments) (time.Duration, error) {
+// statementDuration returns how long a statement takes under the faults in
+// force: the requested time for SELECT work(...), no time for SELECT 1, NOTICE
+// and COPY, and StatementTime for any other.
+func (d *Database) statementDuration(st statement, args arguments) (time.Duration, error) {
 	switch st := st.(type) {
 	case selectWork:
 		text, err := args.text(st.duration)
 		if err != nil {
 			return 0, err
 		}
-		taken, err := time.ParseDuration(text)
+		requested, err := time.ParseDuration(text)
 		if err != nil {
-			return 0, failure(stateInvalidParameter, "%q is no duration", text)
+			return 0, newSQLError(stateInvalidParameter, "%q is no duration", text)
 		}
-		return d.faults.stretch(taken), nil
+		return d.faults.scaleDuration(requested), nil
 	case selectOne, sendNotice, copyStatement:
 		return 0, nil
 	}
-	return d.faults.stretch(d.options.StatementTime), nil
+	return d.faults.scaleDuration(d.options.StatementTime), nil
 }
--- a/internal/standin/database/stream.go
+++ b/internal/standin/database/stream.go
@@ -12,57 +12,60 @@
 const (
 	// heartbeatInterval is the time between heartbeats on a stream.
 	heartbeatInterval = 100 * time.Millisecond
-	// streamTimeout is the silence after which a stream is lost.
+	// streamTimeout is the time without a frame after which a stream counts as broken.
 	streamTimeout = 500 * time.Millisecond
-	// followRetry is the time between tries to reach the primary.
+	// followRetry is the time between attempts to connect to the primary.
 	followRetry = 50 * time.Millisecond
 )
 
 // -----------------------------------------------------------------------------
-// The primary's end.
+// Primary side.
 
-// serveStream sends the log to one replica until the stream breaks, the
-// replica is cut off, or this database is no longer primary.
+// serveStream sends the log to one replica until the stream breaks, the replica
+// is isolated for streamTimeout, or this database is no longer primary.
 func (d *Database) serveStream(ctx context.Context, conn net.Conn, reader *bufio.Reader) {
 	if _, err := reader.Discard(len(streamMagic)); err != nil {
 		return
 	}
-	var h hello
-	if err := readFrame(reader, &h); err != nil || !d.awaitReplica(ctx, h) {
+	var startup streamStartup
+	if err := readFrame(reader, &startup); err != nil || !d.awaitReplica(ctx, startup) {
 		return
 	}
-	w, ok := d.node.greet(h)
-	if !ok || writeFrame(conn, w) != nil {
+	ready, ok := d.node.acceptReplica(startup)
+	if !ok || writeFrame(conn, ready) != nil {
 		return
 	}
-	for next := w.Common + 1; ; {
-		changed := d.node.changes()
-		entries, ok := d.node.entriesFrom(next, w.Term)
-		if !ok || !d.awaitReplica(ctx, h) || writeFrame(conn, batch{Entries: entries}) != nil {
+	for next := ready.Common + 1; ; {
+		changed := d.node.changeSignal()
+		entries, ok := d.node.entriesFrom(next, ready.Term)
+		if !ok || !d.awaitReplica(ctx, startup) || writeFrame(conn, batch{Entries: entries}) != nil {
 			return
 		}
 		next += uint64(len(entries))
-		if !d.awaitEntries(ctx, changed, next, w) {
+		if !d.awaitEntries(ctx, changed, next, ready) {
 			return
 		}
 	}
 }
 
-// awaitReplica waits while the replica is cut off; it gives up when the
-// replica has given up too.
-func (d *Database) awaitReplica(ctx context.Context, h hello) bool {
+// awaitReplica blocks while the replica is isolated, for at most streamTimeout,
+// after which the replica has closed the stream too. It reports whether the
+// replica is reachable.
+func (d *Database) awaitReplica(ctx context.Context, startup streamStartup) bool {
 	ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
-	return d.faults.awaitReachable(ctx, h.Name, h.Zone)
+	return d.faults.awaitReachable(ctx, startup.Name, startup.Zone)
 }
 
-// awaitEntries waits for entries from an offset on, for a change of the term,
-// or for the next heartbeat. New entries wait for the shipping delay.
-func (d *Database) awaitEntries(ctx context.Context, changed <-chan struct{}, next uint64, w welcome) bool {
+// awaitEntries returns when there are entries from offset next on, after the
+// shipping delay, or when the next heartbeat is due. It returns false if the
+// stream must end, because the database is no longer primary of the term or the
+// context has ended.
+func (d *Database) awaitEntries(ctx context.Context, changed <-chan struct{}, next uint64, ready streamReady) bool {
 	heartbeat := time.NewTimer(heartbeatInterval)
 	defer heartbeat.Stop()
 	for {
-		entries, ok := d.node.entriesFrom(next, w.Term)
+		entries, ok := d.node.entriesFrom(next, ready.Term)
 		if !ok {
 			return false
 		}
@@ -71,7 +74,7 @@
 		}
 		select {
 		case <-changed:
-			changed = d.node.changes()
+			changed = d.node.changeSignal()
 		case <-heartbeat.C:
 			return true
 		case <-ctx.Done():
@@ -81,88 +84,92 @@
 }
 
 // -----------------------------------------------------------------------------
-// The replica's end.
+// Replica side.
 
-// follow pulls the log from whatever primary is followed.
+// follow pulls the log from the current source until the context ends.
 func (d *Database) follow(ctx context.Context) error {
 	for ctx.Err() == nil {
-		target, retarget := d.node.followed()
-		if !target.address.IsValid() {
+		source, sourceChanged := d.node.currentSource()
+		if !source.address.IsValid() {
 			select {
-			case <-retarget:
+			case <-sourceChanged:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		d.pull(ctx, target, retarget)
-		d.node.endStream(retarget)
+		d.pull(ctx, source, sourceChanged)
+		d.node.endStream(sourceChanged)
 		task.Sleep(ctx, followRetry)
 	}
 	return nil
 }
 
-// pull follows one primary until the stream is lost or the target changes.
-func (d *Database) pull(ctx context.Context, target target, retarget <-chan struct{}) {
+// pull receives the log from one source until the stream breaks or the source
+// changes.
+func (d *Database) pull(ctx context.Context, source streamSource, sourceChanged <-chan struct{}) {
 	dialer := net.Dialer{Timeout: streamTimeout}
-	raw, err := dialer.DialContext(ctx, "tcp", target.address.String())
+	raw, err := dialer.DialContext(ctx, "tcp", source.address.String())
 	if err != nil {
 		return
 	}
-	closed := make(chan struct{})
-	ended := make(chan struct{})
+	streamEnded := make(chan struct{})
+	connClosed := make(chan struct{})
 	go func() {
-		defer close(ended)
-		defer raw.Close() //nolint:errcheck // nothing is left to be lost
+		defer close(connClosed)
+		defer raw.Close() //nolint:errcheck // the connection is no longer used
 		select {
-		case <-retarget:
-		case <-closed:
+		case <-sourceChanged:
+		case <-streamEnded:
 		case <-ctx.Done():
 		}
 	}()
-	conn := &gatedConn{Conn: raw, faults: d.faults, done: ctx.Done()}
-	d.pullFrom(ctx, conn, retarget)
-	close(closed)
-	<-ended
+	conn := &faultConn{Conn: raw, faults: d.faults, done: ctx.Done()}
+	d.receiveStream(ctx, conn, sourceChanged)
+	close(streamEnded)
+	<-connClosed
 }
 
-func (d *Database) pullFrom(ctx context.Context, conn net.Conn, retarget <-chan struct{}) {
+// receiveStream receives the log on an open connection to a primary.
+func (d *Database) receiveStream(ctx context.Context, conn net.Conn, sourceChanged <-chan struct{}) {
 	if _, err := conn.Write([]byte(streamMagic)); err != nil {
 		return
 	}
-	if err := writeFrame(conn, d.node.hello()); err != nil {
+	if err := writeFrame(conn, d.node.startupMessage()); err != nil {
 		return
 	}
-	var w welcome
+	var ready streamReady
 	reader := bufio.NewReader(conn)
-	if !d.hear(ctx, conn, reader, &w) || !d.awaitPrimary(ctx, w) {
+	if !d.receiveFrame(ctx, conn, reader, &ready) || !d.awaitPrimary(ctx, ready) {
 		return
 	}
-	if !d.node.beginStream(retarget, w) {
+	if !d.node.beginStream(sourceChanged, ready) {
 		return
 	}
 	for {
 		var b batch
-		if !d.hear(ctx, conn, reader, &b) || !d.awaitPrimary(ctx, w) {
+		if !d.receiveFrame(ctx, conn, reader, &b) || !d.awaitPrimary(ctx, ready) {
 			return
 		}
-		if !d.node.receive(retarget, w, b.Entries, time.Now()) {
+		if !d.node.receive(sourceChanged, ready, b.Entries, time.Now()) {
 			return
 		}
 	}
 }
 
-// hear reads one frame, or reports false after the silence of a lost stream.
-func (d *Database) hear(ctx context.Context, conn net.Conn, reader *bufio.Reader, frame any) bool {
+// receiveFrame reads one frame. It returns false if the stream breaks or no
+// frame arrives within streamTimeout.
+func (d *Database) receiveFrame(ctx context.Context, conn net.Conn, reader *bufio.Reader, frame any) bool {
 	if ctx.Err() != nil || conn.SetReadDeadline(time.Now().Add(streamTimeout)) != nil {
 		return false
 	}
 	return readFrame(reader, frame) == nil
 }
 
-// awaitPrimary holds back what came from a primary that is cut off, until the
-// stream counts as lost.
-func (d *Database) awaitPrimary(ctx context.Context, w welcome) bool {
+// awaitPrimary delays what was received from an isolated primary, for at most
+// streamTimeout, after which the stream counts as broken. It reports whether
+// the primary is reachable.
+func (d *Database) awaitPrimary(ctx context.Context, ready streamReady) bool {
 	ctx, cancel := context.WithTimeout(ctx, streamTimeout)
 	defer cancel()
-	return d.faults.awaitReachable(ctx, w.Name, w.Zone)
+	return d.faults.awaitReachable(ctx, ready.Name, ready.Zone)
 }
--- a/internal/standin/database/transaction.go
+++ b/internal/standin/database/transaction.go
@@ -7,20 +7,21 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/task"
 )
 
-// transaction holds what a session has changed since its BEGIN, or since the
-// first statement where there was none.
+// transaction holds the changes of a session since its BEGIN, or, in an
+// implicit transaction, since its first statement.
 type transaction struct {
-	explicit bool
-	readOnly bool
-	failed   bool
-	guard    guard
-	changes  []change
+	explicit     bool
+	readOnly     bool
+	failed       bool
+	precondition precondition
+	changes      []change
 }
 
-// isFailed reports whether only the end of the transaction may follow.
+// isFailed reports whether a statement of the transaction has failed, so that
+// it can only be ended.
 func (t *transaction) isFailed() bool { return t != nil && t.failed }
 
-// status returns the protocol's letter for the state of a transaction.
+// status returns the protocol's code for the transaction status.
 func (t *transaction) status() byte {
 	switch {
 	case t == nil || !t.explicit:
@@ -31,7 +32,8 @@
 	return 'T'
 }
 
-// afterError returns what is left of a transaction after an error.
+// afterError returns what the transaction becomes after an error: an explicit
+// one becomes a failed one, and an implicit one ends.
 func (t *transaction) afterError() *transaction {
 	if t == nil || !t.explicit {
 		return nil
@@ -48,20 +50,20 @@
 }
 
 // -----------------------------------------------------------------------------
-// Beginning and ending.
+// Begin and commit.
 
-// beginImplicit opens a transaction where there is none, and checks the term
-// that the work expects.
+// beginImplicit starts an implicit transaction, unless one is open. Starting
+// one fails if the database is not in the term that the session expects.
 func (s *session) beginImplicit() error {
 	if s.tx != nil {
-		s.tx.guard.work = s.work
+		s.tx.precondition.expectedWork = s.expectedWork
 		return nil
 	}
-	g, err := s.database.node.begin(s.work)
+	pre, err := s.database.node.begin(s.expectedWork)
 	if err != nil {
 		return err
 	}
-	s.tx = &transaction{guard: g}
+	s.tx = &transaction{precondition: pre}
 	return nil
 }
 
@@ -74,7 +76,7 @@
 	return result{tag: "BEGIN"}, nil
 }
 
-// commit ends a transaction by COMMIT.
+// commit executes COMMIT.
 func (s *session) commit(ctx context.Context) (result, error) {
 	tx := s.tx
 	s.tx = nil
@@ -84,36 +86,38 @@
 	if tx == nil {
 		return result{tag: "COMMIT"}, nil
 	}
-	tx.guard.work = s.work
+	tx.precondition.expectedWork = s.expectedWork
 	if len(tx.changes) == 0 {
-		_, err := s.database.node.look(tx.guard, false, func(*content) error { return nil })
+		_, err := s.database.node.withContent(tx.precondition, false, func(*content) error { return nil })
 		return result{tag: "COMMIT"}, err
 	}
-	if err := s.occupyCommit(ctx); err != nil {
+	if err := s.simulateCommit(ctx); err != nil {
 		return result{}, err
 	}
 	defer s.database.slots.release()
-	position, err := s.database.node.commit(tx.guard, tx.changes)
+	position, err := s.database.node.commit(tx.precondition, tx.changes)
 	return result{tag: "COMMIT", committed: position}, err
 }
 
-// occupyCommit takes a slot for as long as a commit takes.
-func (s *session) occupyCommit(ctx context.Context) error {
+// simulateCommit acquires a slot and waits for the time that a commit takes.
+// The caller must release the slot, unless an error is returned.
+func (s *session) simulateCommit(ctx context.Context) error {
 	d := s.database
 	if err := d.slots.acquire(ctx); err != nil {
 		return err
 	}
-	if !task.Sleep(ctx, d.faults.stretch(d.options.StatementTime)) || !d.faults.awaitThaw(ctx.Done()) {
+	if !task.Sleep(ctx, d.faults.scaleDuration(d.options.StatementTime)) || !d.faults.awaitThaw(ctx.Done()) {
 		d.slots.release()
 		return context.Cause(ctx)
 	}
 	return nil
 }
 
-// commitImplicit ends a transaction that no BEGIN has opened, where the last
-// statement of it has run.
-func (s *session) commitImplicit(last bool) (model.Position, error) {
-	if !last || s.tx == nil || s.tx.explicit {
+// commitImplicit commits the implicit transaction if there is one and its last
+// statement has run. It returns the position of the commit, or zero if nothing
+// was committed.
+func (s *session) commitImplicit(isLast bool) (model.Position, error) {
+	if !isLast || s.tx == nil || s.tx.explicit {
 		return model.Position{}, nil
 	}
 	tx := s.tx
@@ -121,5 +125,5 @@
 	if len(tx.changes) == 0 {
 		return model.Position{}, nil
 	}
-	return s.database.node.commit(tx.guard, tx.changes)
+	return s.database.node.commit(tx.precondition, tx.changes)
 }
--- a/internal/standin/database/transcript_test.go
+++ b/internal/standin/database/transcript_test.go
@@ -15,61 +15,62 @@
 
 var update = flag.Bool("update", false, "write the golden files")
 
-// wire speaks the protocol message by message and writes down what comes.
-type wire struct {
-	t        *testing.T
-	conn     net.Conn
-	frontend *pgproto3.Frontend
-	lines    []string
+// protocolClient is a client that sends single protocol messages and records
+// the responses in transcript.
+type protocolClient struct {
+	t          *testing.T
+	conn       net.Conn
+	frontend   *pgproto3.Frontend
+	transcript []string
 }
 
-func newWire(t *testing.T, db *database.Database, parameters map[string]string) *wire {
+func newProtocolClient(t *testing.T, db *database.Database, parameters map[string]string) *protocolClient {
 	t.Helper()
 	conn, err := net.Dial("tcp", db.Address().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = conn.Close() })
-	w := &wire{t: t, conn: conn, frontend: pgproto3.NewFrontend(conn, conn)}
-	w.frontend.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: parameters})
-	w.receive()
-	w.lines = nil
-	return w
+	client := &protocolClient{t: t, conn: conn, frontend: pgproto3.NewFrontend(conn, conn)}
+	client.frontend.Send(&pgproto3.StartupMessage{ProtocolVersion: pgproto3.ProtocolVersion30, Parameters: parameters})
+	client.receive()
+	client.transcript = nil
+	return client
 }
 
-// send sends messages and writes down all answers up to ReadyForQuery.
-func (w *wire) send(messages ...pgproto3.FrontendMessage) {
-	w.t.Helper()
+// send sends messages and records the responses up to ReadyForQuery.
+func (c *protocolClient) send(messages ...pgproto3.FrontendMessage) {
+	c.t.Helper()
 	for _, message := range messages {
-		w.frontend.Send(message)
+		c.frontend.Send(message)
 	}
-	w.receive()
+	c.receive()
 }
 
-func (w *wire) query(sql string) {
-	w.t.Helper()
-	w.lines = append(w.lines, "> "+sql)
-	w.send(&pgproto3.Query{String: sql})
+func (c *protocolClient) query(sql string) {
+	c.t.Helper()
+	c.transcript = append(c.transcript, "> "+sql)
+	c.send(&pgproto3.Query{String: sql})
 }
 
-func (w *wire) receive() {
-	w.t.Helper()
-	if err := w.frontend.Flush(); err != nil {
-		w.t.Fatal(err)
+func (c *protocolClient) receive() {
+	c.t.Helper()
+	if err := c.frontend.Flush(); err != nil {
+		c.t.Fatal(err)
 	}
 	for {
-		message, err := w.frontend.Receive()
+		message, err := c.frontend.Receive()
 		if err != nil {
-			w.t.Fatal(err)
+			c.t.Fatal(err)
 		}
-		w.lines = append(w.lines, render(message))
+		c.transcript = append(c.transcript, render(message))
 		if _, ready := message.(*pgproto3.ReadyForQuery); ready {
 			return
 		}
 	}
 }
 
-// render writes a message on one line.
+// render returns a message as one line of the transcript.
 func render(message pgproto3.BackendMessage) string {
 	switch message := message.(type) {
 	case *pgproto3.ParameterStatus:
@@ -100,7 +101,7 @@
 	return "  " + strings.TrimPrefix(fmt.Sprintf("%T", message), "*pgproto3.")
 }
 
-func golden(t *testing.T, name string, lines []string) {
+func compareGolden(t *testing.T, name string, lines []string) {
 	t.Helper()
 	got := strings.Join(lines, "\n") + "\n"
 	path := "testdata/" + name + ".golden"
@@ -120,7 +121,7 @@
 // Transcripts.
 
 func TestSimpleQueriesGolden(t *testing.T) {
-	w := newWire(t, startPrimary(t), map[string]string{"user": "clerk", "eelgrassfold.kind": "post"})
+	client := newProtocolClient(t, startPrimary(t), map[string]string{"user": "clerk", "eelgrassfold.kind": "post"})
 	for _, sql := range []string{
 		"",
 		"-- ping",
@@ -154,13 +155,13 @@
 		"DISCARD ALL",
 		"CALL group_status()",
 	} {
-		w.query(sql)
+		client.query(sql)
 	}
-	golden(t, "simple", w.lines)
+	compareGolden(t, "simple", client.transcript)
 }
 
 func TestTransactionsGolden(t *testing.T) {
-	w := newWire(t, startPrimary(t), map[string]string{"user": "clerk"})
+	client := newProtocolClient(t, startPrimary(t), map[string]string{"user": "clerk"})
 	for _, sql := range []string{
 		"BEGIN",
 		"INSERT INTO kv (key, value) VALUES ('bow', '7')",
@@ -185,13 +186,13 @@
 		"INSERT INTO ledger (entry) VALUES ('e2'); SELECT work('never')",
 		"SELECT entry FROM ledger",
 	} {
-		w.query(sql)
+		client.query(sql)
 	}
-	golden(t, "transaction", w.lines)
+	compareGolden(t, "transaction", client.transcript)
 }
 
 func TestGroupSettingsGolden(t *testing.T) {
-	w := newWire(t, startPrimary(t), map[string]string{"user": "clerk"})
+	client := newProtocolClient(t, startPrimary(t), map[string]string{"user": "clerk"})
 	for _, sql := range []string{
 		"SET group_work = '1/k1'",
 		"INSERT INTO ledger (entry) VALUES ('e1')",
@@ -212,13 +213,13 @@
 		"DISCARD ALL",
 		"INSERT INTO ledger (entry) VALUES ('e4')",
 	} {
-		w.query(sql)
+		client.query(sql)
 	}
-	golden(t, "settings", w.lines)
+	compareGolden(t, "settings", client.transcript)
 }
 
 func TestExtendedQueriesGolden(t *testing.T) {
-	w := newWire(t, startPrimary(t), map[string]string{"user": "clerk"})
+	client := newProtocolClient(t, startPrimary(t), map[string]string{"user": "clerk"})
 	insert := &pgproto3.Parse{Name: "insert", Query: "INSERT INTO kv (key, value) VALUES ($1, $2)"}
 	bind := func(statement string, values ...string) *pgproto3.Bind {
 		b := &pgproto3.Bind{PreparedStatement: statement}
@@ -256,8 +257,8 @@
 		}},
 	}
 	for _, step := range steps {
-		w.lines = append(w.lines, "> "+step.name)
-		w.send(step.messages...)
+		client.transcript = append(client.transcript, "> "+step.name)
+		client.send(step.messages...)
 	}
-	golden(t, "extended", w.lines)
+	compareGolden(t, "extended", client.transcript)
 }
