--- a/internal/standin/platform/fault.go
+++ b/internal/standin/platform/fault.go
@@ -2,35 +2,36 @@
 
 import "fmt"
 
-// Fault is what lies between a request and its answer. The files fault_*.go
-// hold one variant each.
+// Fault is a fault of the platform, which takes effect between a request and
+// its response. Each file fault_*.go holds one variant.
 type Fault interface{ isFault() }
 
-// FaultRequest is the JSON body that asks for a fault.
+// FaultRequest is the JSON body of POST /admin/fault.
 type FaultRequest struct {
 	Fault string `json:"fault"`
 	// Delay is a duration such as "2s".
 	Delay string `json:"delay"`
-	// Writes limits a loss of answers to those of changes.
+	// Writes limits the fault lose to requests that change something.
 	Writes bool `json:"writes"`
 }
 
-// faultVariant is one entry of the table of faults.
+// faultVariant describes one variant of Fault.
 type faultVariant struct {
 	name  string
 	help  string
 	parse func(request FaultRequest) (Fault, error)
 }
 
-// faultVariants lists every fault by its name.
+// faultVariants lists the variants of Fault.
 var faultVariants = []faultVariant{
 	faultNone,
 	faultOutage,
 	faultSlow,
-	faultLose,
+	faultDropResponse,
 }
 
-// FaultRequestError reports a request for a fault that can't be read.
+// FaultRequestError reports a request that names an unknown fault or has an
+// invalid field.
 type FaultRequestError struct {
 	Request FaultRequest
 }
@@ -40,7 +41,8 @@
 	return fmt.Sprintf("no fault %q with delay %q", e.Request.Fault, e.Request.Delay)
 }
 
-// ParseFault reads a request for a fault. Its error is a *FaultRequestError.
+// ParseFault returns the fault that a request asks for. Its error is a
+// *FaultRequestError.
 func ParseFault(request FaultRequest) (Fault, error) {
 	for _, variant := range faultVariants {
 		if variant.name == request.Fault {
@@ -50,7 +52,7 @@
 	return nil, &FaultRequestError{Request: request}
 }
 
-// FaultHelp returns a line of help for each fault.
+// FaultHelp returns one line of help for each variant of Fault.
 func FaultHelp() []string {
 	lines := make([]string, 0, len(faultVariants))
 	for _, variant := range faultVariants {
--- a/internal/standin/platform/fault_none.go
+++ b/internal/standin/platform/fault_none.go
@@ -1,6 +1,6 @@
 package platform
 
-// FaultNone lets every request through.
+// FaultNone processes and answers every request.
 type FaultNone struct{}
 
 func (FaultNone) isFault() {}
--- a/internal/standin/platform/fault_outage.go
+++ b/internal/standin/platform/fault_outage.go
@@ -1,6 +1,7 @@
 package platform
 
-// FaultOutage closes connections without an answer before anything is done.
+// FaultOutage closes the connection of each request without processing it and
+// without a response.
 type FaultOutage struct{}
 
 func (FaultOutage) isFault() {}
--- a/internal/standin/platform/fault_slow.go
+++ b/internal/standin/platform/fault_slow.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// FaultSlow delays each request before it is done.
+// FaultSlow delays each request before it is processed.
 type FaultSlow struct{ Delay time.Duration }
 
 func (FaultSlow) isFault() {}
--- a/internal/standin/platform/handler.go
+++ b/internal/standin/platform/handler.go
@@ -10,42 +10,43 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/task"
 )
 
-// bodyLimit is the greatest body that is accepted, in bytes.
-const bodyLimit = 16 << 20
+// maxBodyBytes is the maximum length of a request body, in bytes.
+const maxBodyBytes = 16 << 20
 
-// handler routes the requests. The paths under /admin are out of reach of the
-// faults.
+// handler returns the handler of all paths. Faults do not affect the paths
+// under /admin.
 func (p *Platform) handler() http.Handler {
 	service := http.NewServeMux()
-	service.HandleFunc("GET /tables/{table}/{key...}", p.counted(&p.reads, p.getRow))
-	service.HandleFunc("PUT /tables/{table}/{key...}", p.counted(&p.writes, p.putRow))
-	service.HandleFunc("GET /tables/{table}", p.counted(&p.reads, p.scanRows))
-	service.HandleFunc("POST /transact", p.counted(&p.writes, p.transact))
-	service.HandleFunc("GET /objects/{name...}", p.counted(&p.reads, p.getObject))
-	service.HandleFunc("PUT /objects/{name...}", p.counted(&p.writes, p.putObject))
-	service.HandleFunc("GET /instances", p.counted(&p.reads, p.getInstances))
-	all := http.NewServeMux()
-	all.Handle("/", p.faulty(service))
-	all.HandleFunc("POST /admin/fault", p.postFault)
-	all.HandleFunc("PUT /admin/instances", p.putInstances)
-	all.HandleFunc("GET /admin/stats", func(w http.ResponseWriter, _ *http.Request) {
-		answerJSON(w, http.StatusOK, p.Stats())
+	service.HandleFunc("GET /tables/{table}/{key...}", p.countRequests(&p.reads, p.getRow))
+	service.HandleFunc("PUT /tables/{table}/{key...}", p.countRequests(&p.writes, p.putRow))
+	service.HandleFunc("GET /tables/{table}", p.countRequests(&p.reads, p.scanRows))
+	service.HandleFunc("POST /transact", p.countRequests(&p.writes, p.transact))
+	service.HandleFunc("GET /objects/{name...}", p.countRequests(&p.reads, p.getObject))
+	service.HandleFunc("PUT /objects/{name...}", p.countRequests(&p.writes, p.putObject))
+	service.HandleFunc("GET /instances", p.countRequests(&p.reads, p.getInstances))
+	root := http.NewServeMux()
+	root.Handle("/", p.injectFaults(service))
+	root.HandleFunc("POST /admin/fault", p.postFault)
+	root.HandleFunc("PUT /admin/instances", p.putInstances)
+	root.HandleFunc("GET /admin/stats", func(w http.ResponseWriter, _ *http.Request) {
+		writeJSON(w, http.StatusOK, p.Stats())
 	})
-	return http.MaxBytesHandler(all, bodyLimit)
+	return http.MaxBytesHandler(root, maxBodyBytes)
 }
 
-// counter is the part of atomic.Int64 that counted needs.
+// counter is the method of atomic.Int64 that countRequests needs.
 type counter interface{ Add(delta int64) int64 }
 
-func (p *Platform) counted(count counter, next http.HandlerFunc) http.HandlerFunc {
+// countRequests counts each request before it is processed.
+func (p *Platform) countRequests(requests counter, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		count.Add(1)
+		requests.Add(1)
 		next(w, r)
 	}
 }
 
-// faulty lays the fault in force between a request and its answer.
-func (p *Platform) faulty(next http.Handler) http.Handler {
+// injectFaults applies the fault in force to each request.
+func (p *Platform) injectFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch fault := p.currentFault().(type) {
 		case FaultNone:
@@ -62,23 +63,23 @@
 				next.ServeHTTP(w, r)
 				return
 			}
-			// The change takes effect even if the client has gone.
-			next.ServeHTTP(discard{}, r.WithContext(context.WithoutCancel(r.Context())))
+			// The change takes effect even if the client has closed the connection.
+			next.ServeHTTP(discardWriter{}, r.WithContext(context.WithoutCancel(r.Context())))
 			closeUnanswered()
 		}
 	})
 }
 
-// closeUnanswered ends a handler so that its connection is closed and no byte
-// of an answer is sent.
+// closeUnanswered aborts a handler so that its connection is closed without any
+// byte of a response.
 func closeUnanswered() { panic(http.ErrAbortHandler) }
 
-// discard is a ResponseWriter that keeps nothing.
-type discard struct{}
+// discardWriter is a ResponseWriter that discards the response.
+type discardWriter struct{}
 
-func (discard) Header() http.Header            { return http.Header{} }
-func (discard) Write(body []byte) (int, error) { return len(body), nil }
-func (discard) WriteHeader(int)                {}
+func (discardWriter) Header() http.Header            { return http.Header{} }
+func (discardWriter) Write(body []byte) (int, error) { return len(body), nil }
+func (discardWriter) WriteHeader(int)                {}
 
 // -----------------------------------------------------------------------------
 // Tables.
@@ -113,8 +114,8 @@
 	w.Header().Set("ETag", strconv.Quote(rows[0].Version))
 }
 
-// expectedVersion reads the version from a conditional request, empty where
-// the row must not exist.
+// expectedVersion returns the version that a conditional request expects, empty
+// if the row must not exist. It returns false if the request is unconditional.
 func expectedVersion(r *http.Request) (string, bool) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return "", true
@@ -128,10 +129,10 @@
 	for i := range rows {
 		rows[i].Table = ""
 	}
-	answerJSON(w, http.StatusOK, rows)
+	writeJSON(w, http.StatusOK, rows)
 }
 
-// rowsBody is the JSON body of a transaction and of its answer.
+// rowsBody is the JSON body of POST /transact and of its response.
 type rowsBody struct {
 	Rows []Row `json:"rows"`
 }
@@ -146,7 +147,7 @@
 	if !changed {
 		status = http.StatusConflict
 	}
-	answerJSON(w, status, rowsBody{Rows: rows})
+	writeJSON(w, status, rowsBody{Rows: rows})
 }
 
 // -----------------------------------------------------------------------------
@@ -171,7 +172,7 @@
 }
 
 func (p *Platform) getInstances(w http.ResponseWriter, _ *http.Request) {
-	answerJSON(w, http.StatusOK, p.listInstances())
+	writeJSON(w, http.StatusOK, p.visibleInstances())
 }
 
 // -----------------------------------------------------------------------------
@@ -200,6 +201,8 @@
 // -----------------------------------------------------------------------------
 // JSON.
 
+// readJSON decodes the body of a request into value. It returns false if it has
+// answered with status 400 because the body is invalid.
 func readJSON(w http.ResponseWriter, r *http.Request, value any) bool {
 	err := json.NewDecoder(r.Body).Decode(value)
 	if err != nil {
@@ -208,7 +211,7 @@
 	return err == nil
 }
 
-func answerJSON(w http.ResponseWriter, status int, value any) {
+func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(value)
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,10 +1,10 @@
-// Package platform is a stand-in for the platform's HTTP service: tables of
-// rows that change by compare-and-set, objects, and a lagging list of
-// instances. Everything is kept in memory.
+// Package platform simulates the platform's HTTP service for tests and
+// measurements: tables of rows that change by compare-and-set, objects, and a list
+// of instances that shows changes after a delay. All data is kept in memory.
 //
 // # What flows in and out
 //
-// HTTP requests of eelgrassfold's instances flow in, and answers flow out:
+// HTTP requests of eelgrassfold's instances flow in, and responses flow out:
 //
 //	GET  /tables/{table}/{key}       the row's body, its version as ETag; 404
 //	PUT  /tables/{table}/{key}       If-Match or If-None-Match: *; 200 or 412
@@ -12,17 +12,18 @@
 //	POST /transact                   JSON {rows}; 200 {rows} or 409 {rows}
 //	PUT  /objects/{name}             stores the body
 //	GET  /objects/{name}             the body; 404
-//	GET  /instances                  JSON list of instances, as of the lag ago
+//	GET  /instances                  JSON list of instances, delayed by the lag
 //
-// Tests and measurements drive the stand-in by further paths, which no fault
-// ever touches:
+// Tests and measurements control the platform by further paths, which faults do
+// not affect:
 //
-//	POST /admin/fault                JSON {fault, delay}
+//	POST /admin/fault                JSON {fault, delay, writes}
 //	PUT  /admin/instances            JSON list of instances
 //	GET  /admin/stats                JSON {reads, writes}
 //
-// A fault lies between the request and its answer, as it would in a network: an
-// outage hides the request from the tables, a lost answer does not.
+// A fault takes effect between a request and its response, like a network fault.
+// A request during an outage does not reach the tables; one whose response is
+// lost does.
 //
 // # Usage
 //
@@ -44,18 +45,19 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/task"
 )
 
-// Options sets up a Platform.
+// Options configures a Platform.
 type Options struct {
-	// Listen is the address to serve on; port 0 lets the system choose.
+	// Listen is the address to serve on. With port 0 the system chooses a free
+	// port.
 	Listen netip.AddrPort
-	// Lag is the time after which a change of the instances shows in their
-	// list.
+	// Lag is the time after which a change of the instances becomes visible in
+	// the list.
 	Lag time.Duration
-	// Now is the clock of the lag; time.Now where it is nil.
+	// Now is the clock for the lag. The default is time.Now.
 	Now func() time.Time
 }
 
-// Platform is one running stand-in.
+// Platform is one simulated platform.
 type Platform struct {
 	options Options
 	store   *store
@@ -63,9 +65,9 @@
 
 	reads, writes atomic.Int64
 
-	mu        sync.Mutex
-	fault     Fault
-	instances []listing
+	mu            sync.Mutex
+	fault         Fault
+	instanceLists []instanceList
 }
 
 // NewPlatform returns a platform with empty tables and no fault.
@@ -76,8 +78,9 @@
 	return &Platform{options: options, store: newStore(), fault: FaultNone{}}
 }
 
-// Start binds the address and serves until the context ends. The channel is
-// closed when all has stopped; a failure comes first.
+// Start binds the address and serves until the context ends. The returned channel
+// receives the first error, if there is one, and is closed when every goroutine
+// has stopped.
 func (p *Platform) Start(ctx context.Context) (<-chan error, error) {
 	listener, address, err := task.Listen(p.options.Listen)
 	if err != nil {
@@ -98,7 +101,7 @@
 }
 
 // -----------------------------------------------------------------------------
-// Faults and counts.
+// Faults and statistics.
 
 // SetFault replaces the fault in force.
 func (p *Platform) SetFault(fault Fault) {
@@ -113,7 +116,8 @@
 	return p.fault
 }
 
-// Stats counts the requests that reached the tables and objects.
+// Stats counts the requests that reached the tables, the objects or the list of
+// instances.
 type Stats struct {
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
@@ -125,43 +129,44 @@
 }
 
 // -----------------------------------------------------------------------------
-// The lagging list of instances.
+// List of instances.
 
 // Instance is one entry of the list of instances.
 type Instance struct {
 	ID   model.InstanceID `json:"instance"`
 	Zone model.ZoneID     `json:"zone"`
-	// Peer is the address at which the instance speaks to its peers.
+	// Peer is the address at which the instance accepts connections of its peers.
 	Peer netip.AddrPort `json:"peer"`
-	// Leaving says that the instance is about to be taken away.
+	// Leaving tells that the platform is about to remove the instance.
 	Leaving bool `json:"leaving"`
 }
 
-// listing is a list of instances and the time from which it shows.
-type listing struct {
-	shown     time.Time
-	instances []Instance
+// instanceList is a list of instances and the time from which it is visible.
+type instanceList struct {
+	visibleFrom time.Time
+	instances   []Instance
 }
 
-// SetInstances replaces the list of instances; the change shows after the lag.
+// SetInstances replaces the list of instances. The change becomes visible after
+// the lag.
 func (p *Platform) SetInstances(instances []Instance) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	next := listing{shown: p.options.Now().Add(p.options.Lag), instances: instances}
-	p.instances = append(p.instances, next)
+	next := instanceList{visibleFrom: p.options.Now().Add(p.options.Lag), instances: instances}
+	p.instanceLists = append(p.instanceLists, next)
 }
 
-// listInstances returns the newest list that shows already, and forgets older
-// ones.
-func (p *Platform) listInstances() []Instance {
+// visibleInstances returns the newest list that is visible, and removes the
+// older ones.
+func (p *Platform) visibleInstances() []Instance {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.options.Now()
-	for len(p.instances) > 1 && !now.Before(p.instances[1].shown) {
-		p.instances = p.instances[1:]
+	for len(p.instanceLists) > 1 && !now.Before(p.instanceLists[1].visibleFrom) {
+		p.instanceLists = p.instanceLists[1:]
 	}
-	if len(p.instances) == 0 || now.Before(p.instances[0].shown) {
+	if len(p.instanceLists) == 0 || now.Before(p.instanceLists[0].visibleFrom) {
 		return []Instance{}
 	}
-	return p.instances[0].instances
+	return p.instanceLists[0].instances
 }
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -16,7 +16,7 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/platform"
 )
 
-// start runs a platform until the end of the test.
+// start runs a platform until the test ends.
 func start(t *testing.T, options platform.Options) *platform.Platform {
 	t.Helper()
 	options.Listen = netip.MustParseAddrPort("127.0.0.1:0")
@@ -35,15 +35,16 @@
 	return p
 }
 
-// answer is what a request got: status 0 stands for a closed connection.
-type answer struct {
+// httpResult is the response to a request. Status 0 stands for a connection
+// that was closed without a response.
+type httpResult struct {
 	Status int
 	ETag   string
 	Body   string
 }
 
-// ask sends one request on a connection of its own.
-func ask(t *testing.T, p *platform.Platform, method, path, body string, header ...string) answer {
+// sendRequest sends one request on a new connection.
+func sendRequest(t *testing.T, p *platform.Platform, method, path, body string, header ...string) httpResult {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, "http://"+p.Address().String()+path, bytes.NewBufferString(body))
 	if err != nil {
@@ -55,14 +56,14 @@
 	request.Close = true
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return answer{}
+		return httpResult{}
 	}
 	defer response.Body.Close()
-	read, err := io.ReadAll(response.Body)
+	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		return answer{}
+		return httpResult{}
 	}
-	return answer{Status: response.StatusCode, ETag: response.Header.Get("ETag"), Body: string(bytes.TrimSpace(read))}
+	return httpResult{Status: response.StatusCode, ETag: response.Header.Get("ETag"), Body: string(bytes.TrimSpace(content))}
 }
 
 func equal(t *testing.T, want, got any) {
@@ -77,25 +78,25 @@
 	steps := []struct {
 		name, method, path, body string
 		header                   []string
-		want                     answer
+		want                     httpResult
 	}{
-		{"missing", "GET", "/tables/groups/a", "", nil, answer{Status: 404}},
-		{"unconditional", "PUT", "/tables/groups/a", "x", nil, answer{Status: 428}},
-		{"create", "PUT", "/tables/groups/a", "x", []string{"If-None-Match", "*"}, answer{200, `"1"`, ""}},
-		{"create twice", "PUT", "/tables/groups/a", "x", []string{"If-None-Match", "*"}, answer{Status: 412}},
-		{"change", "PUT", "/tables/groups/a", "y", []string{"If-Match", `"1"`}, answer{200, `"2"`, ""}},
-		{"change late", "PUT", "/tables/groups/a", "z", []string{"If-Match", `"1"`}, answer{Status: 412}},
-		{"read", "GET", "/tables/groups/a", "", nil, answer{200, `"2"`, "y"}},
-		{"key with slash", "PUT", "/tables/groups/a/b", "w", []string{"If-None-Match", "*"}, answer{200, `"3"`, ""}},
-		{"scan", "GET", "/tables/groups?prefix=a", "", nil, answer{200, "", `[{"key":"a","version":"2","body":"eQ=="},{"key":"a/b","version":"3","body":"dw=="}]`}},
-		{"scan nothing", "GET", "/tables/groups?prefix=q", "", nil, answer{200, "", `[]`}},
-		{"object missing", "GET", "/objects/d1", "", nil, answer{Status: 404}},
-		{"object put", "PUT", "/objects/d1", "blob", nil, answer{Status: 200}},
-		{"object", "GET", "/objects/d1", "", nil, answer{200, "", "blob"}},
+		{"missing", "GET", "/tables/groups/a", "", nil, httpResult{Status: 404}},
+		{"unconditional", "PUT", "/tables/groups/a", "x", nil, httpResult{Status: 428}},
+		{"create", "PUT", "/tables/groups/a", "x", []string{"If-None-Match", "*"}, httpResult{200, `"1"`, ""}},
+		{"create twice", "PUT", "/tables/groups/a", "x", []string{"If-None-Match", "*"}, httpResult{Status: 412}},
+		{"change", "PUT", "/tables/groups/a", "y", []string{"If-Match", `"1"`}, httpResult{200, `"2"`, ""}},
+		{"change with an old version", "PUT", "/tables/groups/a", "z", []string{"If-Match", `"1"`}, httpResult{Status: 412}},
+		{"read", "GET", "/tables/groups/a", "", nil, httpResult{200, `"2"`, "y"}},
+		{"key with slash", "PUT", "/tables/groups/a/b", "w", []string{"If-None-Match", "*"}, httpResult{200, `"3"`, ""}},
+		{"scan", "GET", "/tables/groups?prefix=a", "", nil, httpResult{200, "", `[{"key":"a","version":"2","body":"eQ=="},{"key":"a/b","version":"3","body":"dw=="}]`}},
+		{"scan without matches", "GET", "/tables/groups?prefix=q", "", nil, httpResult{200, "", `[]`}},
+		{"object missing", "GET", "/objects/d1", "", nil, httpResult{Status: 404}},
+		{"object put", "PUT", "/objects/d1", "blob", nil, httpResult{Status: 200}},
+		{"object", "GET", "/objects/d1", "", nil, httpResult{200, "", "blob"}},
 	}
 	for _, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
-			equal(t, step.want, ask(t, p, step.method, step.path, step.body, step.header...))
+			equal(t, step.want, sendRequest(t, p, step.method, step.path, step.body, step.header...))
 		})
 	}
 	equal(t, platform.Stats{Reads: 6, Writes: 7}, p.Stats())
@@ -106,28 +107,28 @@
 	steps := []struct {
 		name string
 		body string
-		want answer
+		want httpResult
 	}{
 		{
 			"create two",
 			`{"rows":[{"table":"g","key":"a","version":"","body":"eA=="},{"table":"l","key":"1","version":"","body":"eQ=="}]}`,
-			answer{200, "", `{"rows":[{"table":"g","key":"a","version":"1"},{"table":"l","key":"1","version":"2"}]}`},
+			httpResult{200, "", `{"rows":[{"table":"g","key":"a","version":"1"},{"table":"l","key":"1","version":"2"}]}`},
 		},
 		{
-			"one behind",
+			"one old version",
 			`{"rows":[{"table":"g","key":"a","version":"1","body":"eg=="},{"table":"l","key":"1","version":"","body":"eg=="}]}`,
-			answer{409, "", `{"rows":[{"table":"g","key":"a","version":"1","body":"eA=="},{"table":"l","key":"1","version":"2","body":"eQ=="}]}`},
+			httpResult{409, "", `{"rows":[{"table":"g","key":"a","version":"1","body":"eA=="},{"table":"l","key":"1","version":"2","body":"eQ=="}]}`},
 		},
 		{
-			"both current",
+			"both versions current",
 			`{"rows":[{"table":"g","key":"a","version":"1","body":"eg=="},{"table":"l","key":"1","version":"2","body":"eg=="}]}`,
-			answer{200, "", `{"rows":[{"table":"g","key":"a","version":"3"},{"table":"l","key":"1","version":"4"}]}`},
+			httpResult{200, "", `{"rows":[{"table":"g","key":"a","version":"3"},{"table":"l","key":"1","version":"4"}]}`},
 		},
-		{"not JSON", `rows`, answer{400, "", "invalid character 'r' looking for beginning of value"}},
+		{"not JSON", `rows`, httpResult{400, "", "invalid character 'r' looking for beginning of value"}},
 	}
 	for _, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
-			equal(t, step.want, ask(t, p, "POST", "/transact", step.body))
+			equal(t, step.want, sendRequest(t, p, "POST", "/transact", step.body))
 		})
 	}
 }
@@ -135,8 +136,8 @@
 func TestFaults(t *testing.T) {
 	cases := []struct {
 		fault string
-		// answered says that the write gets an answer, read that a request that
-		// changes nothing gets one, changed that the write takes effect.
+		// answered tells whether a write gets a response, read whether a request
+		// that changes nothing gets one, and changed whether the write takes effect.
 		answered, read, changed bool
 	}{
 		{`{"fault":"none"}`, true, true, true},
@@ -148,20 +149,20 @@
 	for _, c := range cases {
 		t.Run(c.fault, func(t *testing.T) {
 			p := start(t, platform.Options{})
-			equal(t, 200, ask(t, p, "POST", "/admin/fault", c.fault).Status)
-			written := ask(t, p, "PUT", "/tables/g/a", "x", "If-None-Match", "*")
+			equal(t, 200, sendRequest(t, p, "POST", "/admin/fault", c.fault).Status)
+			written := sendRequest(t, p, "PUT", "/tables/g/a", "x", "If-None-Match", "*")
 			equal(t, c.answered, written.Status != 0)
-			equal(t, c.read, ask(t, p, "GET", "/instances", "").Status != 0)
-			equal(t, 200, ask(t, p, "POST", "/admin/fault", `{"fault":"none"}`).Status)
-			equal(t, c.changed, ask(t, p, "GET", "/tables/g/a", "").Status == 200)
+			equal(t, c.read, sendRequest(t, p, "GET", "/instances", "").Status != 0)
+			equal(t, 200, sendRequest(t, p, "POST", "/admin/fault", `{"fault":"none"}`).Status)
+			equal(t, c.changed, sendRequest(t, p, "GET", "/tables/g/a", "").Status == 200)
 		})
 	}
 }
 
-func TestUnknownFaultsAreRefused(t *testing.T) {
+func TestUnknownFaultsAreRejected(t *testing.T) {
 	p := start(t, platform.Options{})
 	for _, body := range []string{`{"fault":"flood"}`, `{"fault":"slow","delay":"soon"}`, `{"fault":"slow","delay":"-1s"}`, `{}`} {
-		equal(t, 400, ask(t, p, "POST", "/admin/fault", body).Status)
+		equal(t, 400, sendRequest(t, p, "POST", "/admin/fault", body).Status)
 	}
 }
 
@@ -170,7 +171,7 @@
 	p := start(t, platform.Options{Lag: 2 * time.Second, Now: func() time.Time { return now }})
 	list := func() []platform.Instance {
 		var instances []platform.Instance
-		if err := json.Unmarshal([]byte(ask(t, p, "GET", "/instances", "").Body), &instances); err != nil {
+		if err := json.Unmarshal([]byte(sendRequest(t, p, "GET", "/instances", "").Body), &instances); err != nil {
 			t.Fatal(err)
 		}
 		return instances
@@ -180,7 +181,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	equal(t, 200, ask(t, p, "PUT", "/admin/instances", string(body)).Status)
+	equal(t, 200, sendRequest(t, p, "PUT", "/admin/instances", string(body)).Status)
 	equal(t, []platform.Instance{}, list())
 	now = now.Add(2 * time.Second)
 	equal(t, first, list())
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Row is one row of a table, in the form of the JSON bodies.
+// Row is one row of a table, and its form in JSON bodies.
 type Row struct {
 	Table string `json:"table,omitempty"`
 	Key   string `json:"key"`
@@ -17,15 +17,15 @@
 	Body    []byte `json:"body,omitempty"`
 }
 
-// rowID names a row over all tables.
+// rowID identifies a row among all tables.
 type rowID struct{ table, key string }
 
 // store holds the tables and objects.
 type store struct {
-	mu      sync.Mutex
-	changes uint64
-	rows    map[rowID]Row
-	objects map[string][]byte
+	mu          sync.Mutex
+	lastVersion uint64
+	rows        map[rowID]Row
+	objects     map[string][]byte
 }
 
 func newStore() *store {
@@ -35,13 +35,14 @@
 // -----------------------------------------------------------------------------
 // Tables.
 
-// row returns a row as it stands, with an empty version where there is none.
+// row returns a row, with an empty version if it does not exist.
 func (s *store) row(table, key string) Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.current(rowID{table, key})
 }
 
+// current returns a row. It requires that mu is locked.
 func (s *store) current(id rowID) Row {
 	row, found := s.rows[id]
 	if !found {
@@ -50,49 +51,51 @@
 	return row
 }
 
-// scan returns the rows of a table whose keys begin with prefix, ordered by
+// scan returns the rows of a table whose keys start with prefix, ordered by
 // key.
 func (s *store) scan(table, prefix string) []Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	found := []Row{}
+	rows := []Row{}
 	for id, row := range s.rows {
 		if id.table == table && strings.HasPrefix(id.key, prefix) {
-			found = append(found, row)
+			rows = append(rows, row)
 		}
 	}
-	sort.Slice(found, func(i, j int) bool { return found[i].Key < found[j].Key })
-	return found
+	sort.Slice(rows, func(i, j int) bool { return rows[i].Key < rows[j].Key })
+	return rows
 }
 
-// transact changes all rows or none. It returns the rows with their new
-// versions, or, where a version did not match, false and the rows as they
-// stand.
+// transact writes all rows if each has the current version of its row, and
+// returns them with their new versions and without bodies. Otherwise it writes
+// none, and returns false and the current rows.
 func (s *store) transact(rows []Row) ([]Row, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	standing := make([]Row, 0, len(rows))
+	currentRows := make([]Row, 0, len(rows))
 	matches := true
 	for _, row := range rows {
 		current := s.current(rowID{row.Table, row.Key})
-		standing = append(standing, current)
+		currentRows = append(currentRows, current)
 		matches = matches && current.Version == row.Version
 	}
 	if !matches {
-		return standing, false
+		return currentRows, false
 	}
-	return s.change(rows), true
+	return s.writeRows(rows), true
 }
 
-func (s *store) change(rows []Row) []Row {
-	changed := make([]Row, 0, len(rows))
+// writeRows writes rows and returns them with their new versions. It requires that
+// mu is locked.
+func (s *store) writeRows(rows []Row) []Row {
+	written := make([]Row, 0, len(rows))
 	for _, row := range rows {
-		s.changes++
-		row.Version = strconv.FormatUint(s.changes, 10)
+		s.lastVersion++
+		row.Version = strconv.FormatUint(s.lastVersion, 10)
 		s.rows[rowID{row.Table, row.Key}] = row
-		changed = append(changed, Row{Table: row.Table, Key: row.Key, Version: row.Version})
+		written = append(written, Row{Table: row.Table, Key: row.Key, Version: row.Version})
 	}
-	return changed
+	return written
 }
 
 // -----------------------------------------------------------------------------
