--- a/internal/standin/drill/counters.go
+++ b/internal/standin/drill/counters.go
@@ -11,10 +11,10 @@
 )
 
 // sumCounters adds up one map of counters over all instances.
-func sumCounters(ctx context.Context, d *deploy.Deployment, name string) (map[string]int64, error) {
+func sumCounters(ctx context.Context, d *deploy.Deployment, counterMap string) (map[string]int64, error) {
 	sum := map[string]int64{}
-	for _, in := range d.Instances {
-		counts, err := readCounters(ctx, in, name)
+	for _, instance := range d.Instances {
+		counts, err := readCounters(ctx, instance, counterMap)
 		if err != nil {
 			return nil, err
 		}
@@ -26,23 +26,23 @@
 }
 
 // readCounters reads one map of counters of an instance.
-func readCounters(ctx context.Context, in *deploy.Instance, name string) (map[string]int64, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+in.OperatorAddress.String()+"/debug/vars", nil)
+func readCounters(ctx context.Context, instance *deploy.Instance, counterMap string) (map[string]int64, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+instance.OperatorAddress.String()+"/debug/vars", nil)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
-	defer func() { _ = answer.Body.Close() }()
-	var all map[string]json.RawMessage
-	if err := json.NewDecoder(answer.Body).Decode(&all); err != nil {
+	defer func() { _ = response.Body.Close() }()
+	var variables map[string]json.RawMessage
+	if err := json.NewDecoder(response.Body).Decode(&variables); err != nil {
 		return nil, errors.WithStack(err)
 	}
 	counts := map[string]int64{}
-	if all[name] == nil {
+	if variables[counterMap] == nil {
 		return counts, nil
 	}
-	return counts, errors.WithStack(json.Unmarshal(all[name], &counts))
+	return counts, errors.WithStack(json.Unmarshal(variables[counterMap], &counts))
 }
--- a/internal/standin/drill/drill.go
+++ b/internal/standin/drill/drill.go
@@ -56,19 +56,19 @@
 // Main runs the experiment that the command line names and returns the exit
 // code.
 func Main() int {
-	var line struct {
+	var commandLine struct {
 		Binaries string `help:"Directory of the built binaries." default:".build"`
 	}
 	options := []kong.Option{kong.Name("drill"), kong.Description("Measures eelgrassfold on one machine, with stand-ins.")}
 	for _, e := range experiments {
 		options = append(options, kong.DynamicCommand(e.name, e.help, "", e.experiment))
 	}
-	parser, err := kong.New(&line, options...)
+	parser, err := kong.New(&commandLine, options...)
 	if err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "drill:", err)
 		return 1
 	}
-	chosen, err := parser.Parse(os.Args[1:])
+	parsed, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		_, _ = fmt.Fprintln(os.Stderr, "drill:", err)
 		return 2
@@ -76,10 +76,10 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	for _, e := range experiments {
-		if e.name != chosen.Command() {
+		if e.name != parsed.Command() {
 			continue
 		}
-		if err := e.experiment.Run(ctx, os.Stdout, line.Binaries); err != nil {
+		if err := e.experiment.Run(ctx, os.Stdout, commandLine.Binaries); err != nil {
 			_, _ = fmt.Fprintln(os.Stderr, "drill:", err)
 			return 1
 		}
@@ -94,25 +94,25 @@
 
 var zones = []model.ZoneID{"lanier", "savannah", "allatoona"}
 
-// startTime bounds the start of a deployment.
-const startTime = 20 * time.Second
+// startTimeout bounds the start of a deployment.
+const startTimeout = 20 * time.Second
 
-// start starts a deployment of one group.
-func start(ctx context.Context, binaries string, instances int, database ...string) (*deploy.Deployment, error) {
-	return startWith(ctx, binaries, deploy.BaseManifest, instances, database...)
+// startDeployment starts a deployment of one group.
+func startDeployment(ctx context.Context, binaries string, instances int, databaseFlags ...string) (*deploy.Deployment, error) {
+	return startDeploymentWith(ctx, binaries, deploy.BaseManifest, instances, databaseFlags...)
 }
 
-// startWith starts a deployment of one group under a manifest of its own.
-func startWith(ctx context.Context, binaries, manifest string, instances int, database ...string) (*deploy.Deployment, error) {
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+// startDeploymentWith starts a deployment of one group under a manifest of its own.
+func startDeploymentWith(ctx context.Context, binaries, manifest string, instances int, databaseFlags ...string) (*deploy.Deployment, error) {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	return deploy.Start(ctx, deploy.Options{
 		Binaries: binaries, Zones: zones, Groups: []model.GroupID{group}, Instances: instances,
-		BaseManifest: manifest, DatabaseFlags: database, LogLevel: "info",
+		BaseManifest: manifest, DatabaseFlags: databaseFlags, LogLevel: "info",
 	})
 }
 
-// row writes one line of a table.
-func row(out io.Writer, format string, values ...any) {
+// writeRow writes one line of a table.
+func writeRow(out io.Writer, format string, values ...any) {
 	_, _ = fmt.Fprintf(out, format+"\n", values...)
 }
--- a/internal/standin/drill/experiment_capacity.go
+++ b/internal/standin/drill/experiment_capacity.go
@@ -30,23 +30,23 @@
 
 // idleCost is what one instance costs on average while nothing is asked of it.
 type idleCost struct {
-	// processor is the share of a core, in percent.
-	processor float64
-	// resident is in megabytes.
-	resident float64
-	// peers, databases and platform are control bytes a second, both ways.
-	peers, databases, platform float64
+	// processorPercent is the share of a core, in percent.
+	processorPercent float64
+	// residentMB is in megabytes.
+	residentMB float64
+	// peerRate, databaseRate and platformRate are control bytes a second, both ways.
+	peerRate, databaseRate, platformRate float64
 }
 
 // point is one measurement of a series.
 type point struct {
-	number float64
-	cost   idleCost
+	size float64
+	cost idleCost
 }
 
 // Run implements Experiment.
 func (c *Capacity) Run(ctx context.Context, out io.Writer, binaries string) error {
-	row(out, "capacity: idle cost of one instance, mean over all, %s after %s of rest", c.Measure, c.Settle)
+	writeRow(out, "capacity: idle cost of one instance, mean over all, %s after %s of rest", c.Measure, c.Settle)
 	series := []struct {
 		name    string
 		numbers []int
@@ -57,7 +57,7 @@
 		{"listed", c.Listed, c.measureListed},
 	}
 	for _, s := range series {
-		row(out, "%-10s %8s %12s %10s %10s %12s %10s", s.name, "", "core %", "MB", "peer B/s", "database B/s", "platf. B/s")
+		writeRow(out, "%-10s %8s %12s %10s %10s %12s %10s", s.name, "", "core %", "MB", "peer B/s", "database B/s", "platf. B/s")
 		var points []point
 		for _, number := range s.numbers {
 			cost, err := s.measure(ctx, binaries, number)
@@ -75,8 +75,8 @@
 }
 
 func writeCost(out io.Writer, name, number string, cost idleCost) {
-	row(out, "%-10s %8s %12.4f %10.3f %10.1f %12.1f %10.2f",
-		name, number, cost.processor, cost.resident, cost.peers, cost.databases, cost.platform)
+	writeRow(out, "%-10s %8s %12.4f %10.3f %10.1f %12.1f %10.2f",
+		name, number, cost.processorPercent, cost.residentMB, cost.peerRate, cost.databaseRate, cost.platformRate)
 }
 
 // -----------------------------------------------------------------------------
@@ -101,14 +101,14 @@
 
 // measureIdle starts a deployment, lets it rest and measures it.
 func (c *Capacity) measureIdle(ctx context.Context, binaries string, instances, groups, listed int) (idleCost, error) {
-	const startEach = 4 * time.Second
-	starting, cancel := context.WithTimeout(ctx, startTime+time.Duration(instances+groups)*startEach)
+	const timePerProcess = 4 * time.Second
+	startCtx, cancel := context.WithTimeout(ctx, startTimeout+time.Duration(instances+groups)*timePerProcess)
 	defer cancel()
 	var names []model.GroupID
 	for i := range groups {
 		names = append(names, model.GroupID(fmt.Sprintf("%s-%d", group, i+1)))
 	}
-	d, err := deploy.Start(starting, deploy.Options{
+	d, err := deploy.Start(startCtx, deploy.Options{
 		Binaries: binaries, Zones: zones, Groups: names, Instances: instances, BaseManifest: deploy.BaseManifest, LogLevel: "warn",
 		DatabaseFlags: []string{"--connections", fmt.Sprint(spareConnections + instances)},
 	})
@@ -116,39 +116,39 @@
 		return idleCost{}, err
 	}
 	defer func() { _ = d.Stop() }()
-	rest := c.Settle
+	restTime := c.Settle
 	if listed > 0 {
-		if err := listPhantoms(ctx, d, listed); err != nil {
+		if err := listPhantomInstances(ctx, d, listed); err != nil {
 			return idleCost{}, err
 		}
-		rest += listTime
+		restTime += listRefreshTime
 	}
-	if err := pause(ctx, rest); err != nil {
+	if err := sleep(ctx, restTime); err != nil {
 		return idleCost{}, err
 	}
 	return c.measure(ctx, d)
 }
 
-// listTime is the time after which every instance has read the platform's list.
-const listTime = 15 * time.Second
+// listRefreshTime is the time after which every instance has read the platform's list.
+const listRefreshTime = 15 * time.Second
 
-// listPhantoms puts names into the platform's list at whose addresses nothing
+// listPhantomInstances puts names into the platform's list at whose addresses nothing
 // listens.
-func listPhantoms(ctx context.Context, d *deploy.Deployment, count int) error {
-	const firstPort, ports = 1, 1000
+func listPhantomInstances(ctx context.Context, d *deploy.Deployment, count int) error {
+	const firstPort, portsPerAddress = 1, 1000
 	var listed []platform.Instance
 	for i := range count {
-		address := netip.AddrFrom4([4]byte{127, 0, 1, byte(1 + i/ports)})
+		address := netip.AddrFrom4([4]byte{127, 0, 1, byte(1 + i/portsPerAddress)})
 		listed = append(listed, platform.Instance{
 			ID: model.InstanceID(fmt.Sprintf("phantom-%d", i+1)), Zone: zones[i%len(zones)],
-			Peer: netip.AddrPortFrom(address, uint16(firstPort+i%ports)),
+			Peer: netip.AddrPortFrom(address, uint16(firstPort+i%portsPerAddress)),
 		})
 	}
 	body, err := json.Marshal(listed)
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	return send(ctx, http.MethodPut, fmt.Sprintf("http://%s/admin/instances", d.PlatformAddress), body)
+	return sendRequest(ctx, http.MethodPut, fmt.Sprintf("http://%s/admin/instances", d.PlatformAddress), body)
 }
 
 // -----------------------------------------------------------------------------
@@ -160,26 +160,26 @@
 	if err != nil {
 		return idleCost{}, err
 	}
-	if err := pause(ctx, c.Measure); err != nil {
+	if err := sleep(ctx, c.Measure); err != nil {
 		return idleCost{}, err
 	}
 	after, err := readTotals(ctx, d)
 	if err != nil {
 		return idleCost{}, err
 	}
-	const percent, mega = 100, 1 << 20
-	seconds := after.at.Sub(before.at).Seconds() * float64(len(d.Instances))
-	rate := func(name string) float64 { return float64(after.bytes[name]-before.bytes[name]) / seconds }
+	const percent, megabyte = 100, 1 << 20
+	instanceSeconds := after.takenAt.Sub(before.takenAt).Seconds() * float64(len(d.Instances))
+	rate := func(name string) float64 { return float64(after.bytes[name]-before.bytes[name]) / instanceSeconds }
 	return idleCost{
-		processor: percent * (after.processor - before.processor).Seconds() / seconds,
-		resident:  float64(after.resident) / mega / float64(len(d.Instances)),
-		peers:     rate("peers"), databases: rate("control"), platform: rate("platform"),
+		processorPercent: percent * (after.processor - before.processor).Seconds() / instanceSeconds,
+		residentMB:       float64(after.resident) / megabyte / float64(len(d.Instances)),
+		peerRate:         rate("peers"), databaseRate: rate("control"), platformRate: rate("platform"),
 	}, nil
 }
 
 // totals are counters summed up over all instances.
 type totals struct {
-	at        time.Time
+	takenAt   time.Time
 	processor time.Duration
 	resident  int64
 	// bytes holds the bytes sent and received, by map of counters.
@@ -187,9 +187,9 @@
 }
 
 func readTotals(ctx context.Context, d *deploy.Deployment) (totals, error) {
-	sum := totals{at: time.Now(), bytes: map[string]int64{}}
-	for _, in := range d.Instances {
-		processor, resident, err := in.Process.Usage()
+	sum := totals{takenAt: time.Now(), bytes: map[string]int64{}}
+	for _, instance := range d.Instances {
+		processor, resident, err := instance.Process.Usage()
 		if err != nil {
 			return sum, err
 		}
@@ -211,20 +211,20 @@
 
 // slopes fits a line through each cost of a series and returns the slopes.
 func slopes(points []point) idleCost {
-	fit := func(of func(idleCost) float64) float64 {
-		var numbers, costs []float64
+	fit := func(metric func(idleCost) float64) float64 {
+		var sizes, costs []float64
 		for _, p := range points {
-			numbers = append(numbers, p.number)
-			costs = append(costs, of(p.cost))
+			sizes = append(sizes, p.size)
+			costs = append(costs, metric(p.cost))
 		}
-		return slope(numbers, costs)
+		return slope(sizes, costs)
 	}
 	return idleCost{
-		processor: fit(func(c idleCost) float64 { return c.processor }),
-		resident:  fit(func(c idleCost) float64 { return c.resident }),
-		peers:     fit(func(c idleCost) float64 { return c.peers }),
-		databases: fit(func(c idleCost) float64 { return c.databases }),
-		platform:  fit(func(c idleCost) float64 { return c.platform }),
+		processorPercent: fit(func(c idleCost) float64 { return c.processorPercent }),
+		residentMB:       fit(func(c idleCost) float64 { return c.residentMB }),
+		peerRate:         fit(func(c idleCost) float64 { return c.peerRate }),
+		databaseRate:     fit(func(c idleCost) float64 { return c.databaseRate }),
+		platformRate:     fit(func(c idleCost) float64 { return c.platformRate }),
 	}
 }
 
--- a/internal/standin/drill/experiment_failover.go
+++ b/internal/standin/drill/experiment_failover.go
@@ -37,20 +37,20 @@
 
 // Run implements Experiment.
 func (f *Failover) Run(ctx context.Context, out io.Writer, binaries string) error {
-	row(out, "failover: %d times each, %d instances, %.0f writes/s and %.0f reads/s, fault after %s, load ends %s later",
+	writeRow(out, "failover: %d times each, %d instances, %.0f writes/s and %.0f reads/s, fault after %s, load ends %s later",
 		f.Times, f.Instances, f.Rate, f.Rate, f.Before, f.After)
-	row(out, "%-8s %5s %8s %8s %8s %6s %8s %7s %6s %8s %6s", "fault", "times", "median", "p99", "worst",
+	writeRow(out, "%-8s %5s %8s %8s %8s %6s %8s %7s %6s %8s %6s", "fault", "times", "median", "p99", "worst",
 		"acked", "unknown", "notrun", "lost", "doubled", "ghosts")
 	for _, fault := range f.Faults {
-		if err := f.runFault(ctx, out, binaries, fault); err != nil {
+		if err := f.runFaultSeries(ctx, out, binaries, fault); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// runFault repeats one fault and writes its line.
-func (f *Failover) runFault(ctx context.Context, out io.Writer, binaries, fault string) error {
+// runFaultSeries repeats one fault and writes its line.
+func (f *Failover) runFaultSeries(ctx context.Context, out io.Writer, binaries, fault string) error {
 	var gaps []time.Duration
 	var total load.Comparison
 	var unknown, notRun int64
@@ -68,23 +68,23 @@
 		notRun += report.Kinds["post"].NotRun
 	}
 	slices.Sort(gaps)
-	row(out, "%-8s %5d %8s %8s %8s %6d %8d %7d %6d %8d %6d", fault, len(gaps),
-		round(gaps[len(gaps)/2]), round(gaps[(len(gaps)-1)*99/100]), round(gaps[len(gaps)-1]),
+	writeRow(out, "%-8s %5d %8s %8s %8s %6d %8d %7d %6d %8d %6d", fault, len(gaps),
+		roundToMillisecond(gaps[len(gaps)/2]), roundToMillisecond(gaps[(len(gaps)-1)*99/100]), roundToMillisecond(gaps[len(gaps)-1]),
 		total.Acknowledged, unknown, notRun, total.Lost, total.Duplicated, total.UnexpectedlyCommitted)
 	return nil
 }
 
-func round(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
+func roundToMillisecond(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
 // runOnce measures one change of primary.
 func (f *Failover) runOnce(ctx context.Context, binaries, fault string, seed uint64) (load.Report, error) {
-	d, err := start(ctx, binaries, f.Instances)
+	d, err := startDeployment(ctx, binaries, f.Instances)
 	if err != nil {
 		return load.Report{}, err
 	}
 	defer func() { _ = d.Stop() }()
-	failed := make(chan error, 1)
-	timer := time.AfterFunc(f.Before, func() { failed <- strike(ctx, d, fault) })
+	faultResult := make(chan error, 1)
+	timer := time.AfterFunc(f.Before, func() { faultResult <- injectPrimaryFault(ctx, d, fault) })
 	defer timer.Stop()
 	report, err := load.Run(ctx, load.Options{
 		Addresses: callerAddresses(d), Group: group, User: "drill", Connections: 48,
@@ -97,28 +97,28 @@
 	if err != nil {
 		return report, err
 	}
-	f.keepLogs(d, report)
-	return report, <-failed
+	f.saveLogs(d, report)
+	return report, <-faultResult
 }
 
-// keepLogs writes the instances' log lines of a run with an outcome that needs
+// saveLogs writes the instances' log lines of a run with an outcome that needs
 // an explanation.
-func (f *Failover) keepLogs(d *deploy.Deployment, report load.Report) {
+func (f *Failover) saveLogs(d *deploy.Deployment, report load.Report) {
 	post := report.Kinds["post"]
 	if f.Logs == "" || post.Unknown+post.Failed == 0 {
 		return
 	}
-	for _, in := range d.Instances {
-		name := filepath.Join(f.Logs, in.Name+".log")
-		_ = os.WriteFile(name, []byte(strings.Join(in.Process.LogLines(), "\n")), 0o600)
+	for _, instance := range d.Instances {
+		name := filepath.Join(f.Logs, instance.Name+".log")
+		_ = os.WriteFile(name, []byte(strings.Join(instance.Process.LogLines(), "\n")), 0o600)
 	}
 }
 
 // callerAddresses returns where callers connect.
 func callerAddresses(d *deploy.Deployment) []netip.AddrPort {
 	var addresses []netip.AddrPort
-	for _, in := range d.Instances {
-		addresses = append(addresses, in.CallerAddress)
+	for _, instance := range d.Instances {
+		addresses = append(addresses, instance.CallerAddress)
 	}
 	return addresses
 }
@@ -132,8 +132,8 @@
 	return addresses
 }
 
-// strike lets the first database, which is the primary, fail.
-func strike(ctx context.Context, d *deploy.Deployment, fault string) error {
+// injectPrimaryFault lets the first database, which is the primary, fail.
+func injectPrimaryFault(ctx context.Context, d *deploy.Deployment, fault string) error {
 	primary := d.Databases[0]
 	switch fault {
 	case "kill":
@@ -142,34 +142,34 @@
 	case "freeze":
 		return primary.Process.Pause()
 	default:
-		return setFault(ctx, primary, database.FaultRequest{
+		return setDatabaseFault(ctx, primary, database.FaultRequest{
 			Fault: "isolate", From: []string{string(d.Databases[1].Name), string(d.Databases[2].Name)},
 		})
 	}
 }
 
-// setFault lets a fault happen at a database.
-func setFault(ctx context.Context, d *deploy.Database, fault database.FaultRequest) error {
+// setDatabaseFault lets a fault happen at a database.
+func setDatabaseFault(ctx context.Context, d *deploy.Database, fault database.FaultRequest) error {
 	body, err := json.Marshal(fault)
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	return send(ctx, http.MethodPost, fmt.Sprintf("http://%s/fault", d.AdminAddress), body)
+	return sendRequest(ctx, http.MethodPost, fmt.Sprintf("http://%s/fault", d.AdminAddress), body)
 }
 
-// send sends a request to a stand-in and wants the status 200 or 204.
-func send(ctx context.Context, method, url string, body []byte) error {
+// sendRequest sends a request to a stand-in and wants the status 200 or 204.
+func sendRequest(ctx context.Context, method, url string, body []byte) error {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	_ = answer.Body.Close()
-	if answer.StatusCode >= http.StatusMultipleChoices {
-		return &load.HTTPStatusError{URL: url, Status: answer.StatusCode}
+	_ = response.Body.Close()
+	if response.StatusCode >= http.StatusMultipleChoices {
+		return &load.HTTPStatusError{URL: url, Status: response.StatusCode}
 	}
 	return nil
 }
--- a/internal/standin/drill/experiment_flood.go
+++ b/internal/standin/drill/experiment_flood.go
@@ -26,14 +26,14 @@
 	Seconds   float64       `help:"Length of each run, in seconds." default:"5"`
 }
 
-// place holds the sizes of a deployment.
-type place struct {
+// deploymentSize holds the sizes of a deployment.
+type deploymentSize struct {
 	slots, connections int
 	zones              []model.ZoneID
 }
 
-// places lists the deployments whose sizes can be used.
-var places = map[string]place{
+// deploymentSizes lists the deployments whose sizes can be used.
+var deploymentSizes = map[string]deploymentSize{
 	"consortium": {slots: 3, connections: 20, zones: zones},
 	"reparto": {
 		slots: 2, connections: 30,
@@ -60,14 +60,14 @@
 
 // Run implements Experiment.
 func (f *Flood) Run(ctx context.Context, out io.Writer, binaries string) error {
-	p := places[f.Place]
-	capacity := float64(groupDatabases*p.slots) / f.Work.Seconds()
-	row(out, "flood: %s, %d instances, 3 databases of %d slots, work %s, capacity %.0f/s, %.0f s each",
-		f.Place, f.Instances, p.slots, f.Work, capacity, f.Seconds)
-	row(out, "%-6s %5s  %s", "flood", "load", "kind: offered, done, inside target, not run, median and 99th percentile of what was done")
+	size := deploymentSizes[f.Place]
+	capacity := float64(groupDatabases*size.slots) / f.Work.Seconds()
+	writeRow(out, "flood: %s, %d instances, 3 databases of %d slots, work %s, capacity %.0f/s, %.0f s each",
+		f.Place, f.Instances, size.slots, f.Work, capacity, f.Seconds)
+	writeRow(out, "%-6s %5s  %s", "flood", "load", "kind: offered, done, inside target, not run, median and 99th percentile of what was done")
 	for _, kind := range f.Floods {
-		for _, times := range f.Loads {
-			if err := f.runOnce(ctx, out, binaries, p, kind, capacity, times); err != nil {
+		for _, loadFactor := range f.Loads {
+			if err := f.runOnce(ctx, out, binaries, size, kind, capacity, loadFactor); err != nil {
 				return err
 			}
 		}
@@ -79,21 +79,21 @@
 const groupDatabases = 3
 
 // runOnce measures one load.
-func (f *Flood) runOnce(ctx context.Context, out io.Writer, binaries string, p place, flood string, capacity, times float64) error {
-	d, err := f.start(ctx, binaries, p)
+func (f *Flood) runOnce(ctx context.Context, out io.Writer, binaries string, size deploymentSize, floodingKind string, capacity, loadFactor float64) error {
+	d, err := f.startDeployment(ctx, binaries, size)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = d.Stop() }()
-	steady := 0.0
+	steadyShare := 0.0
 	for _, kind := range floodKinds {
-		steady += kind.part
+		steadyShare += kind.part
 	}
 	var kinds []load.Kind
 	for _, kind := range floodKinds {
 		rate := kind.part * capacity
-		if kind.name == flood {
-			rate += max(0, times-steady) * capacity
+		if kind.name == floodingKind {
+			rate += max(0, loadFactor-steadyShare) * capacity
 		}
 		kinds = append(kinds, load.Kind{Name: kind.name, Access: kind.access, Rate: rate, Target: kind.target, Deadline: kind.deadline})
 	}
@@ -102,7 +102,7 @@
 		Duration: time.Duration(f.Seconds * float64(time.Second)), StatementTimeout: 15 * time.Second, Seed: 1,
 		AdminAddresses: adminAddresses(d),
 	}
-	if err := f.warm(ctx, options); err != nil {
+	if err := f.warmUp(ctx, options); err != nil {
 		return err
 	}
 	report, err := load.Run(ctx, options)
@@ -111,18 +111,18 @@
 	}
 	var cells []string
 	for _, kind := range floodKinds {
-		r := report.Kinds[kind.name]
-		cells = append(cells, fmt.Sprintf("%s: %5d, %5d, %5.1f%%, %5d, %4.0f and %5.0f ms", kind.name, r.Offered, r.Done,
-			share(r.InTarget, r.Offered), r.NotRun, r.Latency.P50, r.Latency.P99))
+		kindReport := report.Kinds[kind.name]
+		cells = append(cells, fmt.Sprintf("%s: %5d, %5d, %5.1f%%, %5d, %4.0f and %5.0f ms", kind.name, kindReport.Offered, kindReport.Done,
+			percentage(kindReport.InTarget, kindReport.Offered), kindReport.NotRun, kindReport.Latency.P50, kindReport.Latency.P99))
 	}
-	row(out, "%-6s %5.1f  %s; lost %d, doubled %d, refused but held %d", flood, times, strings.Join(cells, " | "),
+	writeRow(out, "%-6s %5.1f  %s; lost %d, doubled %d, refused but held %d", floodingKind, loadFactor, strings.Join(cells, " | "),
 		report.Comparison.Lost, report.Comparison.Duplicated, report.Comparison.UnexpectedlyCommitted)
 	return nil
 }
 
-// warm offers a little work of each kind first, until the instances have met and
+// warmUp offers a little work of each kind first, until the instances have met and
 // have their connections.
-func (f *Flood) warm(ctx context.Context, options load.Options) error {
+func (f *Flood) warmUp(ctx context.Context, options load.Options) error {
 	options.Duration = f.Warm
 	options.AdminAddresses = nil
 	options.Kinds = slices.Clone(options.Kinds)
@@ -134,16 +134,16 @@
 	return err
 }
 
-// start starts a deployment of the place's sizes.
-func (f *Flood) start(ctx context.Context, binaries string, p place) (*deploy.Deployment, error) {
-	ctx, cancel := context.WithTimeout(ctx, startTime)
+// startDeployment starts a deployment of the place's sizes.
+func (f *Flood) startDeployment(ctx context.Context, binaries string, size deploymentSize) (*deploy.Deployment, error) {
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	head := strings.Replace(deploy.BaseManifest, "slots = 3\nconnections = 20",
-		fmt.Sprintf("slots = %d\nconnections = %d", p.slots, p.connections), 1)
+	baseManifest := strings.Replace(deploy.BaseManifest, "slots = 3\nconnections = 20",
+		fmt.Sprintf("slots = %d\nconnections = %d", size.slots, size.connections), 1)
 	return deploy.Start(ctx, deploy.Options{
-		Binaries: binaries, Zones: p.zones, Groups: []model.GroupID{group}, Instances: f.Instances,
-		BaseManifest: head, LogLevel: "warn", DatabaseFlags: []string{
-			"--slots", fmt.Sprint(p.slots), "--connections", fmt.Sprint(p.connections), "--work", f.Work.String(),
+		Binaries: binaries, Zones: size.zones, Groups: []model.GroupID{group}, Instances: f.Instances,
+		BaseManifest: baseManifest, LogLevel: "warn", DatabaseFlags: []string{
+			"--slots", fmt.Sprint(size.slots), "--connections", fmt.Sprint(size.connections), "--work", f.Work.String(),
 		},
 	})
 }
--- a/internal/standin/drill/experiment_idle.go
+++ b/internal/standin/drill/experiment_idle.go
@@ -17,46 +17,46 @@
 	Steps []int `help:"Numbers of connections." default:"0,1000,2500,5000"`
 }
 
-// settleTime lets an instance's garbage collector run before memory is read.
-const settleTime = 8 * time.Second
+// collectTime lets an instance's garbage collector run before memory is read.
+const collectTime = 8 * time.Second
 
 // Run implements Experiment.
 func (i *Idle) Run(ctx context.Context, out io.Writer, binaries string) error {
-	d, err := start(ctx, binaries, 1)
+	d, err := startDeployment(ctx, binaries, 1)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = d.Stop() }()
-	row(out, "idle: resident memory of one instance, each connection after one read")
-	row(out, "%11s %12s %18s", "connections", "resident MB", "KB a connection")
-	var open []*pgx.Conn
+	writeRow(out, "idle: resident memory of one instance, each connection after one read")
+	writeRow(out, "%11s %12s %18s", "connections", "resident MB", "KB a connection")
+	var conns []*pgx.Conn
 	defer func() {
-		for _, conn := range open {
+		for _, conn := range conns {
 			_ = conn.Close(ctx)
 		}
 	}()
-	var base int64
+	var baseline int64
 	for _, count := range i.Steps {
-		for len(open) < count {
+		for len(conns) < count {
 			conn, err := connectIdle(ctx, d)
 			if err != nil {
 				return err
 			}
-			open = append(open, conn)
+			conns = append(conns, conn)
 		}
-		if err := pause(ctx, settleTime); err != nil {
+		if err := sleep(ctx, collectTime); err != nil {
 			return err
 		}
 		_, resident, err := d.Instances[0].Process.Usage()
 		if err != nil {
 			return err
 		}
-		if base == 0 {
-			base = resident
+		if baseline == 0 {
+			baseline = resident
 		}
-		const kilo, mega = 1 << 10, 1 << 20
-		each := float64(resident-base) / kilo / float64(max(1, count))
-		row(out, "%11d %12.1f %18.1f", count, float64(resident)/mega, each)
+		const kilobyte, megabyte = 1 << 10, 1 << 20
+		perConnection := float64(resident-baseline) / kilobyte / float64(max(1, count))
+		writeRow(out, "%11d %12.1f %18.1f", count, float64(resident)/megabyte, perConnection)
 	}
 	return nil
 }
@@ -76,8 +76,8 @@
 	return conn, nil
 }
 
-// pause waits, or until the context ends.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits, or until the context ends.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
--- a/internal/standin/drill/experiment_manifest.go
+++ b/internal/standin/drill/experiment_manifest.go
@@ -28,50 +28,50 @@
 
 // Run implements Experiment.
 func (m *Manifest) Run(ctx context.Context, out io.Writer, binaries string) error {
-	d, err := start(ctx, binaries, m.Instances)
+	d, err := startDeployment(ctx, binaries, m.Instances)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = d.Stop() }()
-	row(out, "manifest: %d instances, %d submissions in each state of the platform, from acceptance to in force on all",
+	writeRow(out, "manifest: %d instances, %d submissions in each state of the platform, from acceptance to in force on all",
 		m.Instances, m.Times)
-	row(out, "%-9s %9s %9s", "platform", "median", "worst")
+	writeRow(out, "%-9s %9s %9s", "platform", "median", "worst")
 	number := 1
 	for _, state := range manifestStates {
 		var times []time.Duration
 		for range m.Times {
-			took, err := m.submit(ctx, d, number, state.before, state.after)
+			elapsed, err := m.measureSubmission(ctx, d, number, state.before, state.after)
 			if err != nil {
 				return err
 			}
 			number++
-			times = append(times, took)
+			times = append(times, elapsed)
 		}
 		slices.Sort(times)
-		row(out, "%-9s %9s %9s", state.name, round(times[len(times)/2]), round(times[len(times)-1]))
+		writeRow(out, "%-9s %9s %9s", state.name, roundToMillisecond(times[len(times)/2]), roundToMillisecond(times[len(times)-1]))
 	}
-	return setPlatform(ctx, d, `{"fault":"none"}`)
+	return setPlatformFault(ctx, d, `{"fault":"none"}`)
 }
 
-// submit submits one manifest and waits until it is in force on all instances.
-func (m *Manifest) submit(ctx context.Context, d *deploy.Deployment, number int, before, after string) (time.Duration, error) {
-	if err := setPlatform(ctx, d, before); err != nil {
+// measureSubmission submits one manifest and waits until it is in force on all instances.
+func (m *Manifest) measureSubmission(ctx context.Context, d *deploy.Deployment, number int, faultBefore, faultAfter string) (time.Duration, error) {
+	if err := setPlatformFault(ctx, d, faultBefore); err != nil {
 		return 0, err
 	}
 	text := fmt.Sprintf("# change %d\n%s", number, d.ManifestText())
 	if _, err := d.SubmitManifest(ctx, d.Instances[number%len(d.Instances)], text, number); err != nil {
 		return 0, err
 	}
-	accepted := time.Now()
-	if err := setPlatform(ctx, d, after); err != nil {
+	acceptedAt := time.Now()
+	if err := setPlatformFault(ctx, d, faultAfter); err != nil {
 		return 0, err
 	}
-	want := uint64(number + 1)
-	for _, in := range d.Instances {
+	wantedNumber := uint64(number + 1)
+	for _, instance := range d.Instances {
 		err := deploy.Retry(ctx, func() error {
-			report, err := d.Status(ctx, in)
-			if err == nil && report.ManifestNumber < want {
-				err = &deploy.ProcessError{Name: in.Name, Reason: "has an older manifest"}
+			report, err := d.Status(ctx, instance)
+			if err == nil && report.ManifestNumber < wantedNumber {
+				err = &deploy.ProcessError{Name: instance.Name, Reason: "has an older manifest"}
 			}
 			return err
 		})
@@ -79,10 +79,10 @@
 			return 0, err
 		}
 	}
-	return time.Since(accepted), nil
+	return time.Since(acceptedAt), nil
 }
 
-// setPlatform lets a fault happen at the platform.
-func setPlatform(ctx context.Context, d *deploy.Deployment, fault string) error {
-	return send(ctx, http.MethodPost, fmt.Sprintf("http://%s/admin/fault", d.PlatformAddress), []byte(fault))
+// setPlatformFault lets a fault happen at the platform.
+func setPlatformFault(ctx context.Context, d *deploy.Deployment, fault string) error {
+	return sendRequest(ctx, http.MethodPost, fmt.Sprintf("http://%s/admin/fault", d.PlatformAddress), []byte(fault))
 }
--- a/internal/standin/drill/experiment_overhead.go
+++ b/internal/standin/drill/experiment_overhead.go
@@ -23,12 +23,12 @@
 
 // Run implements Experiment.
 func (o *Overhead) Run(ctx context.Context, out io.Writer, binaries string) error {
-	row(out, "overhead: reads by key, database work %s, %.0f s each, closed loop, one instance", o.Work, o.Seconds)
-	row(out, "direct: all connections to the one primary; through: the instance, which sends reads to the two replicas;")
-	row(out, "limits: 64 slots and 200 connections a database, so that neither is the bound; cpu: processor time of the instance")
-	row(out, "%11s %12s %12s %6s %12s %12s %10s %12s", "connections", "direct /s", "through /s", "ratio",
+	writeRow(out, "overhead: reads by key, database work %s, %.0f s each, closed loop, one instance", o.Work, o.Seconds)
+	writeRow(out, "direct: all connections to the one primary; through: the instance, which sends reads to the two replicas;")
+	writeRow(out, "limits: 64 slots and 200 connections a database, so that neither is the bound; cpu: processor time of the instance")
+	writeRow(out, "%11s %12s %12s %6s %12s %12s %10s %12s", "connections", "direct /s", "through /s", "ratio",
 		"direct p50", "through p50", "added us", "cpu us each")
-	d, err := startWith(ctx, binaries, wideManifest, 1, "--work", o.Work, "--slots", "64", "--connections", "200", "--lag", "0s")
+	d, err := startDeploymentWith(ctx, binaries, wideManifest, 1, "--work", o.Work, "--slots", "64", "--connections", "200", "--lag", "0s")
 	if err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 	if err != nil {
 		return err
 	}
-	before, _, err := d.Instances[0].Process.Usage()
+	processorBefore, _, err := d.Instances[0].Process.Usage()
 	if err != nil {
 		return err
 	}
@@ -57,22 +57,22 @@
 	if err != nil {
 		return err
 	}
-	after, _, err := d.Instances[0].Process.Usage()
+	processorAfter, _, err := d.Instances[0].Process.Usage()
 	if err != nil {
 		return err
 	}
-	a, b := direct.Kinds["check"], through.Kinds["check"]
-	const micro = 1000
-	served := b.Rate * o.Seconds
-	row(out, "%11d %12.0f %12.0f %6.2f %10.3fms %10.3fms %10.0f %12.1f", connections, a.Rate, b.Rate, b.Rate/a.Rate,
-		a.Latency.P50, b.Latency.P50, micro*(b.Latency.P50-a.Latency.P50), float64((after-before).Microseconds())/served)
+	directKind, throughKind := direct.Kinds["check"], through.Kinds["check"]
+	const microsPerMilli = 1000
+	served := throughKind.Rate * o.Seconds
+	writeRow(out, "%11d %12.0f %12.0f %6.2f %10.3fms %10.3fms %10.0f %12.1f", connections, directKind.Rate, throughKind.Rate, throughKind.Rate/directKind.Rate,
+		directKind.Latency.P50, throughKind.Latency.P50, microsPerMilli*(throughKind.Latency.P50-directKind.Latency.P50), float64((processorAfter-processorBefore).Microseconds())/served)
 	return nil
 }
 
 // measure reads in a closed loop.
-func (o *Overhead) measure(ctx context.Context, to netip.AddrPort, connections int, direct bool) (load.Report, error) {
+func (o *Overhead) measure(ctx context.Context, address netip.AddrPort, connections int, direct bool) (load.Report, error) {
 	return load.Run(ctx, load.Options{
-		Addresses: []netip.AddrPort{to}, Group: group, User: "drill", Connections: connections, ClosedLoop: true, Direct: direct,
+		Addresses: []netip.AddrPort{address}, Group: group, User: "drill", Connections: connections, ClosedLoop: true, Direct: direct,
 		Kinds:    []load.Kind{{Name: "check", Access: model.AccessRead, Rate: 1}},
 		Duration: time.Duration(o.Seconds * float64(time.Second)), StatementTimeout: 15 * time.Second, Seed: 1,
 	})
--- a/internal/standin/drill/experiment_replicas.go
+++ b/internal/standin/drill/experiment_replicas.go
@@ -23,12 +23,12 @@
 
 // Run implements Experiment.
 func (r *Replicas) Run(ctx context.Context, out io.Writer, binaries string) error {
-	row(out, "replicas: %d instances, %.0f reads/s and %.0f writes/s by roaming sessions, %.0f s each",
+	writeRow(out, "replicas: %d instances, %.0f reads/s and %.0f writes/s by roaming sessions, %.0f s each",
 		r.Instances, r.Reads, r.Writes, r.Seconds)
-	row(out, "%-6s %-22s %7s %9s %9s %9s %7s %11s", "lag", "kind", "reads", "replicas", "p50 ms", "p99 ms", "checks", "violations")
+	writeRow(out, "%-6s %-22s %7s %9s %9s %9s %7s %11s", "lag", "kind", "reads", "replicas", "p50 ms", "p99 ms", "checks", "violations")
 	for _, lag := range r.Lags {
 		for _, kind := range replicaKinds {
-			if err := r.runLag(ctx, out, binaries, lag, kind.name, kind.help); err != nil {
+			if err := r.measureLag(ctx, out, binaries, lag, kind.name, kind.help); err != nil {
 				return err
 			}
 		}
@@ -42,8 +42,8 @@
 	{"pull", "bears 10 s"},
 }
 
-func (r *Replicas) runLag(ctx context.Context, out io.Writer, binaries string, lag time.Duration, kind, help string) error {
-	d, err := start(ctx, binaries, r.Instances, "--lag", lag.String())
+func (r *Replicas) measureLag(ctx context.Context, out io.Writer, binaries string, lag time.Duration, kind, staleness string) error {
+	d, err := startDeployment(ctx, binaries, r.Instances, "--lag", lag.String())
 	if err != nil {
 		return err
 	}
@@ -64,14 +64,14 @@
 		return err
 	}
 	reads := counts["replica"] + counts["primary"]
-	row(out, "%-6s %-22s %7d %9s %9.2f %9.2f %7d %11d", lag, kind+", "+help, reads, fmt.Sprintf("%.1f%%", share(counts["replica"], reads)),
+	writeRow(out, "%-6s %-22s %7d %9s %9.2f %9.2f %7d %11d", lag, kind+", "+staleness, reads, fmt.Sprintf("%.1f%%", percentage(counts["replica"], reads)),
 		report.Kinds[kind].Latency.P50, report.Kinds[kind].Latency.P99,
 		report.Check.Checks, report.Check.Violations)
 	return nil
 }
 
-// share returns part of whole in percent.
-func share(part, whole int64) float64 {
+// percentage returns part of whole in percent.
+func percentage(part, whole int64) float64 {
 	const percent = 100
 	if whole == 0 {
 		return 0
--- a/internal/standin/flood/arrivals.go
+++ b/internal/standin/flood/arrivals.go
@@ -10,56 +10,59 @@
 // -----------------------------------------------------------------------------
 // Arrivals.
 
-// arrive plans the next arrival of a rank.
-func (sim *simulation) arrive(r model.Rank) {
-	gap := sim.random.ExpFloat64() / sim.scenario.arrivals(r, sim.isFlooding())
-	wait := time.Duration(gap * float64(time.Second))
-	// The rate changes when the flood begins or ends; the process has no
-	// memory, so that it may be drawn anew there.
-	for _, change := range []time.Duration{floodStart, floodEnd} {
-		if sim.now < change && sim.now+wait > change {
-			sim.after(change-sim.now, func() { sim.arrive(r) })
+// scheduleArrival schedules the next arrival of a rank, after an exponentially
+// distributed time.
+func (sim *simulation) scheduleArrival(r model.Rank) {
+	gapSeconds := sim.random.ExpFloat64() / sim.scenario.arrivalRate(r, sim.isFlooding())
+	wait := time.Duration(gapSeconds * float64(time.Second))
+	// The rate changes when the flood begins or ends. A Poisson process is
+	// memoryless, so the next arrival can be drawn again at that moment.
+	for _, rateChange := range []time.Duration{floodStart, floodEnd} {
+		if sim.now < rateChange && sim.now+wait > rateChange {
+			sim.scheduleAfter(rateChange-sim.now, func() { sim.scheduleArrival(r) })
 			return
 		}
 	}
-	sim.after(wait, func() {
-		sim.offer(r)
-		sim.arrive(r)
+	sim.scheduleAfter(wait, func() {
+		sim.generateRequest(r)
+		sim.scheduleArrival(r)
 	})
 }
 
-// offer lets one request arrive.
-func (sim *simulation) offer(r model.Rank) {
-	sim.next++
+// generateRequest creates one request of a rank and enqueues it at a random
+// instance that has not crashed, or at the first one where the flood has a
+// single ingress.
+func (sim *simulation) generateRequest(r model.Rank) {
+	sim.lastRequestID++
 	access := model.AccessRead
 	if sim.random.Float64() < writeShare {
 		access = model.AccessWrite
 	}
-	service := time.Duration((0.5 + 0.5*sim.random.ExpFloat64()) * float64(loads[r].mean))
-	req := &request{id: sim.next, rank: r, access: access, arrived: sim.now, service: service}
-	at := sim.instances[sim.random.IntN(len(sim.instances))]
-	for at.down {
-		at = sim.instances[sim.random.IntN(len(sim.instances))]
+	serviceTime := time.Duration((0.5 + 0.5*sim.random.ExpFloat64()) * float64(rankLoads[r].meanServiceTime))
+	req := &request{id: sim.lastRequestID, rank: r, access: access, arrivedAt: sim.now, serviceTime: serviceTime}
+	ingress := sim.instances[sim.random.IntN(len(sim.instances))]
+	for ingress.crashed {
+		ingress = sim.instances[sim.random.IntN(len(sim.instances))]
 	}
 	if sim.scenario.SingleIngress && sim.isFlooding() && r == sim.scenario.Rank {
-		at = sim.instances[0]
+		ingress = sim.instances[0]
 	}
-	sim.bins[r][sim.now/binTime].offered++
+	sim.bins[r][sim.now/binWidth].offered++
 	kind := sim.manifest.Ranks[r].Name + "-" + access.String()
-	var limit time.Duration
-	for _, k := range sim.manifest.Kinds {
-		if k.Name == kind {
-			limit = k.Deadline
+	var deadline time.Duration
+	for _, declared := range sim.manifest.Kinds {
+		if declared.Name == kind {
+			deadline = declared.Deadline
 		}
 	}
 	work := rank.Work{
 		Request: req.id, Group: "group", Rank: r, Caller: model.CallerID(rune('A' + sim.random.IntN(20))), Kind: kind,
-		Arrived: sim.clock(), Deadline: sim.clock().Add(limit),
+		Arrived: sim.clock(), Deadline: sim.clock().Add(deadline),
 	}
-	if _, ok := at.schedule.Enqueue(sim.clock(), work); !ok {
-		sim.end(req, outcomeRefused)
+	if _, ok := ingress.scheduler.Enqueue(sim.clock(), work); !ok {
+		sim.recordOutcome(req, outcomeRefused)
 		return
 	}
-	at.requests[req.id] = req
-	sim.step(at)
+	ingress.requests[req.id] = req
+	sim.runScheduler(ingress)
 }
--- a/internal/standin/flood/baseline.go
+++ b/internal/standin/flood/baseline.go
@@ -9,117 +9,121 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/rank"
 )
 
-// baseline is a first-come-first-served pool that has the same number of
-// connections to each database on every instance, at least one, and refuses
-// nothing.
+// baseline is a first-come-first-served pool. Each instance has the same fixed
+// number of connections to each database, at least one. The pool rejects no work.
 type baseline struct {
-	slots   int
-	waiting []rank.Work
-	running map[model.RequestID]run
-	busy    map[model.DatabaseID]int
-	swept   time.Time
+	slotsPerDatabase int
+	queue            []rank.Work
+	running          map[model.RequestID]runningRequest
+	busySlots        map[model.DatabaseID]int
+	lastExpiryCheck  time.Time
 }
 
-// sweepTime is the time between two looks for expired work.
-const sweepTime = 20 * time.Millisecond
+// expiryInterval is the time between two checks for expired work.
+const expiryInterval = 20 * time.Millisecond
 
-type run struct {
+// runningRequest is a request that holds a slot of a database.
+type runningRequest struct {
 	work     rank.Work
 	database model.DatabaseID
 }
 
 func newBaseline(m *manifest.Manifest, instances int) *baseline {
 	return &baseline{
-		slots:   max(1, m.Limits.MaxConcurrentStatements/instances),
-		running: map[model.RequestID]run{},
-		busy:    map[model.DatabaseID]int{},
+		slotsPerDatabase: max(1, m.Limits.MaxConcurrentStatements/instances),
+		running:          map[model.RequestID]runningRequest{},
+		busySlots:        map[model.DatabaseID]int{},
 	}
 }
 
-// Enqueue takes everything in.
+// Enqueue appends work to the queue. It never rejects any.
 func (b *baseline) Enqueue(_ time.Time, work rank.Work) (rank.Refusal, bool) {
-	b.waiting = append(b.waiting, work)
+	b.queue = append(b.queue, work)
 	return rank.Refusal{}, true
 }
 
-// Requeue puts a request at the end of the queue.
-func (b *baseline) Requeue(now time.Time, request model.RequestID, ending rank.SlotCompletion) {
+// Requeue frees the slot of a request and puts it back at the end of the queue.
+func (b *baseline) Requeue(now time.Time, request model.RequestID, completion rank.SlotCompletion) {
 	work := b.running[request].work
-	b.Finish(now, request, ending)
-	b.waiting = append(b.waiting, work)
+	b.Finish(now, request, completion)
+	b.queue = append(b.queue, work)
 }
 
-// TakeExpired drops what has passed its deadline.
+// TakeExpired removes the queued requests whose deadline has passed and returns
+// their IDs.
 func (b *baseline) TakeExpired(now time.Time) []model.RequestID {
-	if now.Sub(b.swept) < sweepTime {
+	if now.Sub(b.lastExpiryCheck) < expiryInterval {
 		return nil
 	}
-	b.swept = now
-	var gone []model.RequestID
-	kept := b.waiting[:0]
-	for _, work := range b.waiting {
+	b.lastExpiryCheck = now
+	var expired []model.RequestID
+	remaining := b.queue[:0]
+	for _, work := range b.queue {
 		if now.Before(work.Deadline) {
-			kept = append(kept, work)
+			remaining = append(remaining, work)
 			continue
 		}
-		gone = append(gone, work.Request)
+		expired = append(expired, work.Request)
 	}
-	b.waiting = kept
-	return gone
+	b.queue = remaining
+	return expired
 }
 
-// AssignSlots starts work in the order of arrival. It stops looking once all
-// databases are busy.
+// AssignSlots assigns free slots to queued work in the order of arrival, until all
+// slots of this instance are in use.
 func (b *baseline) AssignSlots(_ time.Time, candidates rank.Candidates) []rank.SlotAssignment {
-	var grants []rank.SlotAssignment
-	if b.isFull() {
+	var assignments []rank.SlotAssignment
+	if b.allDatabasesBusy() {
 		return nil
 	}
-	kept := b.waiting[:0]
-	for i, work := range b.waiting {
-		if b.isFull() {
-			kept = append(kept, b.waiting[i:]...)
+	remaining := b.queue[:0]
+	for i, work := range b.queue {
+		if b.allDatabasesBusy() {
+			remaining = append(remaining, b.queue[i:]...)
 			break
 		}
-		database, found := b.free(candidates(work))
+		database, found := b.findFreeDatabase(candidates(work))
 		if !found {
-			kept = append(kept, work)
+			remaining = append(remaining, work)
 			continue
 		}
-		b.busy[database]++
-		b.running[work.Request] = run{work: work, database: database}
-		grants = append(grants, rank.SlotAssignment{Request: work.Request, Database: database})
+		b.busySlots[database]++
+		b.running[work.Request] = runningRequest{work: work, database: database}
+		assignments = append(assignments, rank.SlotAssignment{Request: work.Request, Database: database})
 	}
-	b.waiting = kept
-	return grants
+	b.queue = remaining
+	return assignments
 }
 
-func (b *baseline) isFull() bool {
+// allDatabasesBusy reports whether this instance uses all its slots of every
+// database.
+func (b *baseline) allDatabasesBusy() bool {
 	for i := range Consortium.Databases {
-		if b.busy[databaseName(i)] < b.slots {
+		if b.busySlots[databaseName(i)] < b.slotsPerDatabase {
 			return false
 		}
 	}
 	return true
 }
 
-func (b *baseline) free(databases []model.DatabaseID) (model.DatabaseID, bool) {
+// findFreeDatabase returns the first of the databases that has a free slot.
+func (b *baseline) findFreeDatabase(databases []model.DatabaseID) (model.DatabaseID, bool) {
 	for _, database := range databases {
-		if b.busy[database] < b.slots {
+		if b.busySlots[database] < b.slotsPerDatabase {
 			return database, true
 		}
 	}
 	return "", false
 }
 
-// Finish frees a slot.
+// Finish frees the slot of a request.
 func (b *baseline) Finish(_ time.Time, request model.RequestID, _ rank.SlotCompletion) {
-	b.busy[b.running[request].database]--
+	b.busySlots[b.running[request].database]--
 	delete(b.running, request)
 }
 
-// HandlePeerMessage hears nothing.
+// HandlePeerMessage ignores all messages, since shares are fixed.
 func (b *baseline) HandlePeerMessage(time.Time, model.InstanceID, message.PeerMessage) {}
 
-// TakeMessages says nothing.
+// TakeMessages returns no messages, since shares are fixed.
 func (b *baseline) TakeMessages(time.Time) []message.SendPeer { return nil }
--- a/internal/standin/flood/databases.go
+++ b/internal/standin/flood/databases.go
@@ -9,69 +9,74 @@
 // -----------------------------------------------------------------------------
 // Databases.
 
-// failTime is how soon a failing database answers.
-const failTime = time.Millisecond
+// errorResponseTime is the time that a database takes to answer with an error.
+const errorResponseTime = time.Millisecond
 
-// receive lets a request run, or wait in line for a slot.
-func (sim *simulation) receive(d *database, j job) {
-	if d.busy >= sim.scenario.Topology.Slots {
-		d.line = append(d.line, j)
+// startOrQueue starts a request that has reached a database, or queues it where
+// all slots of the database are in use.
+func (sim *simulation) startOrQueue(d *database, j job) {
+	if d.busySlots >= sim.scenario.Topology.Slots {
+		d.queue = append(d.queue, j)
 		return
 	}
-	d.busy++
-	failed := d.failing > 0 && sim.random.Float64() < d.failing
-	took := time.Duration(float64(j.req.service) * d.slow)
+	d.busySlots++
+	failed := d.errorShare > 0 && sim.random.Float64() < d.errorShare
+	serviceTime := time.Duration(float64(j.request.serviceTime) * d.slowFactor)
 	if failed {
-		took = failTime
+		serviceTime = errorResponseTime
 	}
-	sim.after(took, func() { sim.answer(d, j, failed) })
+	sim.scheduleAfter(serviceTime, func() { sim.completeService(d, j, failed) })
 }
 
-// answer ends a request at the database and carries the answer back.
-func (sim *simulation) answer(d *database, j job, failed bool) {
-	d.busy--
-	if len(d.line) > 0 {
-		next := d.line[0]
-		d.line = d.line[1:]
-		sim.receive(d, next)
+// completeService frees the slot of a request, starts the next queued one and sends
+// the response back to the instance.
+func (sim *simulation) completeService(d *database, j job, failed bool) {
+	d.busySlots--
+	if len(d.queue) > 0 {
+		next := d.queue[0]
+		d.queue = d.queue[1:]
+		sim.startOrQueue(d, next)
 	}
-	sim.after(sim.delay(d.zone, j.from.zone), func() {
-		d.inUse--
-		sim.answered(j, failed)
+	sim.scheduleAfter(sim.delay(d.zone, j.instance.zone), func() {
+		d.outstanding--
+		sim.handleResponse(j, failed)
 	})
 }
 
-// maxTries bounds the tries of a request that a database fails.
-const maxTries = 3
+// maxAttempts is the maximum number of attempts for a request that a database
+// answers with an error.
+const maxAttempts = 3
 
-// answered takes an answer in at the instance.
-func (sim *simulation) answered(j job, failed bool) {
-	if j.from.down {
-		sim.end(j.req, outcomeFailed)
+// handleResponse handles the response to a request at the instance that sent it:
+// the request ends, or is queued again after an error.
+func (sim *simulation) handleResponse(j job, failed bool) {
+	if j.instance.crashed {
+		sim.recordOutcome(j.request, outcomeFailed)
 		return
 	}
-	j.req.tries++
-	ending := rank.SlotCompletion{Elapsed: sim.now - j.req.sent, Failed: failed}
-	if sim.now >= sim.scenario.countedFrom() && sim.now < floodEnd {
-		sim.held[j.req.rank] += sim.now - j.req.sent
+	j.request.attempts++
+	completion := rank.SlotCompletion{Elapsed: sim.now - j.request.sentAt, Failed: failed}
+	if sim.now >= sim.scenario.measurementStart() && sim.now < floodEnd {
+		sim.slotTime[j.request.rank] += sim.now - j.request.sentAt
 	}
 	switch {
-	case failed && j.req.tries < maxTries && sim.mayRetry(j.from):
-		j.from.schedule.Requeue(sim.clock(), j.req.id, ending)
+	case failed && j.request.attempts < maxAttempts && sim.mayRetry(j.instance):
+		j.instance.scheduler.Requeue(sim.clock(), j.request.id, completion)
 	case failed:
-		j.from.schedule.Finish(sim.clock(), j.req.id, ending)
-		delete(j.from.requests, j.req.id)
-		sim.end(j.req, outcomeFailed)
+		j.instance.scheduler.Finish(sim.clock(), j.request.id, completion)
+		delete(j.instance.requests, j.request.id)
+		sim.recordOutcome(j.request, outcomeFailed)
 	default:
-		j.from.schedule.Finish(sim.clock(), j.req.id, ending)
-		delete(j.from.requests, j.req.id)
-		sim.end(j.req, outcomeServed)
+		j.instance.scheduler.Finish(sim.clock(), j.request.id, completion)
+		delete(j.instance.requests, j.request.id)
+		sim.recordOutcome(j.request, outcomeServed)
 	}
-	sim.step(j.from)
+	sim.runScheduler(j.instance)
 }
 
-// mayRetry asks the instance's retry budget; the baseline has none.
+// mayRetry takes one retry from the instance's retry budget and reports whether one
+// was available. The baseline has no budget and may always retry.
 func (sim *simulation) mayRetry(i *instance) bool {
-	s, ok := i.schedule.(*rank.Scheduler)
+	s, ok := i.scheduler.(*rank.Scheduler)
 	return !ok || s.TakeRetry(sim.clock(), "group")
 }
--- a/internal/standin/flood/flood.go
+++ b/internal/standin/flood/flood.go
@@ -1,24 +1,24 @@
-// Package flood measures how schedulers of many instances act together when one
-// rank of work floods in, on virtual time.
+// Package flood simulates, on virtual time, how the schedulers of several instances
+// behave together while one rank sends far more work than the databases can serve.
 //
 // # What flows in and out
 //
-// A Scenario flows in: a deployment's size, a rank that floods, how far the
-// offered work is above what the databases serve, and what is wrong with a
-// database. One group is simulated, since groups share nothing. Requests arrive
-// by a Poisson process of a fixed seed at the instances, each of which runs the
-// scheduler of core/rank (or the baseline, a first-come-first-served pool with
-// fixed equal shares). Messages between instances and to databases take the
-// one-way delay between availability zones. A Result flows out: what each rank
-// got. The same scenario gives the same result on every run.
+// A Scenario flows in: the topology of a deployment, the rank that floods, the
+// offered work as a fraction of what the databases can serve, and the faults of a
+// database or of peers. One group is simulated, since groups share nothing. Requests
+// arrive at the instances by a Poisson process with a fixed seed. Each instance runs
+// the scheduler of core/rank, or the baseline: a first-come-first-served pool with
+// fixed equal shares. Messages between instances and to databases take the one-way
+// delay between availability zones. A Result flows out: what each rank got. The same
+// scenario gives the same result on every run.
 //
-// The package is no cluster simulator: there are no sessions, positions,
-// failovers or connections, only slots, delays and service times.
+// The simulation has slots, delays and service times only. It has no sessions,
+// positions, failovers or connections.
 //
 // # Usage
 //
-//	result := flood.Run(flood.Scenario{Place: flood.Consortium, Way: flood.Leases, Rank: 2, Load: 10, Seed: 1})
-//	fmt.Println(result.Ranks[0].Inside())
+//	result := flood.Run(flood.Scenario{Topology: flood.Consortium, Scheduler: flood.Leases, Rank: 2, Load: 10, Seed: 1})
+//	fmt.Println(result.Ranks[0].InTargetShare())
 package flood
 
 import (
@@ -31,7 +31,8 @@
 // -----------------------------------------------------------------------------
 // Sizes.
 
-// Topology is the size of a deployment.
+// Topology is the size of a deployment: the numbers of availability zones, instances
+// and databases, and the slots and connections of each database.
 type Topology struct {
 	Name        string
 	Zones       int
@@ -43,10 +44,10 @@
 	Delay time.Duration
 }
 
-// nearDelay is the one-way delay inside an availability zone.
-const nearDelay = 200 * time.Microsecond
+// intraZoneDelay is the one-way delay within an availability zone.
+const intraZoneDelay = 200 * time.Microsecond
 
-// The deployments of today.
+// The topologies of the deployments that are in use.
 var (
 	Consortium = Topology{
 		Name: "handicap-db", Zones: 3, Instances: 6, Databases: 3, Slots: 3, Connections: 20,
@@ -58,39 +59,40 @@
 	}
 )
 
-// rankLoad is how one rank behaves: its share of the offered slot-time when
-// nothing floods, and the slot-time of one request.
+// rankLoad describes the load of one rank: its share of the offered slot-time outside
+// the flood, and the mean service time of one request.
 type rankLoad struct {
-	share float64
-	mean  time.Duration
+	slotTimeShare   float64
+	meanServiceTime time.Duration
 }
 
-// loads has one entry for each rank of Manifest. A third of each rank's
-// slot-time is writes, so that the primary is no narrower than the replicas.
-var loads = []rankLoad{
-	{share: 0.2, mean: 8 * time.Millisecond},
-	{share: 0.5, mean: 5 * time.Millisecond},
-	{share: 0.3, mean: 20 * time.Millisecond},
+// rankLoads has one entry for each rank of Manifest. A third of each rank's slot-time
+// is writes, so that the primary is loaded no more than each replica.
+var rankLoads = []rankLoad{
+	{slotTimeShare: 0.2, meanServiceTime: 8 * time.Millisecond},
+	{slotTimeShare: 0.5, meanServiceTime: 5 * time.Millisecond},
+	{slotTimeShare: 0.3, meanServiceTime: 20 * time.Millisecond},
 }
 
-// writeShare is the part of the requests that go to the primary.
+// writeShare is the fraction of requests that are writes and go to the primary.
 const writeShare = 1.0 / 3
 
-// baseLoad is the offered work, as a part of capacity, of all ranks together
-// when nothing floods.
+// baseLoad is the work that all ranks together offer outside the flood, as a fraction
+// of capacity.
 const baseLoad = 0.5
 
-// Manifest returns the manifest of a deployment.
-func Manifest(place Topology) *manifest.Manifest {
+// Manifest returns the manifest of a deployment: three ranks, a read kind and a write
+// kind for each, and one group.
+func Manifest(topology Topology) *manifest.Manifest {
 	m := &manifest.Manifest{
-		Service: place.Name,
+		Service: topology.Name,
 		Ranks: []manifest.Rank{
 			{Name: "urgent", LatencyTarget: 150 * time.Millisecond, Value: 10, MinSlotShare: 0.3},
 			{Name: "ordinary", LatencyTarget: 300 * time.Millisecond, Value: 3, MinSlotShare: 0.2},
 			{Name: "background", LatencyTarget: 2 * time.Second, Value: 1, MinSlotShare: 0.1},
 		},
 		Limits: manifest.DatabaseLimits{
-			MaxConcurrentStatements: place.Slots, MaxConnections: place.Connections, ReservedConnections: 2, ConnectTime: 12 * time.Millisecond,
+			MaxConcurrentStatements: topology.Slots, MaxConnections: topology.Connections, ReservedConnections: 2, ConnectTime: 12 * time.Millisecond,
 		},
 	}
 	deadlines := []time.Duration{time.Second, 2 * time.Second, 10 * time.Second}
@@ -102,7 +104,7 @@
 		}
 	}
 	group := manifest.Group{Name: "group"}
-	for i := range place.Databases {
+	for i := range topology.Databases {
 		group.Databases = append(group.Databases, manifest.Database{Name: databaseName(i)})
 	}
 	m.Groups = []manifest.Group{group}
@@ -114,7 +116,7 @@
 // -----------------------------------------------------------------------------
 // Scenarios.
 
-// The ways to divide slots.
+// The schedulers that divide the slots of the databases among the instances.
 const (
 	// Baseline is a first-come-first-served pool with fixed equal shares.
 	Baseline = "baseline"
@@ -122,87 +124,93 @@
 	Leases = "leases"
 )
 
-// Schedulers lists the ways to divide slots.
+// Schedulers lists the names of all schedulers.
 var Schedulers = []string{Baseline, Leases}
 
-// Scenario is one run.
+// Scenario describes one run.
 type Scenario struct {
 	Topology Topology
-	// Scheduler is one of Ways.
+	// Scheduler is one of Schedulers.
 	Scheduler string
 	// Rank is the rank that floods.
 	Rank model.Rank
-	// Load is the offered work of all ranks as a part of capacity during the
-	// flood.
+	// Load is the work that all ranks together offer during the flood, as a
+	// fraction of capacity.
 	Load float64
+	// Seed is the seed of the arrivals.
 	Seed uint64
-	// SlowFactor is how many times slower the last database is during the flood;
-	// below 1 it is as ever.
+	// SlowFactor multiplies the service times of the last database during the
+	// flood. Values below 1 count as 1.
 	SlowFactor float64
-	// SlowPrimary lets the primary be the slow or failing one.
+	// SlowPrimary applies SlowFactor and ErrorShare to the primary instead of the
+	// last database.
 	SlowPrimary bool
-	// ErrorShare is the part of the requests that the same database answers with
-	// an error at once during the flood.
+	// ErrorShare is the fraction of requests that the same database answers with an
+	// immediate error during the flood.
 	ErrorShare float64
-	// FixedLimits turns adaptive limits off.
+	// FixedLimits disables adaptive limits.
 	FixedLimits bool
-	// ZonePartitioned lets no message pass between the instances of the first availability
-	// zone and the others during the flood. The databases are in reach of all.
+	// ZonePartitioned drops all messages between the instances of the first
+	// availability zone and the others during the flood. All instances still reach
+	// all databases.
 	ZonePartitioned bool
-	// ArbiterCrashes lets the instance that leases the slots crash when the flood begins.
+	// ArbiterCrashes makes the arbiter, the instance that leases the slots, crash
+	// when the flood begins.
 	ArbiterCrashes bool
-	// SingleIngress lets all of the flood arrive at one instance.
+	// SingleIngress sends all requests of the rank that floods to one instance.
 	SingleIngress bool
 }
 
-// Times of a run.
+// Times of a run, from its start.
 const (
 	floodStart = 3 * time.Second
 	floodEnd   = 11 * time.Second
 	runEnd     = 17 * time.Second
-	// settleTime is left out of the figures at the beginning of the flood.
-	settleTime = 1 * time.Second
-	// tickTime is the longest time between two ticks of an instance.
-	tickTime = 5 * time.Millisecond
+	// transientTime is the time at the beginning of the flood that the figures
+	// leave out.
+	transientTime = 1 * time.Second
+	// tickInterval is the time between two ticks of an instance.
+	tickInterval = 5 * time.Millisecond
 )
 
-// countedFrom returns when arrivals begin to count: after the beginning of the
-// flood, or with it where peers are lost at that moment.
-func (s *Scenario) countedFrom() time.Duration {
+// measurementStart returns the time from which arrivals count: transientTime after the
+// flood begins, or when it begins where peers are lost at that moment.
+func (s *Scenario) measurementStart() time.Duration {
 	if s.ZonePartitioned || s.ArbiterCrashes {
 		return floodStart
 	}
-	return floodStart + settleTime
+	return floodStart + transientTime
 }
 
-// capacity returns the slot-time that the databases give in a second.
+// capacity returns the slot-time that all databases together provide in a second, in
+// seconds.
 func (s *Scenario) capacity() float64 { return float64(s.Topology.Databases * s.Topology.Slots) }
 
-// arrivals returns the requests of a rank in a second.
-func (s *Scenario) arrivals(r model.Rank, flooding bool) float64 {
-	part := loads[r].share * baseLoad
+// arrivalRate returns the number of requests of a rank that arrive in a second.
+func (s *Scenario) arrivalRate(r model.Rank, flooding bool) float64 {
+	offeredShare := rankLoads[r].slotTimeShare * baseLoad
 	if flooding && r == s.Rank {
-		part += max(0, s.Load-baseLoad)
+		offeredShare += max(0, s.Load-baseLoad)
 	}
-	return part * s.capacity() / loads[r].mean.Seconds()
+	return offeredShare * s.capacity() / rankLoads[r].meanServiceTime.Seconds()
 }
 
 // -----------------------------------------------------------------------------
 // Results.
 
-// RankResult is what one rank got during the flood.
+// RankResult counts the requests of one rank during the flood.
 type RankResult struct {
 	// Offered, InTarget, Late, Refused and Failed count requests that arrived
-	// during the flood: all of them, those answered inside the target, those
-	// answered after it, those refused or expired, those answered with an
-	// error.
+	// during the measured time: all of them, those answered within the target,
+	// those answered after it, those refused or expired, and those that failed.
 	Offered, InTarget, Late, Refused, Failed int
-	// P99 is the latency that 99% of the answers stayed under.
+	// P99 is the 99th percentile of the latencies of the requests answered without
+	// an error.
 	P99 time.Duration
 }
 
-// InTargetShare returns the part of the offered requests that were answered inside the
-// target.
+// InTargetShare returns the fraction of offered requests that were answered within the
+// target, or 1 where none was offered.
 func (r *RankResult) InTargetShare() float64 {
 	if r.Offered == 0 {
 		return 1
@@ -210,30 +218,33 @@
 	return float64(r.InTarget) / float64(r.Offered)
 }
 
-// Result is what a run gave.
+// Result holds the figures of a run.
 type Result struct {
 	Scenario Scenario
 	Ranks    []RankResult
-	// Goodput is the slot-time of the answers inside their target, as a part
-	// of capacity.
+	// Goodput is the slot-time of the requests answered within their target, as a
+	// fraction of capacity.
 	Goodput float64
-	// GoodputByRank has the same by rank.
+	// GoodputByRank is the goodput of each rank.
 	GoodputByRank []float64
-	// SlotShareByRank is the part of the used slot-time that each rank had, with the way
-	// there and back. It is what floors are about.
+	// SlotShareByRank is the fraction of the used slot-time that each rank had,
+	// including the delays to the database and back. The minimum slot shares of
+	// the manifest apply to it.
 	SlotShareByRank []float64
-	// OfferedByRank is the offered slot-time by rank, as a part of capacity.
+	// OfferedByRank is the offered slot-time of each rank, as a fraction of
+	// capacity.
 	OfferedByRank []float64
-	// Worth is the worth of the answers inside their target, as a part of the
-	// best possible for the capacity.
+	// Worth is the worth of the requests answered within their target, as a
+	// fraction of the maximum that the capacity allows.
 	Worth float64
-	// Recovery is the time from the end of the flood until at least 99% of
-	// what arrives in any rank is answered inside its target again.
+	// Recovery is the time from the end of the flood until at least 99% of the
+	// arriving requests of every rank are answered within their target again;
+	// negative where that is never reached.
 	Recovery time.Duration
-	// MaxExcessRequests is the greatest number of requests that were at one database or
-	// on the way to it, beyond its slots.
+	// MaxExcessRequests is the maximum number of requests beyond its slots that were
+	// at one database or on their way to or from it at once.
 	MaxExcessRequests int
-	// MessagesPerSecond and BytesPerSecond are what one instance sent to its peers in a second,
-	// without the frames around it.
+	// MessagesPerSecond and BytesPerSecond are the messages and their bytes that one
+	// instance sent to its peers in a second on average, without framing.
 	MessagesPerSecond, BytesPerSecond float64
 }
--- a/internal/standin/flood/flood_test.go
+++ b/internal/standin/flood/flood_test.go
@@ -8,8 +8,8 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// eachPlace runs a test for both deployments at the same time.
-func eachPlace(t *testing.T, test func(t *testing.T, place Topology)) {
+// forEachTopology runs a test for both topologies in parallel.
+func forEachTopology(t *testing.T, test func(t *testing.T, topology Topology)) {
 	t.Helper()
 	t.Parallel()
 	for _, place := range []Topology{Consortium, Reparto} {
@@ -32,46 +32,47 @@
 	}
 }
 
-// TestUrgentWhileLeastUrgentFloods checks that urgent work stays inside its
-// target, and that the flood costs little of what is useful.
+// TestUrgentWhileLeastUrgentFloods checks that urgent work is answered within its
+// target while the least urgent rank floods, and that goodput is at least 90% of
+// that at a load of 1.
 func TestUrgentWhileLeastUrgentFloods(t *testing.T) {
-	eachPlace(t, func(t *testing.T, place Topology) {
-		calm := Run(Scenario{Topology: place, Scheduler: Leases, Rank: 2, Load: 1, Seed: 1})
-		flooded := Run(Scenario{Topology: place, Scheduler: Leases, Rank: 2, Load: 10, Seed: 1})
+	forEachTopology(t, func(t *testing.T, topology Topology) {
+		atCapacity := Run(Scenario{Topology: topology, Scheduler: Leases, Rank: 2, Load: 1, Seed: 1})
+		flooded := Run(Scenario{Topology: topology, Scheduler: Leases, Rank: 2, Load: 10, Seed: 1})
 		if share := flooded.Ranks[0].InTargetShare(); share < 0.99 {
-			t.Errorf("%s: %.4f of urgent work inside its target", place.Name, share)
+			t.Errorf("%s: %.4f of urgent work answered within its target", topology.Name, share)
 		}
-		if flooded.Goodput < 0.9*calm.Goodput {
-			t.Errorf("%s: %.3f useful, %.3f at load 1", place.Name, flooded.Goodput, calm.Goodput)
+		if flooded.Goodput < 0.9*atCapacity.Goodput {
+			t.Errorf("%s: goodput %.3f, %.3f at load 1", topology.Name, flooded.Goodput, atCapacity.Goodput)
 		}
 		if flooded.MaxExcessRequests > 2 {
-			t.Errorf("%s: %d requests beyond the slots", place.Name, flooded.MaxExcessRequests)
+			t.Errorf("%s: up to %d requests more than slots at a database", topology.Name, flooded.MaxExcessRequests)
 		}
 	})
 }
 
-// TestFloorsWhileUrgentFloods checks that each other rank keeps its floor,
-// within 5%, or all that it asks for.
+// TestFloorsWhileUrgentFloods checks that every rank keeps at least 95% of its minimum
+// slot share while the most urgent rank floods.
 func TestFloorsWhileUrgentFloods(t *testing.T) {
-	eachPlace(t, func(t *testing.T, place Topology) {
-		flooded := Run(Scenario{Topology: place, Scheduler: Leases, Rank: 0, Load: 10, Seed: 1})
-		ranks := Manifest(place).Ranks
+	forEachTopology(t, func(t *testing.T, topology Topology) {
+		flooded := Run(Scenario{Topology: topology, Scheduler: Leases, Rank: 0, Load: 10, Seed: 1})
+		ranks := Manifest(topology).Ranks
 		for r := range model.Rank(len(ranks)) {
-			if held := flooded.SlotShareByRank[r]; held < 0.95*ranks[r].MinSlotShare {
-				t.Errorf("%s: %s has %.3f of the slot-time, floor %.2f", place.Name, ranks[r].Name, held, ranks[r].MinSlotShare)
+			if slotShare := flooded.SlotShareByRank[r]; slotShare < 0.95*ranks[r].MinSlotShare {
+				t.Errorf("%s: %s has %.3f of the slot-time, minimum share %.2f", topology.Name, ranks[r].Name, slotShare, ranks[r].MinSlotShare)
 			}
 		}
 	})
 }
 
-// TestFailingDatabase checks that a database that fails altogether costs the
-// others nothing.
+// TestFailingDatabase checks that all ranks are still answered within their targets
+// while one of the databases answers every request with an error.
 func TestFailingDatabase(t *testing.T) {
-	eachPlace(t, func(t *testing.T, place Topology) {
-		result := Run(Scenario{Topology: place, Scheduler: Leases, Rank: 2, Load: 0.5, Seed: 1, ErrorShare: 1})
+	forEachTopology(t, func(t *testing.T, topology Topology) {
+		result := Run(Scenario{Topology: topology, Scheduler: Leases, Rank: 2, Load: 0.5, Seed: 1, ErrorShare: 1})
 		for r := range result.Ranks {
 			if share := result.Ranks[r].InTargetShare(); share < 0.99 {
-				t.Errorf("%s: %.4f of rank %d inside its target", place.Name, share, r)
+				t.Errorf("%s: %.4f of rank %d answered within its target", topology.Name, share, r)
 			}
 		}
 	})
--- a/internal/standin/flood/instances.go
+++ b/internal/standin/flood/instances.go
@@ -11,70 +11,74 @@
 // -----------------------------------------------------------------------------
 // Instances.
 
-// tick lets an instance step even when nothing happens.
+// tick runs the scheduler of an instance at each tick interval, so that time limits
+// take effect even when no request or message arrives.
 func (sim *simulation) tick(i *instance) {
-	sim.step(i)
-	sim.after(tickTime, func() { sim.tick(i) })
+	sim.runScheduler(i)
+	sim.scheduleAfter(tickInterval, func() { sim.tick(i) })
 }
 
-// step lets an instance decide.
-func (sim *simulation) step(i *instance) {
-	if i.down {
+// runScheduler ends expired requests of an instance, sends those that are assigned a
+// slot to their databases, and sends the messages to peers.
+func (sim *simulation) runScheduler(i *instance) {
+	if i.crashed {
 		return
 	}
-	for _, id := range i.schedule.TakeExpired(sim.clock()) {
-		sim.end(i.requests[id], outcomeRefused)
+	for _, id := range i.scheduler.TakeExpired(sim.clock()) {
+		sim.recordOutcome(i.requests[id], outcomeRefused)
 		delete(i.requests, id)
 	}
-	grants := i.schedule.AssignSlots(sim.clock(), func(work rank.Work) []model.DatabaseID { return sim.candidates(i, work) })
-	for _, grant := range grants {
-		sim.send(i, i.requests[grant.Request], grant.Database)
+	assignments := i.scheduler.AssignSlots(sim.clock(), func(work rank.Work) []model.DatabaseID { return sim.candidates(i, work) })
+	for _, assignment := range assignments {
+		sim.sendRequest(i, i.requests[assignment.Request], assignment.Database)
 	}
-	for _, sent := range i.schedule.TakeMessages(sim.clock()) {
-		sim.pass(i, sent)
+	for _, outgoing := range i.scheduler.TakeMessages(sim.clock()) {
+		sim.sendMessage(i, outgoing)
 	}
 }
 
-// candidates names the primary for writes; for reads the replicas, in turns,
-// and the primary last.
+// candidates returns the databases that may serve a request, the preferred one first:
+// the primary for writes; for reads the replicas, rotated by one at each call, and
+// then the primary.
 func (sim *simulation) candidates(i *instance, work rank.Work) []model.DatabaseID {
 	if i.requests[work.Request].access == model.AccessWrite {
 		return []model.DatabaseID{sim.databases[0].id}
 	}
-	i.turn++
+	i.replicaOffset++
 	replicas := len(sim.databases) - 1
 	var list []model.DatabaseID
 	for n := range replicas {
-		list = append(list, sim.databases[1+(i.turn+n)%replicas].id)
+		list = append(list, sim.databases[1+(i.replicaOffset+n)%replicas].id)
 	}
 	return append(list, sim.databases[0].id)
 }
 
-// pass carries a message to a peer.
-func (sim *simulation) pass(i *instance, sent message.SendPeer) {
-	sim.messages++
-	if body, err := msgpack.Marshal(sent.Body); err == nil {
-		sim.bytes += len(body)
+// sendMessage delivers a message to a peer after the delay between their zones, unless
+// the two are disconnected.
+func (sim *simulation) sendMessage(i *instance, outgoing message.SendPeer) {
+	sim.messageCount++
+	if body, err := msgpack.Marshal(outgoing.Body); err == nil {
+		sim.byteCount += len(body)
 	}
-	for _, to := range sim.instances {
-		if to.id == sent.To && !sim.isCut(i, to) {
-			sim.after(sim.delay(i.zone, to.zone), func() {
-				to.schedule.HandlePeerMessage(sim.clock(), i.id, sent.Body)
-				sim.step(to)
+	for _, peer := range sim.instances {
+		if peer.id == outgoing.To && !sim.isDisconnected(i, peer) {
+			sim.scheduleAfter(sim.delay(i.zone, peer.zone), func() {
+				peer.scheduler.HandlePeerMessage(sim.clock(), i.id, outgoing.Body)
+				sim.runScheduler(peer)
 			})
 		}
 	}
 }
 
-// send carries a request to a database.
-func (sim *simulation) send(i *instance, req *request, id model.DatabaseID) {
+// sendRequest sends a request to a database.
+func (sim *simulation) sendRequest(i *instance, req *request, id model.DatabaseID) {
 	for _, d := range sim.databases {
 		if d.id != id {
 			continue
 		}
-		d.inUse++
-		req.sent = sim.now
-		sim.result.MaxExcessRequests = max(sim.result.MaxExcessRequests, d.inUse-sim.scenario.Topology.Slots)
-		sim.after(sim.delay(i.zone, d.zone), func() { sim.receive(d, job{from: i, req: req}) })
+		d.outstanding++
+		req.sentAt = sim.now
+		sim.result.MaxExcessRequests = max(sim.result.MaxExcessRequests, d.outstanding-sim.scenario.Topology.Slots)
+		sim.scheduleAfter(sim.delay(i.zone, d.zone), func() { sim.startOrQueue(d, job{instance: i, request: req}) })
 	}
 }
--- a/internal/standin/flood/queue.go
+++ b/internal/standin/flood/queue.go
@@ -7,13 +7,15 @@
 // -----------------------------------------------------------------------------
 // Virtual time.
 
-// event is something that happens at a moment.
+// event is a function that runs at a moment of virtual time. Events at the same
+// moment run in the order in which they were scheduled.
 type event struct {
-	at    time.Duration
-	order uint64
-	run   func()
+	dueAt    time.Duration
+	sequence uint64
+	run      func()
 }
 
+// eventQueue is a heap of events, the next one first.
 type eventQueue []event
 
 // Len implements heap.Interface.
@@ -21,10 +23,10 @@
 
 // Less implements heap.Interface.
 func (a eventQueue) Less(i, j int) bool {
-	if a[i].at != a[j].at {
-		return a[i].at < a[j].at
+	if a[i].dueAt != a[j].dueAt {
+		return a[i].dueAt < a[j].dueAt
 	}
-	return a[i].order < a[j].order
+	return a[i].sequence < a[j].sequence
 }
 
 // Swap implements heap.Interface.
--- a/internal/standin/flood/run.go
+++ b/internal/standin/flood/run.go
@@ -12,9 +12,10 @@
 )
 
 // -----------------------------------------------------------------------------
-// The bench.
+// The simulation.
 
-// scheduler is what the bench asks of an instance.
+// scheduler is the scheduler of one instance. *rank.Scheduler and *baseline implement
+// it.
 type scheduler interface {
 	Enqueue(now time.Time, work rank.Work) (rank.Refusal, bool)
 	Requeue(now time.Time, request model.RequestID, ending rank.SlotCompletion)
@@ -25,99 +26,102 @@
 	TakeMessages(now time.Time) []message.SendPeer
 }
 
-// origin is the beginning of virtual time.
+// origin is the wall-clock time at which virtual time starts.
 var origin = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// request is one request on its way.
+// request is one request of a caller.
 type request struct {
-	id      model.RequestID
-	rank    model.Rank
-	access  model.Access
-	arrived time.Duration
-	service time.Duration
-	tries   int
-	// sent is when the last try was sent.
-	sent time.Duration
+	id          model.RequestID
+	rank        model.Rank
+	access      model.Access
+	arrivedAt   time.Duration
+	serviceTime time.Duration
+	attempts    int
+	// sentAt is the time at which the last attempt was sent.
+	sentAt time.Duration
 }
 
-// instance is one instance of the product.
+// instance is one simulated instance of the proxy.
 type instance struct {
-	id       model.InstanceID
-	zone     int
-	schedule scheduler
-	requests map[model.RequestID]*request
-	turn     int
-	// down says that the instance has crashed.
-	down bool
+	id        model.InstanceID
+	zone      int
+	scheduler scheduler
+	requests  map[model.RequestID]*request
+	// replicaOffset rotates the order of the replicas between reads.
+	replicaOffset int
+	crashed       bool
 }
 
-// database has slots, and a first-come-first-served line for what is beyond.
+// database is a simulated database with slots and a first-come-first-served queue for
+// requests that exceed them.
 type database struct {
-	id      model.DatabaseID
-	zone    int
-	busy    int
-	line    []job
-	inUse   int
-	failing float64
-	slow    float64
+	id          model.DatabaseID
+	zone        int
+	busySlots   int
+	queue       []job
+	outstanding int
+	errorShare  float64
+	slowFactor  float64
 }
 
+// job is a request on its way to a database, with the instance that sent it.
 type job struct {
-	from *instance
-	req  *request
+	instance *instance
+	request  *request
 }
 
 // simulation is the state of a run.
 type simulation struct {
-	scenario  Scenario
-	manifest  *manifest.Manifest
-	random    *rand.Rand
-	now       time.Duration
-	events    eventQueue
-	order     uint64
-	instances []*instance
-	databases []*database
-	next      model.RequestID
-	result    Result
-	worst     [][]time.Duration
-	messages  int
-	bytes     int
-	// held is the slot-time that each rank had, with the way there and back.
-	held []time.Duration
-	// bins count, for 100 ms of arrival each, what was offered and what was
-	// inside the target, by rank.
+	scenario      Scenario
+	manifest      *manifest.Manifest
+	random        *rand.Rand
+	now           time.Duration
+	events        eventQueue
+	sequence      uint64
+	instances     []*instance
+	databases     []*database
+	lastRequestID model.RequestID
+	result        Result
+	latencies     [][]time.Duration
+	messageCount  int
+	byteCount     int
+	// slotTime is the slot-time that each rank used, including the delays to the
+	// database and back.
+	slotTime []time.Duration
+	// bins counts by rank, for each binWidth of arrival times, the offered requests
+	// and those answered within the target.
 	bins [][]bin
 }
 
-type bin struct{ offered, inside int }
+type bin struct{ offered, inTarget int }
 
-// binTime is the width of the bins from which recovery is found.
-const binTime = 100 * time.Millisecond
+// binWidth is the width of the bins from which the recovery time is computed.
+const binWidth = 100 * time.Millisecond
 
-// Run runs a scenario.
+// Run simulates a scenario and returns its figures.
 func Run(scenario Scenario) Result {
 	sim := newSimulation(scenario)
 	for _, i := range sim.instances {
 		sim.tick(i)
 	}
-	for r := range loads {
-		sim.arrive(model.Rank(r))
+	for r := range rankLoads {
+		sim.scheduleArrival(model.Rank(r))
 	}
-	sim.after(floodStart, func() { sim.breakDatabase() })
-	sim.after(floodEnd, func() { sim.mendDatabase() })
+	sim.scheduleAfter(floodStart, func() { sim.injectFault() })
+	sim.scheduleAfter(floodEnd, func() { sim.clearFault() })
 	if scenario.ArbiterCrashes {
-		sim.after(floodStart, func() { sim.crash() })
+		sim.scheduleAfter(floodStart, func() { sim.crashArbiter() })
 	}
 	if scenario.ZonePartitioned || scenario.ArbiterCrashes {
-		sim.after(floodStart+noticeTime, func() { sim.notice() })
-		sim.after(floodEnd+noticeTime, func() { sim.notice() })
+		sim.scheduleAfter(floodStart+peerDetectionTime, func() { sim.updatePeers() })
+		sim.scheduleAfter(floodEnd+peerDetectionTime, func() { sim.updatePeers() })
 	}
-	for len(sim.events) > 0 && sim.events[0].at < runEnd {
+	for len(sim.events) > 0 && sim.events[0].dueAt < runEnd {
 		e := heap.Pop(&sim.events).(event)
-		sim.now = e.at
+		sim.now = e.dueAt
 		e.run()
 	}
-	return sim.finish()
+	return sim.computeResult()
 }
 
 func newSimulation(scenario Scenario) *simulation {
@@ -126,14 +130,14 @@
 		manifest: Manifest(scenario.Topology),
 		random:   rand.New(rand.NewPCG(scenario.Seed, 1)),
 	}
-	sim.result = Result{Scenario: scenario, Ranks: make([]RankResult, len(loads))}
-	sim.held = make([]time.Duration, len(loads))
-	sim.worst = make([][]time.Duration, len(loads))
-	for range loads {
-		sim.bins = append(sim.bins, make([]bin, runEnd/binTime+1))
+	sim.result = Result{Scenario: scenario, Ranks: make([]RankResult, len(rankLoads))}
+	sim.slotTime = make([]time.Duration, len(rankLoads))
+	sim.latencies = make([][]time.Duration, len(rankLoads))
+	for range rankLoads {
+		sim.bins = append(sim.bins, make([]bin, runEnd/binWidth+1))
 	}
 	for i := range scenario.Topology.Databases {
-		sim.databases = append(sim.databases, &database{id: databaseName(i), zone: i % scenario.Topology.Zones, slow: 1})
+		sim.databases = append(sim.databases, &database{id: databaseName(i), zone: i % scenario.Topology.Zones, slowFactor: 1})
 	}
 	var ids []model.InstanceID
 	for i := range scenario.Topology.Instances {
@@ -141,16 +145,16 @@
 	}
 	for i, id := range ids {
 		sim.instances = append(sim.instances, &instance{
-			id: id, zone: i % scenario.Topology.Zones, schedule: newScheduler(scenario, id, sim.manifest, ids),
+			id: id, zone: i % scenario.Topology.Zones, scheduler: newScheduler(scenario, id, sim.manifest, ids),
 			requests: map[model.RequestID]*request{},
 		})
 	}
 	return sim
 }
 
-func newScheduler(scenario Scenario, id model.InstanceID, m *manifest.Manifest, all []model.InstanceID) scheduler {
+func newScheduler(scenario Scenario, id model.InstanceID, m *manifest.Manifest, instances []model.InstanceID) scheduler {
 	if scenario.Scheduler == Baseline {
-		return newBaseline(m, len(all))
+		return newBaseline(m, len(instances))
 	}
 	var options []rank.Option
 	if scenario.FixedLimits {
@@ -158,53 +162,56 @@
 	}
 	s := rank.NewScheduler(id, options...)
 	s.Configure(origin, m)
-	s.SetPeers(origin, all)
+	s.SetPeers(origin, instances)
 	return s
 }
 
-// after lets something happen later.
-func (sim *simulation) after(delay time.Duration, run func()) {
-	sim.order++
-	heap.Push(&sim.events, event{at: sim.now + delay, order: sim.order, run: run})
+// scheduleAfter runs a function after a delay of virtual time.
+func (sim *simulation) scheduleAfter(delay time.Duration, run func()) {
+	sim.sequence++
+	heap.Push(&sim.events, event{dueAt: sim.now + delay, sequence: sim.sequence, run: run})
 }
 
+// clock returns the current virtual time.
 func (sim *simulation) clock() time.Time { return origin.Add(sim.now) }
 
 func (sim *simulation) isFlooding() bool { return sim.now >= floodStart && sim.now < floodEnd }
 
-func (sim *simulation) broken() *database {
+// faultyDatabase returns the database to which the scenario's fault applies.
+func (sim *simulation) faultyDatabase() *database {
 	if sim.scenario.SlowPrimary {
 		return sim.databases[0]
 	}
 	return sim.databases[len(sim.databases)-1]
 }
 
-func (sim *simulation) breakDatabase() {
-	sim.broken().failing = sim.scenario.ErrorShare
-	sim.broken().slow = max(1, sim.scenario.SlowFactor)
+func (sim *simulation) injectFault() {
+	sim.faultyDatabase().errorShare = sim.scenario.ErrorShare
+	sim.faultyDatabase().slowFactor = max(1, sim.scenario.SlowFactor)
 }
 
-// isCut reports whether no message passes between two instances.
-func (sim *simulation) isCut(a, b *instance) bool {
-	if a.down || b.down {
+// isDisconnected reports whether messages between two instances are dropped.
+func (sim *simulation) isDisconnected(a, b *instance) bool {
+	if a.crashed || b.crashed {
 		return true
 	}
 	return sim.scenario.ZonePartitioned && sim.isFlooding() && (a.zone == 0) != (b.zone == 0)
 }
 
-// noticeTime is how long instances take to notice that peers are gone or back.
-const noticeTime = time.Second
+// peerDetectionTime is the time that instances take to detect that peers are lost or
+// back.
+const peerDetectionTime = time.Second
 
-// notice tells each instance which peers it can hear.
-func (sim *simulation) notice() {
+// updatePeers sets the reachable peers of each instance.
+func (sim *simulation) updatePeers() {
 	for _, i := range sim.instances {
-		s, ok := i.schedule.(*rank.Scheduler)
+		s, ok := i.scheduler.(*rank.Scheduler)
 		if !ok {
 			return
 		}
 		var live []model.InstanceID
 		for _, other := range sim.instances {
-			if other == i || !sim.isCut(i, other) {
+			if other == i || !sim.isDisconnected(i, other) {
 				live = append(live, other.id)
 			}
 		}
@@ -212,25 +219,25 @@
 	}
 }
 
-// crash lets the instance crash that leases the slots.
-func (sim *simulation) crash() {
-	if s, ok := sim.instances[0].schedule.(*rank.Scheduler); ok {
+// crashArbiter crashes the instance that leases the slots.
+func (sim *simulation) crashArbiter() {
+	if s, ok := sim.instances[0].scheduler.(*rank.Scheduler); ok {
 		arbiter := s.Report(sim.clock()).Groups[0].Arbiter
 		for _, i := range sim.instances {
-			i.down = i.id == arbiter
+			i.crashed = i.id == arbiter
 		}
 	}
 }
 
-func (sim *simulation) mendDatabase() {
-	sim.broken().failing = 0
-	sim.broken().slow = 1
+func (sim *simulation) clearFault() {
+	sim.faultyDatabase().errorShare = 0
+	sim.faultyDatabase().slowFactor = 1
 }
 
 // delay returns the one-way delay between two availability zones.
 func (sim *simulation) delay(a, b int) time.Duration {
 	if a == b {
-		return nearDelay
+		return intraZoneDelay
 	}
 	return sim.scenario.Topology.Delay
 }
--- a/internal/standin/flood/table.go
+++ b/internal/standin/flood/table.go
@@ -8,7 +8,7 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// Selection chooses the runs of a table.
+// Selection selects the runs of a table.
 type Selection struct {
 	Topologies []Topology
 	Schedulers []string
@@ -16,40 +16,40 @@
 	Seed       uint64
 }
 
-// Table is one table.
+// Table is a named set of scenarios whose results are printed as a table.
 type Table struct {
 	Name string
-	// Help tells what the table compares.
+	// Help describes what the table compares.
 	Help string
-	// Scenarios returns its runs, a line each.
+	// Scenarios returns the scenarios of the table, one for each line.
 	Scenarios func(Selection) []Scenario
 }
 
-// Tables lists the tables.
+// Tables lists all tables.
 var Tables = []Table{
-	{Name: "floods", Help: "each rank floods, by load and way to divide slots", Scenarios: floods},
-	{Name: "faults", Help: "one database is slow or fails, with adaptive and with fixed limits", Scenarios: faults},
-	{Name: "peers", Help: "peers are cut off or crash, or the flood enters at one instance", Scenarios: cuts},
+	{Name: "floods", Help: "each rank floods, by load and scheduler", Scenarios: floodScenarios},
+	{Name: "faults", Help: "one database is slow or returns errors, with adaptive and with fixed limits", Scenarios: faultScenarios},
+	{Name: "peers", Help: "peers are partitioned or crash, or the flood arrives at one instance", Scenarios: peerFaultScenarios},
 }
 
-// WriteTable runs the scenarios of a part and writes one line for each.
-func WriteTable(out io.Writer, part Table, selection Selection) error {
-	table := tabwriter.NewWriter(out, 0, 0, 1, ' ', tabwriter.AlignRight)
-	head := "place\tway\tcase\tflood\tload\t"
+// WriteTable runs the scenarios of a table and writes one line for each.
+func WriteTable(out io.Writer, table Table, selection Selection) error {
+	writer := tabwriter.NewWriter(out, 0, 0, 1, ' ', tabwriter.AlignRight)
+	header := "place\tway\tcase\tflood\tload\t"
 	for _, declared := range Manifest(Consortium).Ranks {
-		head += declared.Name + " inside\tuseful\tlate\tp99\theld\t"
+		header += declared.Name + " inside\tuseful\tlate\tp99\theld\t"
 	}
-	_, _ = fmt.Fprintln(table, head+"useful\tworth\trecovery\tbeyond\tmessages\tcontrol\t")
-	for _, scenario := range part.Scenarios(selection) {
-		_, _ = fmt.Fprintln(table, line(Run(scenario)))
+	_, _ = fmt.Fprintln(writer, header+"useful\tworth\trecovery\tbeyond\tmessages\tcontrol\t")
+	for _, scenario := range table.Scenarios(selection) {
+		_, _ = fmt.Fprintln(writer, formatResult(Run(scenario)))
 	}
-	return table.Flush()
+	return writer.Flush()
 }
 
-// line formats one result.
-func line(result Result) string {
+// formatResult returns the line of one result.
+func formatResult(result Result) string {
 	s := &result.Scenario
-	text := fmt.Sprintf("%s\t%s\t%s\t%s\t%g\t", s.Topology.Name, s.Scheduler, s.label(), Manifest(s.Topology).Ranks[s.Rank].Name, s.Load)
+	text := fmt.Sprintf("%s\t%s\t%s\t%s\t%g\t", s.Topology.Name, s.Scheduler, s.faultLabel(), Manifest(s.Topology).Ranks[s.Rank].Name, s.Load)
 	for r := range result.Ranks {
 		rank := &result.Ranks[r]
 		text += fmt.Sprintf("%.1f%%\t%.3f\t%.1f%%\t%dms\t%.3f\t",
@@ -62,14 +62,14 @@
 	return text + fmt.Sprintf("%.3f\t%.3f\t%s\t%d\t%.0f/s\t%.0f KB/s\t", result.Goodput, result.Worth, recovery, result.MaxExcessRequests, result.MessagesPerSecond, result.BytesPerSecond/1000)
 }
 
-// lateShare returns the part of the offered requests that were answered after
-// the target.
+// lateShare returns the fraction of offered requests that were answered after the
+// target.
 func (r *RankResult) lateShare() float64 {
 	return float64(r.Late) / float64(max(1, r.Offered))
 }
 
-// label names what is wrong in a scenario.
-func (s *Scenario) label() string {
+// faultLabel describes the fault of a scenario, or returns "-" where it has none.
+func (s *Scenario) faultLabel() string {
 	var text string
 	switch {
 	case s.SlowFactor > 1:
@@ -97,58 +97,61 @@
 	return text + ", adaptive"
 }
 
-// floods returns each rank's flood at each load in each way.
-func floods(selection Selection) []Scenario {
-	var all []Scenario
-	for _, place := range selection.Topologies {
-		for r := range loads {
+// floodScenarios returns a scenario for each topology, flooding rank, load and
+// scheduler.
+func floodScenarios(selection Selection) []Scenario {
+	var scenarios []Scenario
+	for _, topology := range selection.Topologies {
+		for r := range rankLoads {
 			for _, load := range selection.Loads {
-				for _, way := range selection.Schedulers {
-					all = append(all, Scenario{Topology: place, Scheduler: way, Rank: model.Rank(r), Load: load, Seed: selection.Seed})
+				for _, scheduler := range selection.Schedulers {
+					scenarios = append(scenarios, Scenario{Topology: topology, Scheduler: scheduler, Rank: model.Rank(r), Load: load, Seed: selection.Seed})
 				}
 			}
 		}
 	}
-	return all
+	return scenarios
 }
 
-// faults returns slow and failing databases, with adaptive and fixed limits.
-func faults(selection Selection) []Scenario {
-	kinds := []Scenario{
+// faultScenarios returns scenarios with a database that is slow or returns errors, with
+// adaptive and with fixed limits, under the last scheduler of the selection.
+func faultScenarios(selection Selection) []Scenario {
+	variants := []Scenario{
 		{SlowFactor: 10},
 		{SlowFactor: 10, SlowPrimary: true},
 		{ErrorShare: 1},
 		{ErrorShare: 0.3},
 		{ErrorShare: 0.3, SlowPrimary: true},
 	}
-	var all []Scenario
-	for _, place := range selection.Topologies {
-		for _, kind := range kinds {
+	var scenarios []Scenario
+	for _, topology := range selection.Topologies {
+		for _, variant := range variants {
 			for _, load := range selection.Loads {
-				for _, fixed := range []bool{false, true} {
-					kind.Topology, kind.Scheduler, kind.Rank = place, selection.Schedulers[len(selection.Schedulers)-1], 2
-					kind.Load, kind.Seed, kind.FixedLimits = load, selection.Seed, fixed
-					all = append(all, kind)
+				for _, fixedLimits := range []bool{false, true} {
+					variant.Topology, variant.Scheduler, variant.Rank = topology, selection.Schedulers[len(selection.Schedulers)-1], 2
+					variant.Load, variant.Seed, variant.FixedLimits = load, selection.Seed, fixedLimits
+					scenarios = append(scenarios, variant)
 				}
 			}
 		}
 	}
-	return all
+	return scenarios
 }
 
-// cuts returns peers that are cut off or crash, and a flood at one instance.
-func cuts(selection Selection) []Scenario {
-	var all []Scenario
-	for _, place := range selection.Topologies {
-		for _, kind := range []Scenario{{ZonePartitioned: true}, {ArbiterCrashes: true}, {SingleIngress: true}} {
+// peerFaultScenarios returns scenarios with a partitioned zone, a crashed arbiter, and a
+// flood that arrives at one instance.
+func peerFaultScenarios(selection Selection) []Scenario {
+	var scenarios []Scenario
+	for _, topology := range selection.Topologies {
+		for _, variant := range []Scenario{{ZonePartitioned: true}, {ArbiterCrashes: true}, {SingleIngress: true}} {
 			for _, load := range selection.Loads {
-				for _, way := range selection.Schedulers {
-					kind.Topology, kind.Scheduler, kind.Rank = place, way, 2
-					kind.Load, kind.Seed = load, selection.Seed
-					all = append(all, kind)
+				for _, scheduler := range selection.Schedulers {
+					variant.Topology, variant.Scheduler, variant.Rank = topology, scheduler, 2
+					variant.Load, variant.Seed = load, selection.Seed
+					scenarios = append(scenarios, variant)
 				}
 			}
 		}
 	}
-	return all
+	return scenarios
 }
--- a/internal/standin/load/arrival.go
+++ b/internal/standin/load/arrival.go
@@ -8,35 +8,37 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/task"
 )
 
-// queueLimit is the number of arrivals of one kind that may wait for a
+// maxQueuedArrivals is the maximum number of arrivals of one kind that may wait for a
 // connection.
-const queueLimit = 1 << 17
+const maxQueuedArrivals = 1 << 17
 
-// arrivals returns the channel on which the arrivals of a kind come, closed
-// when no more will come, or nil for closed-loop load.
-func (r *run) arrivals(stop context.Context, index int, kind Kind, spawn func(work func())) <-chan time.Time {
+// startArrivals starts a goroutine that generates the arrivals of a kind and returns
+// the channel that delivers their times. The channel is closed after the last arrival.
+// It is nil for closed-loop load.
+func (r *run) startArrivals(offerCtx context.Context, index int, kind Kind, spawn func(work func())) <-chan time.Time {
 	if r.options.ClosedLoop {
 		return nil
 	}
-	arrivals := make(chan time.Time, queueLimit)
+	arrivals := make(chan time.Time, maxQueuedArrivals)
 	random := rand.New(rand.NewPCG(r.options.Seed, uint64(index)))
-	spawn(func() { offer(stop, kind, random, arrivals) })
+	spawn(func() { generateArrivals(offerCtx, kind, random, arrivals) })
 	return arrivals
 }
 
-// offer sends the times of a Poisson process. Where the queue is full, offer
-// waits, and the arrivals keep their times.
-func offer(stop context.Context, kind Kind, random *rand.Rand, arrivals chan<- time.Time) {
+// generateArrivals sends the arrival times of a Poisson process until offerCtx ends.
+// While the queue is full it blocks; later arrivals keep their original times, so that
+// the delay counts as latency.
+func generateArrivals(offerCtx context.Context, kind Kind, random *rand.Rand, arrivals chan<- time.Time) {
 	defer close(arrivals)
-	next := time.Now()
+	nextArrival := time.Now()
 	for {
-		next = next.Add(time.Duration(random.ExpFloat64() / kind.Rate * float64(time.Second)))
-		if !task.Sleep(stop, time.Until(next)) {
+		nextArrival = nextArrival.Add(time.Duration(random.ExpFloat64() / kind.Rate * float64(time.Second)))
+		if !task.Sleep(offerCtx, time.Until(nextArrival)) {
 			return
 		}
 		select {
-		case arrivals <- next:
-		case <-stop.Done():
+		case arrivals <- nextArrival:
+		case <-offerCtx.Done():
 			return
 		}
 	}
--- a/internal/standin/load/check.go
+++ b/internal/standin/load/check.go
@@ -14,26 +14,27 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/task"
 )
 
-// checkInterval is the time between a checker's checks.
+// checkInterval is the time between two checks of a checker.
 const checkInterval = 20 * time.Millisecond
 
-// checker writes a key that nobody else writes, and reads it back through
-// another address in the same session.
+// checker checks read-your-writes: it writes a key that no other client writes, and
+// reads it back in the same session through another address.
 type checker struct {
 	run     *run
 	index   int
 	session *session
-	// key counts the keys used, value the writes.
-	key, value int
-	report     CheckReport
+	// keyCount is the number of the current key, writeCount the number of writes,
+	// which is also the value written last.
+	keyCount, writeCount int
+	report               CheckReport
 }
 
-// CheckReport counts what the checks of read-your-writes found.
+// CheckReport counts the results of the read-your-writes checks.
 type CheckReport struct {
 	// Checks counts the reads that followed an acknowledged write and were
 	// answered.
 	Checks int64 `json:"checks"`
-	// Violations counts those that did not see the write.
+	// Violations counts the checks whose read did not return the written value.
 	Violations int64 `json:"violations"`
 	// Skipped counts the writes and reads that failed.
 	Skipped int64 `json:"skipped"`
@@ -45,68 +46,73 @@
 	return &checker{run: r, index: index, session: newSession(options)}
 }
 
-// serve checks until stop ends.
-func (c *checker) serve(ctx, stop context.Context) {
+// runChecks repeats writes and reads until offerCtx ends.
+func (c *checker) runChecks(ctx, offerCtx context.Context) {
 	defer c.session.close()
-	isNew := true
-	for turn := c.index; stop.Err() == nil; turn++ {
-		c.value++
-		acknowledged := c.write(ctx, turn, isNew)
+	isNewKey := true
+	for addressIndex := c.index; offerCtx.Err() == nil; addressIndex++ {
+		c.writeCount++
+		acknowledged := c.write(ctx, addressIndex, isNewKey)
 		if !acknowledged {
-			// Whether the key has changed is not known, so it is not used again.
-			c.key++
+			// It is unknown whether the write took effect, so later checks use a new key.
+			c.keyCount++
 			c.report.Skipped++
 		} else {
-			c.read(ctx, turn+1)
+			c.read(ctx, addressIndex+1)
 		}
-		isNew = !acknowledged
-		task.Sleep(stop, checkInterval)
+		isNewKey = !acknowledged
+		task.Sleep(offerCtx, checkInterval)
 	}
 }
 
-func (c *checker) name() string { return fmt.Sprintf("%s-%d-%d", c.run.prefix, c.index, c.key) }
+// currentKey returns the key that the checker uses at present.
+func (c *checker) currentKey() string {
+	return fmt.Sprintf("%s-%d-%d", c.run.entryPrefix, c.index, c.keyCount)
+}
 
-// write writes the next value and reports whether it was acknowledged.
-func (c *checker) write(ctx context.Context, turn int, isNew bool) bool {
+// write writes the next value to the key, which isNewKey says to insert, and reports
+// whether the write was acknowledged.
+func (c *checker) write(ctx context.Context, addressIndex int, isNewKey bool) bool {
 	sql := "UPDATE kv SET value = $2 WHERE key = $1"
-	if isNew {
+	if isNewKey {
 		sql = "INSERT INTO kv (key, value) VALUES ($1, $2)"
 	}
-	address := c.address(turn)
+	address := c.address(addressIndex)
 	if c.run.options.Direct {
 		address = c.run.options.Addresses[0]
 	}
-	_, err := c.do(ctx, address, model.AccessWrite, sql, c.name(), strconv.Itoa(c.value))
+	_, err := c.query(ctx, address, model.AccessWrite, sql, c.currentKey(), strconv.Itoa(c.writeCount))
 	return err == nil
 }
 
-// read reads the key back and counts whether the write is seen.
-func (c *checker) read(ctx context.Context, turn int) {
-	values, err := c.do(ctx, c.address(turn), model.AccessRead, "SELECT value FROM kv WHERE key = $1", c.name())
+// read reads the key back and counts a violation if it does not hold the last value
+// written.
+func (c *checker) read(ctx context.Context, addressIndex int) {
+	values, err := c.query(ctx, c.address(addressIndex), model.AccessRead, "SELECT value FROM kv WHERE key = $1", c.currentKey())
 	if err != nil {
 		c.report.Skipped++
 		return
 	}
 	c.report.Checks++
-	if len(values) != 1 || values[0] != strconv.Itoa(c.value) {
+	if len(values) != 1 || values[0] != strconv.Itoa(c.writeCount) {
 		c.report.Violations++
 	}
 }
 
-func (c *checker) address(turn int) netip.AddrPort {
-	return c.run.options.Addresses[turn%len(c.run.options.Addresses)]
+func (c *checker) address(addressIndex int) netip.AddrPort {
+	return c.run.options.Addresses[addressIndex%len(c.run.options.Addresses)]
 }
 
-// do sends one statement of the first kind with an access, and returns the
-// values of its rows.
-func (c *checker) do(ctx context.Context, address netip.AddrPort, access model.Access, sql string, args ...any) ([]string, error) {
+// query sends a statement as the first kind that has the given access, and returns the
+// values of the rows.
+func (c *checker) query(ctx context.Context, address netip.AddrPort, access model.Access, sql string, args ...any) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.run.options.StatementTimeout)
 	defer cancel()
 	conn, err := c.session.conn(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	rows, err := conn.Query(ctx, c.session.commented(sql, c.run.kindFor(access)), args...)
+	rows, err := conn.Query(ctx, c.session.withComment(sql, c.run.kindFor(access)), args...)
 	if err != nil {
 		return nil, errors.Wrap(err, "check")
 	}
@@ -114,11 +120,11 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "check")
 	}
-	c.session.learn(conn)
+	c.session.updateToken(conn)
 	return values, nil
 }
 
-// kindFor returns the first kind with an access.
+// kindFor returns the first kind that has the given access.
 func (r *run) kindFor(access model.Access) Kind {
 	for _, kind := range r.options.Kinds {
 		if kind.Access == access {
@@ -128,6 +134,8 @@
 	return Kind{}
 }
 
+// checkReport returns the sum of all checkers' reports, or nil where there are no
+// checkers.
 func (r *run) checkReport() *CheckReport {
 	if len(r.checkers) == 0 {
 		return nil
--- a/internal/standin/load/client.go
+++ b/internal/standin/load/client.go
@@ -15,75 +15,78 @@
 )
 
 const (
-	// readKeys is the number of keys that reads ask for.
+	// readKeys is the number of different keys that reads use.
 	readKeys = 1000
-	// reconnectPause is the time between tries to connect, so that a server
-	// that is gone is not flooded.
+	// reconnectPause is the time between attempts to connect, so that the clients
+	// do not overload a server that is unavailable.
 	reconnectPause = 20 * time.Millisecond
 )
 
-// client sends the statements of one kind, one after the other.
+// client sends statements of one kind sequentially.
 type client struct {
-	run     *run
-	kind    Kind
-	index   int
-	session *session
-	random  *rand.Rand
-	turn    int
-	tally   tally
-	// told holds the outcome of each ledger entry that was sent.
-	told map[string]outcome
+	run          *run
+	kind         Kind
+	index        int
+	session      *session
+	random       *rand.Rand
+	addressIndex int
+	tally        tally
+	// outcomes holds the outcome of the write of each ledger entry, by entry.
+	outcomes map[string]outcome
 }
 
 func newClient(r *run, kind Kind, index int) *client {
 	return &client{
-		run:     r,
-		kind:    kind,
-		index:   index,
-		session: newSession(r.options),
-		random:  rand.New(rand.NewPCG(r.options.Seed, uint64(index)|1<<32)),
-		turn:    index,
-		tally:   newTally(),
-		told:    map[string]outcome{},
+		run:          r,
+		kind:         kind,
+		index:        index,
+		session:      newSession(r.options),
+		random:       rand.New(rand.NewPCG(r.options.Seed, uint64(index)|1<<32)),
+		addressIndex: index,
+		tally:        newTally(),
+		outcomes:     map[string]outcome{},
 	}
 }
 
-// serve sends a statement for each arrival, or one after the other where
-// arrivals is nil, until stop ends. A statement in progress then still ends.
-func (c *client) serve(ctx, stop context.Context, arrivals <-chan time.Time) {
+// sendStatements sends a statement for each arrival, or, where arrivals is nil, the
+// next one as soon as the previous one ends. It returns after offerCtx has ended and
+// the statement in progress is answered.
+func (c *client) sendStatements(ctx, offerCtx context.Context, arrivals <-chan time.Time) {
 	defer c.session.close()
 	for {
-		arrived, ok := next(stop, arrivals)
+		arrivedAt, ok := awaitArrival(offerCtx, arrivals)
 		if !ok {
 			return
 		}
 		c.tally.Offered++
-		expired := c.kind.Deadline > 0 && time.Since(arrived) >= c.kind.Deadline
-		if expired || stop.Err() != nil {
+		expired := c.kind.Deadline > 0 && time.Since(arrivedAt) >= c.kind.Deadline
+		if expired || offerCtx.Err() != nil {
 			c.tally.count(outcomeNotRun, causeUnsent)
 			continue
 		}
-		c.send(ctx, stop, arrived)
+		c.sendStatement(ctx, offerCtx, arrivedAt)
 	}
 }
 
-// next returns the time of the next arrival.
-func next(stop context.Context, arrivals <-chan time.Time) (time.Time, bool) {
+// awaitArrival waits for the next arrival and returns its time. The boolean is false if
+// there are no more arrivals.
+func awaitArrival(offerCtx context.Context, arrivals <-chan time.Time) (time.Time, bool) {
 	if arrivals == nil {
-		return time.Now(), stop.Err() == nil
+		return time.Now(), offerCtx.Err() == nil
 	}
-	arrived, ok := <-arrivals
-	return arrived, ok
+	arrivedAt, ok := <-arrivals
+	return arrivedAt, ok
 }
 
-// send sends one statement and counts its outcome.
-func (c *client) send(ctx, stop context.Context, arrived time.Time) {
+// sendStatement sends one statement and counts its outcome and, if it succeeded, its
+// latency since arrivedAt.
+func (c *client) sendStatement(ctx, offerCtx context.Context, arrivedAt time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, c.run.options.StatementTimeout)
 	defer cancel()
 	conn, err := c.session.conn(ctx, c.address())
 	if err != nil {
-		c.tally.count(outcomeNotRun, classifyConnect(err))
-		task.Sleep(stop, reconnectPause)
+		c.tally.count(outcomeNotRun, connectCause(err))
+		task.Sleep(offerCtx, reconnectPause)
 		return
 	}
 	if c.kind.Access == model.AccessRead {
@@ -96,31 +99,32 @@
 	if result != outcomeDone {
 		return
 	}
-	c.session.learn(conn)
-	ended := time.Now()
-	c.tally.measure(ended.Sub(arrived), c.kind.Target)
+	c.session.updateToken(conn)
+	endedAt := time.Now()
+	c.tally.recordLatency(endedAt.Sub(arrivedAt), c.kind.Target)
 	if c.kind.Access == model.AccessWrite {
-		c.run.writes.succeeded(ended)
+		c.run.writeGaps.recordSuccess(endedAt)
 	}
 }
 
-// address returns the address for the next statement.
+// address returns the address to which the next statement is sent.
 func (c *client) address() netip.AddrPort {
 	addresses := c.run.options.Addresses
 	if c.run.options.Direct && c.kind.Access == model.AccessWrite {
 		return addresses[0]
 	}
 	if c.run.options.RotateAddresses {
-		c.turn++
+		c.addressIndex++
 	}
-	return addresses[c.turn%len(addresses)]
+	return addresses[c.addressIndex%len(addresses)]
 }
 
 // -----------------------------------------------------------------------------
 // Statements.
 
+// read reads a random key.
 func (c *client) read(ctx context.Context, conn *pgx.Conn) error {
-	sql := c.session.commented("SELECT value FROM kv WHERE key = $1", c.kind)
+	sql := c.session.withComment("SELECT value FROM kv WHERE key = $1", c.kind)
 	key := fmt.Sprintf("key-%d", c.random.IntN(readKeys))
 	rows, err := conn.Query(ctx, sql, key)
 	if err != nil {
@@ -130,11 +134,11 @@
 	return errors.Wrap(err, "read")
 }
 
-// write appends an entry that no other write uses, and keeps its outcome.
+// write appends a unique entry to the ledger and records its outcome.
 func (c *client) write(ctx context.Context, conn *pgx.Conn) error {
-	sql := c.session.commented("INSERT INTO ledger (entry) VALUES ($1)", c.kind)
-	entry := fmt.Sprintf("%s-%s-%d-%d", c.run.prefix, c.kind.Name, c.index, len(c.told))
+	sql := c.session.withComment("INSERT INTO ledger (entry) VALUES ($1)", c.kind)
+	entry := fmt.Sprintf("%s-%s-%d-%d", c.run.entryPrefix, c.kind.Name, c.index, len(c.outcomes))
 	_, err := conn.Exec(ctx, sql, entry)
-	c.told[entry], _ = classify(err, c.kind.Access)
+	c.outcomes[entry], _ = classify(err, c.kind.Access)
 	return errors.Wrap(err, "write")
 }
--- a/internal/standin/load/compare.go
+++ b/internal/standin/load/compare.go
@@ -15,21 +15,21 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/database"
 )
 
-// Comparison counts how the ledger of a group's primary differs from what the
-// clients were told.
+// Comparison counts the differences between the ledger of a group's primary and the
+// outcomes that the clients received.
 type Comparison struct {
 	// Acknowledged counts the entries whose writes were acknowledged.
 	Acknowledged int `json:"acknowledged"`
-	// Lost counts those that are not in the ledger.
+	// Lost counts the acknowledged entries that are missing from the ledger.
 	Lost int `json:"lost"`
-	// Duplicated counts the entries that stand there more than once.
+	// Duplicated counts the entries that are in the ledger more than once.
 	Duplicated int `json:"doubled"`
-	// UnexpectedlyCommitted counts the entries that stand there although the client was told
-	// that they were not committed.
+	// UnexpectedlyCommitted counts the entries that are in the ledger although the
+	// client received an error that says that they were not committed.
 	UnexpectedlyCommitted int `json:"ghosts"`
 }
 
-// NoPrimaryError reports that no database of a comparison is primary.
+// NoPrimaryError reports that none of the databases at the admin addresses is primary.
 type NoPrimaryError struct{ Addresses []netip.AddrPort }
 
 // Error implements error.
@@ -37,7 +37,7 @@
 	return fmt.Sprintf("none of the databases at %v is primary", e.Addresses)
 }
 
-// HTTPStatusError reports an HTTP answer other than 200.
+// HTTPStatusError reports an HTTP response with an unexpected status.
 type HTTPStatusError struct {
 	URL    string
 	Status int
@@ -46,11 +46,12 @@
 // Error implements error.
 func (e *HTTPStatusError) Error() string { return fmt.Sprintf("%s answered %d", e.URL, e.Status) }
 
-// adminTimeout bounds a question to a database's admin address: one that is
-// frozen never answers.
+// adminTimeout bounds a request to a database's admin address, since a frozen database
+// never answers.
 const adminTimeout = 2 * time.Second
 
-// compare reads the ledger of the primary and compares it.
+// compare reads the ledger of the primary and compares it with the outcomes of all
+// clients. Its error is a *NoPrimaryError where no database is primary.
 func (r *run) compare(ctx context.Context) (*Comparison, error) {
 	primary, err := findPrimary(ctx, r.options.AdminAddresses)
 	if err != nil {
@@ -60,49 +61,50 @@
 	if err := getJSON(ctx, primary, "/content", &content); err != nil {
 		return nil, err
 	}
-	told := map[string]outcome{}
+	outcomes := map[string]outcome{}
 	for _, c := range r.clients {
-		for entry, result := range c.told {
-			told[entry] = result
+		for entry, result := range c.outcomes {
+			outcomes[entry] = result
 		}
 	}
-	compared := compareLedger(told, r.prefix, content.Ledger)
-	return &compared, nil
+	comparison := compareLedger(outcomes, r.entryPrefix, content.Ledger)
+	return &comparison, nil
 }
 
-// compareLedger compares a ledger with what clients were told of the entries
-// that begin with a prefix.
-func compareLedger(told map[string]outcome, prefix string, ledger []string) Comparison {
+// compareLedger compares the entries of a ledger that begin with a prefix with the
+// outcomes that the clients received.
+func compareLedger(outcomes map[string]outcome, prefix string, ledger []string) Comparison {
 	counts := map[string]int{}
 	for _, entry := range ledger {
 		if strings.HasPrefix(entry, prefix) {
 			counts[entry]++
 		}
 	}
-	var compared Comparison
-	for entry, result := range told {
-		isThere := counts[entry] > 0
+	var comparison Comparison
+	for entry, result := range outcomes {
+		isInLedger := counts[entry] > 0
 		switch {
 		case result == outcomeDone:
-			compared.Acknowledged++
-			if !isThere {
-				compared.Lost++
+			comparison.Acknowledged++
+			if !isInLedger {
+				comparison.Lost++
 			}
-		case result != outcomeUnknown && isThere:
-			compared.UnexpectedlyCommitted++
+		case result != outcomeUnknown && isInLedger:
+			comparison.UnexpectedlyCommitted++
 		}
 	}
 	for _, count := range counts {
 		if count > 1 {
-			compared.Duplicated++
+			comparison.Duplicated++
 		}
 	}
-	return compared
+	return comparison
 }
 
-// findPrimary returns the admin address of the primary with the highest term.
+// findPrimary returns the admin address of the database that is primary in the highest
+// term. Its error is a *NoPrimaryError.
 func findPrimary(ctx context.Context, admins []netip.AddrPort) (netip.AddrPort, error) {
-	var found netip.AddrPort
+	var primary netip.AddrPort
 	var highest model.Term
 	for _, admin := range admins {
 		var state struct {
@@ -110,19 +112,20 @@
 			Term model.Term `json:"term"`
 		}
 		if getJSON(ctx, admin, "/state", &state) != nil {
-			// A database that is gone can't be the primary that counts.
+			// An unreachable database cannot be the current primary.
 			continue
 		}
 		if state.Role == model.RolePrimary.String() && state.Term > highest {
-			found, highest = admin, state.Term
+			primary, highest = admin, state.Term
 		}
 	}
-	if !found.IsValid() {
-		return found, &NoPrimaryError{Addresses: admins}
+	if !primary.IsValid() {
+		return primary, &NoPrimaryError{Addresses: admins}
 	}
-	return found, nil
+	return primary, nil
 }
 
+// getJSON decodes the JSON document at a path of a database's admin address into value.
 func getJSON(ctx context.Context, admin netip.AddrPort, path string, value any) error {
 	ctx, cancel := context.WithTimeout(ctx, adminTimeout)
 	defer cancel()
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -27,12 +27,12 @@
 }
 
 var (
-	post  = Kind{Name: "post", Access: model.AccessWrite, Rate: 500}
-	check = Kind{Name: "check", Access: model.AccessRead, Rate: 500}
+	postKind  = Kind{Name: "post", Access: model.AccessWrite, Rate: 500}
+	checkKind = Kind{Name: "check", Access: model.AccessRead, Rate: 500}
 )
 
-// start runs a database until the end of the test.
-func start(t *testing.T, options database.Options) *database.Database {
+// startDatabase runs a database until the end of the test.
+func startDatabase(t *testing.T, options database.Options) *database.Database {
 	t.Helper()
 	loopback := netip.MustParseAddrPort("127.0.0.1:0")
 	options.Listen, options.AdminListen = loopback, loopback
@@ -52,17 +52,17 @@
 	return db
 }
 
-// newRun returns a run straight against databases, the primary first.
-func newRun(databases ...*database.Database) *run {
+// newTestRun returns a run that connects directly to databases, the primary first.
+func newTestRun(databases ...*database.Database) *run {
 	options := Options{
-		Group: "ratings", User: "load", Kinds: []Kind{post, check}, Connections: 2,
+		Group: "ratings", User: "load", Kinds: []Kind{postKind, checkKind}, Connections: 2,
 		Duration: 50 * time.Millisecond, StatementTimeout: time.Minute, Seed: 1, Direct: true,
 	}
 	for _, db := range databases {
 		options.Addresses = append(options.Addresses, db.Address())
 		options.AdminAddresses = append(options.AdminAddresses, db.AdminAddress())
 	}
-	return &run{options: options, prefix: "run"}
+	return &run{options: options, entryPrefix: "run"}
 }
 
 // -----------------------------------------------------------------------------
@@ -74,7 +74,7 @@
 		want Kind
 		ok   bool
 	}{
-		{"post=write:500/s", post, true},
+		{"post=write:500/s", postKind, true},
 		{"check=read:0.5/s", Kind{Name: "check", Access: model.AccessRead, Rate: 0.5}, true},
 		{"post=500/s", Kind{}, false},
 		{"post=delete:500/s", Kind{}, false},
@@ -94,7 +94,7 @@
 }
 
 func TestClassify(t *testing.T) {
-	answered := func(code, message string) error {
+	serverError := func(code, message string) error {
 		return errors.Wrap(&pgconn.PgError{Code: code, Message: message}, "write")
 	}
 	cases := []struct {
@@ -105,9 +105,9 @@
 		cause  string
 	}{
 		{"done", nil, model.AccessWrite, outcomeDone, ""},
-		{"refused", answered("53000", "not run: overloaded"), model.AccessWrite, outcomeNotRun, "53000"},
-		{"unknown", answered("08007", "outcome unknown"), model.AccessWrite, outcomeUnknown, "08007"},
-		{"failed", answered("58030", "input or output error"), model.AccessWrite, outcomeFailed, "58030"},
+		{"refused", serverError("53000", "not run: overloaded"), model.AccessWrite, outcomeNotRun, "53000"},
+		{"unknown", serverError("08007", "outcome unknown"), model.AccessWrite, outcomeUnknown, "08007"},
+		{"failed", serverError("58030", "input or output error"), model.AccessWrite, outcomeFailed, "58030"},
 		{"write broken", context.Canceled, model.AccessWrite, outcomeUnknown, causeBroken},
 		{"write timeout", errors.Wrap(context.DeadlineExceeded, "write"), model.AccessWrite, outcomeUnknown, causeTimeout},
 		{"read broken", context.Canceled, model.AccessRead, outcomeFailed, causeBroken},
@@ -122,27 +122,27 @@
 }
 
 func TestCompareLedger(t *testing.T) {
-	told := map[string]outcome{
-		"run-kept":    outcomeDone,
-		"run-lost":    outcomeDone,
-		"run-doubled": outcomeDone,
-		"run-ghost":   outcomeNotRun,
-		"run-failed":  outcomeFailed,
-		"run-maybe":   outcomeUnknown,
-		"run-refused": outcomeNotRun,
+	outcomes := map[string]outcome{
+		"run-kept":       outcomeDone,
+		"run-lost":       outcomeDone,
+		"run-duplicated": outcomeDone,
+		"run-unexpected": outcomeNotRun,
+		"run-failed":     outcomeFailed,
+		"run-unknown":    outcomeUnknown,
+		"run-refused":    outcomeNotRun,
 	}
-	ledger := []string{"run-kept", "run-doubled", "run-doubled", "run-ghost", "run-failed", "run-maybe", "other", "other"}
-	equal(t, Comparison{Acknowledged: 3, Lost: 1, Duplicated: 1, UnexpectedlyCommitted: 2}, compareLedger(told, "run", ledger))
+	ledger := []string{"run-kept", "run-duplicated", "run-duplicated", "run-unexpected", "run-failed", "run-unknown", "other", "other"}
+	equal(t, Comparison{Acknowledged: 3, Lost: 1, Duplicated: 1, UnexpectedlyCommitted: 2}, compareLedger(outcomes, "run", ledger))
 }
 
 // -----------------------------------------------------------------------------
 // Runs.
 
-func TestRunAddsUp(t *testing.T) {
-	db := start(t, database.Options{Name: "a", Group: "ratings", Primary: true})
-	for _, closed := range []bool{false, true} {
-		options := newRun(db).options
-		options.ClosedLoop = closed
+func TestRunReportAddsUp(t *testing.T) {
+	db := startDatabase(t, database.Options{Name: "a", Group: "ratings", Primary: true})
+	for _, closedLoop := range []bool{false, true} {
+		options := newTestRun(db).options
+		options.ClosedLoop = closedLoop
 		options.ConsistencyCheckers = 1
 		report, err := Run(t.Context(), options)
 		if err != nil {
@@ -159,25 +159,25 @@
 }
 
 func TestClientCountsOutcomes(t *testing.T) {
-	db := start(t, database.Options{Name: "a", Group: "ratings", Primary: true})
-	r := newRun(db)
-	c := newClient(r, post, 0)
+	db := startDatabase(t, database.Options{Name: "a", Group: "ratings", Primary: true})
+	r := newTestRun(db)
+	c := newClient(r, postKind, 0)
 	t.Cleanup(c.session.close)
-	c.send(t.Context(), t.Context(), time.Now())
+	c.sendStatement(t.Context(), t.Context(), time.Now())
 	db.SetFault(database.FaultFailStatements{Share: 1})
-	c.send(t.Context(), t.Context(), time.Now())
+	c.sendStatement(t.Context(), t.Context(), time.Now())
 	db.SetFault(database.FaultNone{})
-	c.send(t.Context(), t.Context(), time.Now())
+	c.sendStatement(t.Context(), t.Context(), time.Now())
 	equal(t, int64(2), c.tally.Done)
 	equal(t, map[string]int64{"58030": 1}, c.tally.causes)
-	equal(t, map[string]outcome{"run-post-0-0": outcomeDone, "run-post-0-1": outcomeFailed, "run-post-0-2": outcomeDone}, c.told)
+	equal(t, map[string]outcome{"run-post-0-0": outcomeDone, "run-post-0-1": outcomeFailed, "run-post-0-2": outcomeDone}, c.outcomes)
 	equal(t, []string{"run-post-0-0", "run-post-0-2"}, db.Content().Ledger)
 }
 
-func TestCheckerSeesStaleReads(t *testing.T) {
-	a := start(t, database.Options{Name: "a", Group: "ratings", Primary: true})
-	b := start(t, database.Options{Name: "b", Group: "ratings", Source: a.Address(), ApplyLag: time.Hour})
-	c := newChecker(newRun(a, b), 0)
+func TestCheckerCountsStaleReads(t *testing.T) {
+	a := startDatabase(t, database.Options{Name: "a", Group: "ratings", Primary: true})
+	b := startDatabase(t, database.Options{Name: "b", Group: "ratings", Source: a.Address(), ApplyLag: time.Hour})
+	c := newChecker(newTestRun(a, b), 0)
 	t.Cleanup(c.session.close)
 	equal(t, true, c.write(t.Context(), 0, true))
 	c.read(t.Context(), 1)
@@ -190,19 +190,19 @@
 	equal(t, CheckReport{Checks: 2, Violations: 1}, c.report)
 }
 
-func TestComments(t *testing.T) {
+func TestStatementComments(t *testing.T) {
 	kind := Kind{Name: "post", Deadline: 2 * time.Second}
 	s := newSession(Options{RotateAddresses: true})
-	equal(t, "SELECT 1 /*kind='post',deadline='2s'*/", s.commented("SELECT 1", kind))
+	equal(t, "SELECT 1 /*kind='post',deadline='2s'*/", s.withComment("SELECT 1", kind))
 	s.token = model.Token{Group: "ratings", Position: model.Position{Term: 3, Offset: 14}}
-	equal(t, "SELECT 1 /*kind='post',deadline='2s',token='ratings%2F3:14'*/", s.commented("SELECT 1", kind))
+	equal(t, "SELECT 1 /*kind='post',deadline='2s',token='ratings%2F3:14'*/", s.withComment("SELECT 1", kind))
 }
 
 // -----------------------------------------------------------------------------
 // The report.
 
 func TestGapCountsFromTheStartToTheEnd(t *testing.T) {
-	start := time.Unix(100, 0)
+	startedAt := time.Unix(100, 0)
 	cases := []struct {
 		name      string
 		successes []time.Duration
@@ -217,30 +217,30 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := gapMeter{last: start, until: start.Add(10 * time.Second)}
-			for _, at := range c.successes {
-				g.succeeded(start.Add(at))
+			meter := gapMeter{lastSuccess: startedAt, measurementEnd: startedAt.Add(10 * time.Second)}
+			for _, offset := range c.successes {
+				meter.recordSuccess(startedAt.Add(offset))
 			}
-			g.succeeded(g.until)
-			equal(t, c.want, g.longest)
+			meter.recordSuccess(meter.measurementEnd)
+			equal(t, c.want, meter.longest)
 		})
 	}
 }
 
 func TestReportGolden(t *testing.T) {
-	r := newRun()
-	start := time.Unix(100, 0)
-	r.writes = gapMeter{last: start, until: start.Add(10 * time.Second)}
-	c := newClient(r, post, 0)
+	r := newTestRun()
+	startedAt := time.Unix(100, 0)
+	r.writeGaps = gapMeter{lastSuccess: startedAt, measurementEnd: startedAt.Add(10 * time.Second)}
+	c := newClient(r, postKind, 0)
 	for i := range 4 {
 		c.tally.Offered++
 		c.tally.count(outcomeDone, "")
-		c.tally.measure(time.Duration(i+1)*time.Millisecond, 2*time.Millisecond)
-		r.writes.succeeded(start.Add(time.Duration(i*i) * time.Second))
+		c.tally.recordLatency(time.Duration(i+1)*time.Millisecond, 2*time.Millisecond)
+		r.writeGaps.recordSuccess(startedAt.Add(time.Duration(i*i) * time.Second))
 	}
 	c.tally.Offered++
 	c.tally.count(outcomeUnknown, "08007")
-	c.told["run-post-0-0"] = outcomeDone
+	c.outcomes["run-post-0-0"] = outcomeDone
 	r.clients = append(r.clients, c)
 	report := r.report(10 * time.Second)
 	report.Check = &CheckReport{Checks: 5}
--- a/internal/standin/load/outcome.go
+++ b/internal/standin/load/outcome.go
@@ -10,25 +10,25 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// outcome is what a client was told of a statement.
+// outcome is the outcome of a statement as the client knows it.
 type outcome int
 
 // The values of outcome.
 const (
-	// outcomeDone: it was answered.
+	// outcomeDone: the statement succeeded.
 	outcomeDone outcome = iota
-	// outcomeNotRun: it was refused, or never sent.
+	// outcomeNotRun: the statement was rejected before it ran, or never sent.
 	outcomeNotRun
-	// outcomeUnknown: a write may have been committed or not.
+	// outcomeUnknown: it is unknown whether a write was committed.
 	outcomeUnknown
-	// outcomeFailed: it was answered by another error, and committed nothing.
+	// outcomeFailed: the statement failed with another error and committed nothing.
 	outcomeFailed
 )
 
 const (
-	// unknownState is the SQLSTATE of an unknown outcome.
-	unknownState = "08007"
-	// notRunPrefix begins the message of each error that says that a
+	// unknownOutcomeState is the SQLSTATE of an unknown outcome.
+	unknownOutcomeState = "08007"
+	// notRunPrefix is the prefix of the messages of all errors that say that a
 	// statement did not run.
 	notRunPrefix = "not run:"
 )
@@ -41,15 +41,16 @@
 	causeBroken  = "broken"
 )
 
-// classify tells the outcome of a statement that was given to a connection,
-// and the SQLSTATE or other cause where it was not done.
+// classify returns the outcome of a statement that was passed to a connection. If the
+// statement did not succeed, it also returns the SQLSTATE or another cause. A broken
+// connection or a timeout makes the outcome of a write unknown.
 func classify(err error, access model.Access) (outcome, string) {
-	var answered *pgconn.PgError
+	var pgErr *pgconn.PgError
 	switch {
 	case err == nil:
 		return outcomeDone, ""
-	case errors.As(err, &answered):
-		return classifyAnswer(answered), answered.Code
+	case errors.As(err, &pgErr):
+		return classifyPgError(pgErr), pgErr.Code
 	case pgconn.SafeToRetry(err):
 		return outcomeNotRun, causeUnsent
 	}
@@ -63,21 +64,24 @@
 	return outcomeUnknown, cause
 }
 
-func classifyAnswer(answered *pgconn.PgError) outcome {
+// classifyPgError returns the outcome of a statement that the server answered with an
+// error.
+func classifyPgError(pgErr *pgconn.PgError) outcome {
 	switch {
-	case answered.Code == unknownState:
+	case pgErr.Code == unknownOutcomeState:
 		return outcomeUnknown
-	case strings.HasPrefix(answered.Message, notRunPrefix):
+	case strings.HasPrefix(pgErr.Message, notRunPrefix):
 		return outcomeNotRun
 	}
 	return outcomeFailed
 }
 
-// classifyConnect tells the cause of a connection that could not be opened.
-func classifyConnect(err error) string {
-	var answered *pgconn.PgError
-	if errors.As(err, &answered) {
-		return answered.Code
+// connectCause returns the cause for which a connection could not be opened: the
+// SQLSTATE if the server sent one, or causeConnect.
+func connectCause(err error) string {
+	var pgErr *pgconn.PgError
+	if errors.As(err, &pgErr) {
+		return pgErr.Code
 	}
 	return causeConnect
 }
--- a/internal/standin/load/report.go
+++ b/internal/standin/load/report.go
@@ -10,26 +10,28 @@
 // -----------------------------------------------------------------------------
 // Counting.
 
-// tally counts the outcomes of one client.
+// tally counts the outcomes and latencies of one client's statements.
 type tally struct {
 	Offered, Done, NotRun, Unknown, Failed, InTarget int64
-	// causes counts what was not done, by SQLSTATE or other cause.
+	// causes counts the statements that did not succeed, by SQLSTATE or other cause.
 	causes map[string]int64
-	// latencies holds times in microseconds.
+	// latencies holds the latencies of successful statements in microseconds.
 	latencies *hdrhistogram.Histogram
 }
 
 const (
-	// latencyLimit is the greatest latency that is told apart.
-	latencyLimit = 10 * time.Minute
-	// latencyDigits is the number of significant digits of latencies.
-	latencyDigits = 3
+	// maxLatency is the greatest latency that is recorded; longer ones are recorded
+	// as this value.
+	maxLatency = 10 * time.Minute
+	// latencyPrecision is the number of significant decimal digits of recorded
+	// latencies.
+	latencyPrecision = 3
 )
 
 func newTally() tally {
 	return tally{
 		causes:    map[string]int64{},
-		latencies: hdrhistogram.New(1, latencyLimit.Microseconds(), latencyDigits),
+		latencies: hdrhistogram.New(1, maxLatency.Microseconds(), latencyPrecision),
 	}
 }
 
@@ -48,8 +50,8 @@
 	t.causes[cause]++
 }
 
-func (t *tally) measure(latency, target time.Duration) {
-	_ = t.latencies.RecordValue(min(latency, latencyLimit).Microseconds())
+func (t *tally) recordLatency(latency, target time.Duration) {
+	_ = t.latencies.RecordValue(min(latency, maxLatency).Microseconds())
 	if target > 0 && latency <= target {
 		t.InTarget++
 	}
@@ -70,70 +72,74 @@
 
 // gapMeter measures the longest time between successful writes.
 type gapMeter struct {
-	mu      sync.Mutex
-	last    time.Time
-	longest time.Duration
-	// until is the end of what is measured.
-	until time.Time
+	mu          sync.Mutex
+	lastSuccess time.Time
+	longest     time.Duration
+	// measurementEnd is the time at which the measurement ends.
+	measurementEnd time.Time
 }
 
-func (g *gapMeter) succeeded(at time.Time) {
+// recordSuccess records a successful write. Times after measurementEnd count as
+// measurementEnd; times before the last recorded one are ignored.
+func (g *gapMeter) recordSuccess(at time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if at.After(g.until) {
-		at = g.until
+	if at.After(g.measurementEnd) {
+		at = g.measurementEnd
 	}
-	if at.After(g.last) {
-		g.longest = max(g.longest, at.Sub(g.last))
-		g.last = at
+	if at.After(g.lastSuccess) {
+		g.longest = max(g.longest, at.Sub(g.lastSuccess))
+		g.lastSuccess = at
 	}
 }
 
 // -----------------------------------------------------------------------------
 // The report.
 
-// Report is what a run measured. Its JSON form is one line.
+// Report is the result of a run.
 type Report struct {
-	// Seconds is the time for which work was offered.
+	// Seconds is the time for which load was offered.
 	Seconds float64 `json:"seconds"`
-	// Rate is the number of statements done a second.
+	// Rate is the number of successful statements per second.
 	Rate float64 `json:"rate"`
 	// LongestWriteGap is the longest time between successful writes, in milliseconds,
-	// counting from the start and to the end of the offer; zero where nothing
-	// was written. Answers that come after the offer's end do not lengthen it.
+	// including the time from the start to the first one and from the last one to the
+	// end of the offered load. It is zero if nothing was written. Answers that arrive
+	// after the offered load has ended do not increase it.
 	LongestWriteGap float64               `json:"gap"`
 	Kinds           map[string]KindReport `json:"kinds"`
-	// Check is there where read-your-writes was checked.
+	// Check is present if read-your-writes was checked.
 	Check *CheckReport `json:"check,omitempty"`
-	// Comparison is there where the databases' content was compared.
+	// Comparison is present if the content of the databases was compared.
 	Comparison *Comparison `json:"comparison,omitempty"`
 }
 
-// KindReport is what a run measured of one kind of work.
+// KindReport is the result of a run for one request kind. Its counts are those of
+// statements.
 type KindReport struct {
 	Offered int64 `json:"offered"`
 	Done    int64 `json:"done"`
 	NotRun  int64 `json:"notrun"`
 	Unknown int64 `json:"unknown"`
 	Failed  int64 `json:"failed"`
-	// InTarget counts the statements done within the target.
+	// InTarget counts the statements that succeeded within the target.
 	InTarget int64 `json:"target"`
-	// Causes counts what was not done, by SQLSTATE or other cause.
+	// Causes counts the statements that did not succeed, by SQLSTATE or other cause.
 	Causes map[string]int64 `json:"causes"`
-	// Rate is the number of statements done a second.
+	// Rate is the number of successful statements per second.
 	Rate float64 `json:"rate"`
-	// Latency is that of the statements done, from their arrival.
+	// Latency is the latency of successful statements, counted from their arrival.
 	Latency Latency `json:"latency"`
 }
 
-// Latency sums up a distribution, in milliseconds.
+// Latency summarizes a distribution of latencies, in milliseconds.
 type Latency struct {
 	P50 float64 `json:"p50"`
 	P99 float64 `json:"p99"`
 	Max float64 `json:"max"`
 }
 
-// report adds up what the clients have counted.
+// report sums up the tallies of all clients. The comparison is added by Run.
 func (r *run) report(elapsed time.Duration) Report {
 	report := Report{Seconds: elapsed.Seconds(), Kinds: map[string]KindReport{}}
 	tallies := map[string]tally{}
@@ -144,8 +150,8 @@
 		}
 		sum.add(c.tally)
 		tallies[c.kind.Name] = sum
-		if len(c.told) > 0 {
-			report.LongestWriteGap = milliseconds(r.writes.longest)
+		if len(c.outcomes) > 0 {
+			report.LongestWriteGap = milliseconds(r.writeGaps.longest)
 		}
 	}
 	for name, sum := range tallies {
--- a/internal/standin/load/session.go
+++ b/internal/standin/load/session.go
@@ -13,7 +13,7 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// Names that the proxy knows.
+// Names of startup parameters and settings of the proxy, and the application name.
 const (
 	settingToken   = "eelgrassfold.token"
 	settingRoaming = "eelgrassfold.roaming"
@@ -23,8 +23,8 @@
 // -----------------------------------------------------------------------------
 // Connections.
 
-// session is a caller's session over one connection to each address that it
-// uses. It carries the session token from one to the other.
+// session is a caller's session with one connection to each address that it uses. It
+// carries the session token from one connection to another.
 type session struct {
 	options Options
 	conns   map[netip.AddrPort]*pgx.Conn
@@ -35,7 +35,7 @@
 	return &session{options: options, conns: map[netip.AddrPort]*pgx.Conn{}}
 }
 
-// conn returns an open connection to an address.
+// conn returns an open connection to an address, and connects if there is none.
 func (s *session) conn(ctx context.Context, address netip.AddrPort) (*pgx.Conn, error) {
 	if conn := s.conns[address]; conn != nil && !conn.IsClosed() {
 		return conn, nil
@@ -52,15 +52,17 @@
 	return conn, nil
 }
 
+// config returns the configuration of a new connection, with the current session token
+// among its startup parameters.
 func (s *session) config(address netip.AddrPort) (*pgx.ConnConfig, error) {
-	place := url.URL{
+	connectionURL := url.URL{
 		Scheme:   "postgres",
 		User:     url.UserPassword(s.options.User, s.options.Password),
 		Host:     address.String(),
 		Path:     "/" + string(s.options.Group),
 		RawQuery: "sslmode=disable",
 	}
-	config, err := pgx.ParseConfig(place.String())
+	config, err := pgx.ParseConfig(connectionURL.String())
 	if err != nil {
 		return nil, errors.Wrap(err, "connection settings")
 	}
@@ -75,15 +77,16 @@
 	case s.options.SimpleProtocol:
 		config.DefaultQueryExecMode = pgx.QueryExecModeSimpleProtocol
 	case s.options.RotateAddresses:
-		// The comments differ from statement to statement, so preparing them
-		// would be in vain.
+		// The comment differs between statements, so a prepared statement would
+		// never be used again.
 		config.DefaultQueryExecMode = pgx.QueryExecModeExec
 	}
 	return config, nil
 }
 
-// learn takes the session token that a connection reports, where it is newer.
-func (s *session) learn(conn *pgx.Conn) {
+// updateToken replaces the session token by the one that a connection reports, if that
+// one is newer.
+func (s *session) updateToken(conn *pgx.Conn) {
 	reported := conn.PgConn().ParameterStatus(settingToken)
 	if reported == "" {
 		return
@@ -102,22 +105,24 @@
 	}
 }
 
-// closeTimeout bounds the time that a connection's end may take.
+// closeTimeout bounds the time that closing a connection may take.
 const closeTimeout = time.Second
 
 // -----------------------------------------------------------------------------
 // Comments.
 
-// commented appends a comment in the sqlcommenter form to a statement.
-func (s *session) commented(sql string, kind Kind) string {
-	pairs := []string{pair("kind", kind.Name)}
+// withComment appends a comment in the sqlcommenter form to a statement. The comment
+// holds the kind, the deadline and, if addresses rotate, the session token.
+func (s *session) withComment(sql string, kind Kind) string {
+	pairs := []string{commentPair("kind", kind.Name)}
 	if kind.Deadline > 0 {
-		pairs = append(pairs, pair("deadline", kind.Deadline.String()))
+		pairs = append(pairs, commentPair("deadline", kind.Deadline.String()))
 	}
 	if s.options.RotateAddresses && !s.token.Position.IsZero() {
-		pairs = append(pairs, pair("token", s.token.String()))
+		pairs = append(pairs, commentPair("token", s.token.String()))
 	}
 	return sql + " /*" + strings.Join(pairs, ",") + "*/"
 }
 
-func pair(key, value string) string { return key + "='" + url.PathEscape(value) + "'" }
+// commentPair formats one key and value of a comment.
+func commentPair(key, value string) string { return key + "='" + url.PathEscape(value) + "'" }
--- a/internal/standin/proof/case_operator_test.go
+++ b/internal/standin/proof/case_operator_test.go
@@ -18,82 +18,82 @@
 
 // The exit codes of a submission.
 const (
-	exitDone     = 0
+	exitSuccess  = 0
 	exitConflict = 3
 	exitUnknown  = 5
 )
 
 // submit runs the verb and returns its exit code.
-func (s *stage) submit(in *deploy.Instance, text string, expected uint64) int {
+func (s *scenario) submit(instance *deploy.Instance, text string, expected uint64) int {
 	s.Helper()
 	file := filepath.Join(s.TempDir(), "manifest.toml")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		s.Error(err)
 	}
-	_, err := s.RunOperatorCommand(s.ctx, in, "submit", file, "--expected", fmt.Sprint(expected))
-	return exitOf(err)
+	_, err := s.RunOperatorCommand(s.ctx, instance, "submit", file, "--expected", fmt.Sprint(expected))
+	return exitCode(err)
 }
 
-func exitOf(err error) int {
+func exitCode(err error) int {
 	var failed *deploy.ProcessError
 	if errors.As(err, &failed) {
 		return failed.ExitCode
 	}
-	return exitDone
+	return exitSuccess
 }
 
 // awaitInForce waits until a manifest is in force on each instance.
-func (s *stage) awaitInForce(number uint64, digest string) {
+func (s *scenario) awaitInForce(number uint64, digest string) {
 	s.Helper()
 	s.awaitStatus(fmt.Sprintf("manifest %d in force", number), func(report status.Status) bool {
 		return report.ManifestNumber == number && report.ManifestDigest == digest
 	})
 }
 
-// rivals returns two manifests that differ.
-func (s *stage) rivals(round uint64) []string {
+// competingManifests returns two manifests that differ.
+func (s *scenario) competingManifests(round uint64) []string {
 	return []string{
 		fmt.Sprintf("%s# first, round %d\n", s.ManifestText(), round),
 		fmt.Sprintf("%s# second, round %d\n", s.ManifestText(), round),
 	}
 }
 
-// operatorsRace submits two manifests against the same number at once.
-func operatorsRace(s *stage) {
+// concurrentSubmissions submits two manifests against the same number at once.
+func concurrentSubmissions(s *scenario) {
 	const rounds = 5
 	for number := uint64(1); number <= rounds; number++ {
-		texts := s.rivals(number)
-		exits := make([]int, len(texts))
-		ended := make(chan struct{})
+		texts := s.competingManifests(number)
+		exitCodes := make([]int, len(texts))
+		done := make(chan struct{})
 		for i, text := range texts {
 			go func() {
-				defer func() { ended <- struct{}{} }()
-				exits[i] = s.submit(s.Instances[i], text, number)
+				defer func() { done <- struct{}{} }()
+				exitCodes[i] = s.submit(s.Instances[i], text, number)
 			}()
 		}
 		for range texts {
-			<-ended
+			<-done
 		}
-		s.equal("exit codes", []int{exitDone, exitConflict}, slices.Sorted(slices.Values(exits)))
-		winner := max(0, slices.Index(exits, exitDone))
+		s.checkEqual("exit codes", []int{exitSuccess, exitConflict}, slices.Sorted(slices.Values(exitCodes)))
+		winner := max(0, slices.Index(exitCodes, exitSuccess))
 		s.awaitInForce(number+1, manifest.Digest([]byte(texts[winner])))
 	}
-	s.serves()
+	s.requireService()
 }
 
-// answersLostInSubmission holds what the operator was told against what is in
+// responsesLostInSubmission holds what the operator was told against what is in
 // force afterwards.
-func answersLostInSubmission(s *stage) {
-	texts := s.rivals(1)
-	ended := make(chan int)
-	s.loseWrites(func() {
-		go func() { ended <- s.submit(s.Instances[0], texts[0], 1) }()
+func responsesLostInSubmission(s *scenario) {
+	texts := s.competingManifests(1)
+	exits := make(chan int)
+	s.loseWriteResponses(func() {
+		go func() { exits <- s.submit(s.Instances[0], texts[0], 1) }()
 	})
-	exit := <-ended
-	s.Logf("the submission ended with exit code %d", exit)
+	code := <-exits
+	s.Logf("the submission ended with exit code %d", code)
 	number := uint64(1)
-	switch exit {
-	case exitDone:
+	switch code {
+	case exitSuccess:
 		s.awaitInForce(2, manifest.Digest([]byte(texts[0])))
 		number = 2
 	case exitUnknown:
@@ -102,77 +102,77 @@
 		}
 		number = 2
 	}
-	s.equal("exit code of the next submission", exitDone, s.submit(s.Instances[1], texts[1], number))
+	s.checkEqual("exit code of the next submission", exitSuccess, s.submit(s.Instances[1], texts[1], number))
 	s.awaitInForce(number+1, manifest.Digest([]byte(texts[1])))
-	s.serves()
+	s.requireService()
 }
 
 // restartInOutage starts an instance anew while the platform is down: it has
 // the manifest from its peers.
-func restartInOutage(s *stage) {
-	s.failPlatform("outage")
-	s.under(func() {
+func restartInOutage(s *scenario) {
+	s.injectPlatformFault("outage")
+	s.runUnderLoad(func() {
 		s.Instances[2].Process.Kill()
-		s.must(s.StartInstance(s.Instances[2]))
-		s.must(s.AwaitServing(s.ctx))
+		s.requireNoError(s.StartInstance(s.Instances[2]))
+		s.requireNoError(s.AwaitServing(s.ctx))
 	})
 	s.awaitInForce(1, manifest.Digest([]byte(s.ManifestText())))
-	s.serves()
-	s.failPlatform("none")
-	s.serves()
+	s.requireService()
+	s.injectPlatformFault("none")
+	s.requireService()
 }
 
-// logbookTells prints the change of primary, also while the platform is down.
-func logbookTells(s *stage) {
+// logbookRecordsFailover prints the change of primary, also while the platform is down.
+func logbookRecordsFailover(s *scenario) {
 	s.Databases[0].Process.Kill()
 	primary := s.awaitPromotion()
-	s.wantRecords(primary)
-	s.failPlatform("outage")
-	s.wantRecords(primary)
+	s.checkRecords(primary)
+	s.injectPlatformFault("outage")
+	s.checkRecords(primary)
 }
 
-// wantRecords wants each instance to tell which primary was found at first, and
+// checkRecords wants each instance to tell which primary was found at first, and
 // of the one change since.
-func (s *stage) wantRecords(primary *deploy.Database) {
+func (s *scenario) checkRecords(primary *deploy.Database) {
 	s.Helper()
-	for _, in := range s.Instances {
+	for _, instance := range s.Instances {
 		const wanted = 2
-		s.await("records at "+in.Name, func() bool { return len(s.records(in)) >= wanted })
-		records := s.records(in)
-		s.equal("number of records", wanted, len(records))
-		s.equal("first primary", s.Databases[0].Name, records[0].Primary)
-		s.wantChange(in, records[1], primary)
+		s.await("records at "+instance.Name, func() bool { return len(s.records(instance)) >= wanted })
+		records := s.records(instance)
+		s.checkEqual("number of records", wanted, len(records))
+		s.checkEqual("first primary", s.Databases[0].Name, records[0].Primary)
+		s.checkFailoverRecord(instance, records[1], primary)
 	}
 }
 
-// wantChange wants a record, in JSON and in text, to tell of the change and its
+// checkFailoverRecord wants a record, in JSON and in text, to tell of the change and its
 // evidence.
-func (s *stage) wantChange(in *deploy.Instance, record engine.PromotionRecord, primary *deploy.Database) {
+func (s *scenario) checkFailoverRecord(instance *deploy.Instance, record engine.PromotionRecord, primary *deploy.Database) {
 	s.Helper()
-	s.equal("group", group, record.Group)
-	s.equal("primary before", s.Databases[0].Name, record.PreviousPrimary)
-	s.equal("primary", primary.Name, record.Primary)
-	s.equal("term", s.state(primary).Term, record.Term)
+	s.checkEqual("group", group, record.Group)
+	s.checkEqual("primary before", s.Databases[0].Name, record.PreviousPrimary)
+	s.checkEqual("primary", primary.Name, record.Primary)
+	s.checkEqual("term", s.databaseState(primary).Term, record.Term)
 	if len(record.Evidence) == 0 || len(record.FencedDatabases) < 2 || record.Coordinator == "" || record.PromotedAt.IsZero() {
-		s.Errorf("%s: the record lacks evidence, fences, conductor or time: %+v", in.Name, record)
+		s.Errorf("%s: the record lacks evidence, fences, conductor or time: %+v", instance.Name, record)
 	}
-	out, err := s.RunOperatorCommand(s.ctx, in, "logbook")
-	s.must(err)
+	out, err := s.RunOperatorCommand(s.ctx, instance, "logbook")
+	s.requireNoError(err)
 	for _, wanted := range append([]string{"evidence: ", "reason: ", string(record.Primary)}, record.Evidence...) {
 		if !strings.Contains(out, wanted) {
-			s.Errorf("%s: the logbook does not tell %q:\n%s", in.Name, wanted, out)
+			s.Errorf("%s: the logbook does not tell %q:\n%s", instance.Name, wanted, out)
 		}
 	}
 }
 
 // records returns an instance's logbook from its JSON form.
-func (s *stage) records(in *deploy.Instance) []engine.PromotionRecord {
+func (s *scenario) records(instance *deploy.Instance) []engine.PromotionRecord {
 	s.Helper()
-	out, err := s.RunOperatorCommand(s.ctx, in, "logbook", "--json")
-	s.must(err)
-	var book struct {
+	out, err := s.RunOperatorCommand(s.ctx, instance, "logbook", "--json")
+	s.requireNoError(err)
+	var logbook struct {
 		Records []engine.PromotionRecord `json:"records"`
 	}
-	s.must(json.Unmarshal([]byte(out), &book))
-	return book.Records
+	s.requireNoError(json.Unmarshal([]byte(out), &logbook))
+	return logbook.Records
 }
--- a/internal/standin/proof/case_primary_test.go
+++ b/internal/standin/proof/case_primary_test.go
@@ -7,82 +7,82 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/database"
 )
 
-func primaryKilled(s *stage) {
-	s.under(func() {
+func primaryKilled(s *scenario) {
+	s.runUnderLoad(func() {
 		s.Databases[0].Process.Kill()
 		s.awaitPromotion()
 	})
-	s.serves()
+	s.requireService()
 }
 
 // primaryFrozen thaws the old primary once another is in its place.
-func primaryFrozen(s *stage) {
-	s.under(func() {
-		s.must(s.Databases[0].Process.Pause())
+func primaryFrozen(s *scenario) {
+	s.runUnderLoad(func() {
+		s.requireNoError(s.Databases[0].Process.Pause())
 		s.awaitPromotion()
-		s.must(s.Databases[0].Process.Resume())
+		s.requireNoError(s.Databases[0].Process.Resume())
 	})
-	s.serves()
-	s.awaitOneHistory()
+	s.requireService()
+	s.awaitSameContent()
 }
 
-func primaryIsolated(s *stage) {
-	s.under(func() {
-		s.fail(s.Databases[0], database.FaultRequest{Fault: "isolate", From: []string{
+func primaryIsolated(s *scenario) {
+	s.runUnderLoad(func() {
+		s.injectFault(s.Databases[0], database.FaultRequest{Fault: "isolate", From: []string{
 			string(s.Databases[1].Name), string(s.Databases[2].Name),
 		}})
 		s.awaitPromotion()
-		s.fail(s.Databases[0], database.FaultRequest{Fault: "none"})
+		s.injectFault(s.Databases[0], database.FaultRequest{Fault: "none"})
 	})
-	s.serves()
-	s.awaitOneHistory()
+	s.requireService()
+	s.awaitSameContent()
 }
 
-// awaitOneHistory waits until the old primary follows the new one, and both
+// awaitSameContent waits until the old primary follows the new one, and both
 // hold the same: nothing that only the old one had has come back.
-func (s *stage) awaitOneHistory() {
+func (s *scenario) awaitSameContent() {
 	s.Helper()
 	primary := s.awaitPromotion()
-	before := s.content(primary)
+	before := s.databaseContent(primary)
 	s.await("one history", func() bool {
-		old := s.state(s.Databases[0])
-		return old.Role == "replica" && old.Streaming && cmp.Equal(s.content(primary), s.content(s.Databases[0]))
+		oldPrimary := s.databaseState(s.Databases[0])
+		return oldPrimary.Role == "replica" && oldPrimary.Streaming && cmp.Equal(s.databaseContent(primary), s.databaseContent(s.Databases[0]))
 	})
-	s.equal("the new primary's content", before, s.content(primary))
+	s.checkEqual("the new primary's content", before, s.databaseContent(primary))
 }
 
 // primaryKilledInOutage wants no promotion while the platform, where terms are
 // agreed, is down.
-func primaryKilledInOutage(s *stage) {
-	s.under(func() {
-		s.failPlatform("outage")
+func primaryKilledInOutage(s *scenario) {
+	s.runUnderLoad(func() {
+		s.injectPlatformFault("outage")
 		s.Databases[0].Process.Kill()
 		s.awaitEvent(event.PromotionWaits)
 		for _, d := range s.Databases[1:] {
-			s.equal("a replica in the outage", state{Role: "replica", Term: 1}, s.state(d))
+			s.checkEqual("a replica in the outage", databaseState{Role: "replica", Term: 1}, s.databaseState(d))
 		}
-		s.failPlatform("none")
+		s.injectPlatformFault("none")
 		s.awaitPromotion()
 	})
-	s.serves()
+	s.requireService()
 }
 
-// answersLostInPromotion loses the answer to a claim that has taken effect.
-func answersLostInPromotion(s *stage) {
-	s.under(func() {
-		s.loseWrites(s.Databases[0].Process.Kill)
+// responsesLostInPromotion loses the answer to a claim that has taken effect.
+func responsesLostInPromotion(s *scenario) {
+	s.runUnderLoad(func() {
+		s.loseWriteResponses(s.Databases[0].Process.Kill)
 		s.awaitPromotion()
 	})
-	s.serves()
-	s.equal("primaries", 1, s.countPrimaries())
+	s.requireService()
+	s.checkEqual("primaries", 1, s.countPrimaries())
 }
 
 // countPrimaries counts the databases, but for the first, that are primary.
-func (s *stage) countPrimaries() int {
+func (s *scenario) countPrimaries() int {
 	s.Helper()
 	count := 0
 	for _, d := range s.Databases[1:] {
-		if s.state(d).Role == "primary" {
+		if s.databaseState(d).Role == "primary" {
 			count++
 		}
 	}
--- a/internal/standin/proof/case_transaction_test.go
+++ b/internal/standin/proof/case_transaction_test.go
@@ -12,57 +12,57 @@
 )
 
 const (
-	// writers is the number of sessions that run transactions side by side,
+	// writerCount is the number of sessions that run transactions side by side,
 	// transactions that of each, and entries that of one transaction.
-	writers      = 9
-	transactions = 20
-	entries      = 3
+	writerCount           = 9
+	transactionsPerWriter = 20
+	entriesPerTransaction = 3
 )
 
-// told is what a session was told of a transaction.
-type told int
+// clientOutcome is what a session was clientOutcome of a transaction.
+type clientOutcome int
 
 const (
-	toldNothing told = iota
-	toldCommitted
-	toldNotCommitted
+	outcomeUnknown clientOutcome = iota
+	outcomeCommitted
+	outcomeNotCommitted
 )
 
-// transactionsSideBySide runs transactions through all instances, lets the
+// concurrentTransactions runs transactions through all instances, lets the
 // primary die meanwhile, and wants each to stand in the ledger whole and in one
 // piece, or not at all, as its session was told.
-func transactionsSideBySide(s *stage) {
-	ended := make(chan map[string]told, writers)
-	for w := range writers {
+func concurrentTransactions(s *scenario) {
+	ended := make(chan map[string]clientOutcome, writerCount)
+	for w := range writerCount {
 		go func() { ended <- s.runTransactions(s.Instances[w%len(s.Instances)], w) }()
 	}
-	s.await("transactions", func() bool { return len(s.content(s.Databases[0]).Ledger) >= beforeFault })
+	s.await("transactions", func() bool { return len(s.databaseContent(s.Databases[0]).Ledger) >= entriesBeforeFault })
 	s.Databases[0].Process.Kill()
 	primary := s.awaitPromotion()
 	committed := 0
-	for range writers {
+	for range writerCount {
 		for name, outcome := range <-ended {
-			if outcome == toldCommitted {
+			if outcome == outcomeCommitted {
 				committed++
 			}
-			s.wantWhole(s.content(primary).Ledger, name, outcome)
+			s.checkAtomic(s.databaseContent(primary).Ledger, name, outcome)
 		}
 	}
 	if committed == 0 {
 		s.Error("no transaction was committed")
 	}
-	s.Logf("%d of %d transactions committed", committed, writers*transactions)
-	s.serves()
+	s.Logf("%d of %d transactions committed", committed, writerCount*transactionsPerWriter)
+	s.requireService()
 }
 
 // runTransactions runs one session's transactions.
-func (s *stage) runTransactions(in *deploy.Instance, writer int) map[string]told {
-	outcomes := map[string]told{}
+func (s *scenario) runTransactions(instance *deploy.Instance, writer int) map[string]clientOutcome {
+	outcomes := map[string]clientOutcome{}
 	var conn *pgx.Conn
-	for i := range transactions {
+	for i := range transactionsPerWriter {
 		if conn == nil || conn.IsClosed() {
 			var err error
-			conn, err = s.dial(in, map[string]string{"eelgrassfold.kind": "post"})
+			conn, err = s.dial(instance, map[string]string{"eelgrassfold.kind": "post"})
 			if err != nil {
 				s.Error(err)
 				return outcomes
@@ -70,57 +70,57 @@
 			defer s.disconnect(conn)
 		}
 		name := fmt.Sprintf("writer %d, transaction %d", writer, i)
-		outcomes[name] = s.transact(conn, name)
+		outcomes[name] = s.runTransaction(conn, name)
 	}
 	return outcomes
 }
 
-// transact appends entries in one transaction.
-func (s *stage) transact(conn *pgx.Conn, name string) told {
+// runTransaction appends entries in one transaction.
+func (s *scenario) runTransaction(conn *pgx.Conn, name string) clientOutcome {
 	tx, err := conn.Begin(s.ctx)
 	if err != nil {
-		return toldNotCommitted
+		return outcomeNotCommitted
 	}
-	for i := range entries {
-		if _, err := tx.Exec(s.ctx, "INSERT INTO ledger (entry) VALUES ($1)", entryOf(name, i)); err != nil {
+	for i := range entriesPerTransaction {
+		if _, err := tx.Exec(s.ctx, "INSERT INTO ledger (entry) VALUES ($1)", entryName(name, i)); err != nil {
 			_ = tx.Rollback(s.ctx)
-			return toldNotCommitted
+			return outcomeNotCommitted
 		}
 	}
 	err = tx.Commit(s.ctx)
-	var answered *pgconn.PgError
+	var pgErr *pgconn.PgError
 	switch {
 	case err == nil:
-		return toldCommitted
-	case errors.Is(err, pgx.ErrTxCommitRollback), errors.As(err, &answered) && answered.Code != "08007":
-		return toldNotCommitted
+		return outcomeCommitted
+	case errors.Is(err, pgx.ErrTxCommitRollback), errors.As(err, &pgErr) && pgErr.Code != "08007":
+		return outcomeNotCommitted
 	}
-	return toldNothing
+	return outcomeUnknown
 }
 
-func entryOf(name string, i int) string { return fmt.Sprintf("%s, entry %d", name, i) }
+func entryName(name string, i int) string { return fmt.Sprintf("%s, entry %d", name, i) }
 
-// wantWhole wants a transaction's entries to stand next to each other, once,
+// checkAtomic wants a transaction's entries to stand next to each other, once,
 // where it was committed, and nowhere where it was not.
-func (s *stage) wantWhole(ledger []string, name string, outcome told) {
+func (s *scenario) checkAtomic(ledger []string, name string, outcome clientOutcome) {
 	s.Helper()
-	var wanted, found []string
-	at := slices.Index(ledger, entryOf(name, 0))
-	for i := range entries {
-		wanted = append(wanted, entryOf(name, i))
+	var expected, found []string
+	start := slices.Index(ledger, entryName(name, 0))
+	for i := range entriesPerTransaction {
+		expected = append(expected, entryName(name, i))
 	}
-	if at >= 0 {
-		found = ledger[at:min(at+entries, len(ledger))]
+	if start >= 0 {
+		found = ledger[start:min(start+entriesPerTransaction, len(ledger))]
 	}
 	count := 0
 	for _, entry := range ledger {
-		if slices.Contains(wanted, entry) {
+		if slices.Contains(expected, entry) {
 			count++
 		}
 	}
-	isWhole := count == entries && slices.Equal(wanted, found)
-	isGone := count == 0
-	if outcome == toldCommitted && !isWhole || outcome == toldNotCommitted && !isGone || !isWhole && !isGone {
+	isComplete := count == entriesPerTransaction && slices.Equal(expected, found)
+	isAbsent := count == 0
+	if outcome == outcomeCommitted && !isComplete || outcome == outcomeNotCommitted && !isAbsent || !isComplete && !isAbsent {
 		s.Errorf("%s: told %d, %d entries in the ledger, the first of them in %q", name, outcome, count, found)
 	}
 }
--- a/internal/standin/proof/proof_test.go
+++ b/internal/standin/proof/proof_test.go
@@ -20,19 +20,19 @@
 	"testing"
 )
 
-// proofCase is one case of the table.
-type proofCase struct {
+// faultCase is one case of the table.
+type faultCase struct {
 	name string
-	run  func(s *stage)
+	run  func(s *scenario)
 }
 
 // cases lists every case; the files case_*_test.go hold them.
-var cases = []proofCase{
+var cases = []faultCase{
 	{"primary killed", primaryKilled},
 	{"primary frozen and thawed", primaryFrozen},
 	{"primary isolated from its replicas", primaryIsolated},
-	{"connections silent", connectionsSilent},
-	{"transactions side by side", transactionsSideBySide},
+	{"connections silent", connectionsUnresponsive},
+	{"transactions side by side", concurrentTransactions},
 	{"instance killed in a transaction", instanceKilled},
 	{"instance paused through a change of primary", instancePaused},
 	{"instance ended by SIGTERM", instanceTerminated},
@@ -42,35 +42,35 @@
 	{"primary leaves", primaryLeaves},
 	{"instance restarted in an outage", restartInOutage},
 	{"primary killed in an outage", primaryKilledInOutage},
-	{"answers lost in a submission", answersLostInSubmission},
-	{"answers lost in a promotion", answersLostInPromotion},
-	{"operators race", operatorsRace},
-	{"logbook", logbookTells},
+	{"answers lost in a submission", responsesLostInSubmission},
+	{"answers lost in a promotion", responsesLostInPromotion},
+	{"operators race", concurrentSubmissions},
+	{"logbook", logbookRecordsFailover},
 }
 
-// sideBySide is the number of deployments that run at once.
-const sideBySide = 2
+// maxConcurrentDeployments is the number of deployments that run at once.
+const maxConcurrentDeployments = 2
 
 func TestProof(t *testing.T) {
-	binaries := build(t)
-	places := make(chan struct{}, sideBySide)
+	binaries := buildBinaries(t)
+	semaphore := make(chan struct{}, maxConcurrentDeployments)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			places <- struct{}{}
-			t.Cleanup(func() { <-places })
-			c.run(newStage(t, binaries))
+			semaphore <- struct{}{}
+			t.Cleanup(func() { <-semaphore })
+			c.run(newScenario(t, binaries))
 		})
 	}
 }
 
-// build builds the binaries into a temporary directory and returns its name.
-func build(t *testing.T) string {
+// buildBinaries builds the binaries into a temporary directory and returns its name.
+func buildBinaries(t *testing.T) string {
 	t.Helper()
-	folder := t.TempDir()
-	out, err := exec.Command("go", "build", "-o", folder+"/", "../../../cmd/...").CombinedOutput()
+	directory := t.TempDir()
+	out, err := exec.Command("go", "build", "-o", directory+"/", "../../../cmd/...").CombinedOutput()
 	if err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	return folder
+	return directory
 }
--- a/internal/standin/proof/session_test.go
+++ b/internal/standin/proof/session_test.go
@@ -11,16 +11,16 @@
 )
 
 // connect opens a caller's connection.
-func (s *stage) connect(in *deploy.Instance, parameters map[string]string) *pgx.Conn {
+func (s *scenario) connect(instance *deploy.Instance, parameters map[string]string) *pgx.Conn {
 	s.Helper()
-	conn, err := s.dial(in, parameters)
-	s.must(err)
+	conn, err := s.dial(instance, parameters)
+	s.requireNoError(err)
 	return conn
 }
 
-func (s *stage) dial(in *deploy.Instance, parameters map[string]string) (*pgx.Conn, error) {
-	place := url.URL{Scheme: "postgres", User: url.User("proof"), Host: in.CallerAddress.String(), Path: "/" + string(group)}
-	config, err := pgx.ParseConfig(place.String())
+func (s *scenario) dial(instance *deploy.Instance, parameters map[string]string) (*pgx.Conn, error) {
+	connectionURL := url.URL{Scheme: "postgres", User: url.User("proof"), Host: instance.CallerAddress.String(), Path: "/" + string(group)}
+	config, err := pgx.ParseConfig(connectionURL.String())
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
@@ -31,10 +31,10 @@
 	return conn, errors.WithStack(err)
 }
 
-func (s *stage) disconnect(conn *pgx.Conn) { _ = conn.Close(s.ctx) }
+func (s *scenario) disconnect(conn *pgx.Conn) { _ = conn.Close(s.ctx) }
 
 // execute runs statements that have to succeed.
-func (s *stage) execute(conn *pgx.Conn, statements ...string) {
+func (s *scenario) execute(conn *pgx.Conn, statements ...string) {
 	s.Helper()
 	for _, sql := range statements {
 		if _, err := conn.Exec(s.ctx, sql); err != nil {
@@ -43,33 +43,33 @@
 	}
 }
 
-// serves wants each running instance to take a write whose session reads it
+// requireService wants each running instance to take a write whose session reads it
 // through the next one.
-func (s *stage) serves() {
+func (s *scenario) requireService() {
 	s.Helper()
-	running := s.running()
-	for i, in := range running {
+	running := s.runningInstances()
+	for i, instance := range running {
 		key := uuid.NewString()
-		token := s.write(in, key)
-		s.equal("read through another instance", "14:03:10", s.read(running[(i+1)%len(running)], key, token))
+		token := s.write(instance, key)
+		s.checkEqual("read through another instance", "14:03:10", s.read(running[(i+1)%len(running)], key, token))
 	}
 }
 
 // write writes a key and returns the session token.
-func (s *stage) write(in *deploy.Instance, key string) string {
+func (s *scenario) write(instance *deploy.Instance, key string) string {
 	s.Helper()
-	conn := s.connect(in, map[string]string{"eelgrassfold.kind": "post"})
+	conn := s.connect(instance, map[string]string{"eelgrassfold.kind": "post"})
 	defer s.disconnect(conn)
 	_, err := conn.Exec(s.ctx, "INSERT INTO kv (key, value) VALUES ($1, $2)", key, "14:03:10")
-	s.must(err)
+	s.requireNoError(err)
 	return conn.PgConn().ParameterStatus("eelgrassfold.token")
 }
 
-func (s *stage) read(in *deploy.Instance, key, token string) string {
+func (s *scenario) read(instance *deploy.Instance, key, token string) string {
 	s.Helper()
-	conn := s.connect(in, map[string]string{"eelgrassfold.kind": "check", "eelgrassfold.token": token})
+	conn := s.connect(instance, map[string]string{"eelgrassfold.kind": "check", "eelgrassfold.token": token})
 	defer s.disconnect(conn)
 	var value string
-	s.must(conn.QueryRow(s.ctx, "SELECT value FROM kv WHERE key = $1", key).Scan(&value))
+	s.requireNoError(conn.QueryRow(s.ctx, "SELECT value FROM kv WHERE key = $1", key).Scan(&value))
 	return value
 }
--- a/internal/standin/proof/stage_test.go
+++ b/internal/standin/proof/stage_test.go
@@ -25,24 +25,24 @@
 
 const (
 	group = model.GroupID("ratings")
-	// caseLimit turns a hang into a failure.
-	caseLimit = 60 * time.Second
-	// beforeFault is the number of entries that the ledger holds when a fault
+	// caseTimeout turns a hang into a failure.
+	caseTimeout = 60 * time.Second
+	// entriesBeforeFault is the number of entries that the ledger holds when a fault
 	// happens under load.
-	beforeFault = 20
+	entriesBeforeFault = 20
 )
 
-// stage is one case's deployment: three databases of one group, the first of
+// scenario is one case's deployment: three databases of one group, the first of
 // them primary, and three instances.
-type stage struct {
+type scenario struct {
 	*testing.T
 	*deploy.Deployment
 	ctx context.Context
 }
 
-func newStage(t *testing.T, binaries string) *stage {
+func newScenario(t *testing.T, binaries string) *scenario {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), caseLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), caseTimeout)
 	t.Cleanup(cancel)
 	d, err := deploy.Start(ctx, deploy.Options{
 		Binaries: binaries, Zones: []model.ZoneID{"lanier", "savannah", "allatoona"},
@@ -51,13 +51,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &stage{T: t, Deployment: d, ctx: ctx}
-	t.Cleanup(s.end)
+	s := &scenario{T: t, Deployment: d, ctx: ctx}
+	t.Cleanup(s.cleanUp)
 	return s
 }
 
-// end stops what is left: each process has to end as asked.
-func (s *stage) end() {
+// cleanUp stops what is left: each process has to cleanUp as asked.
+func (s *scenario) cleanUp() {
 	if err := s.Stop(); err != nil {
 		s.Error(err)
 	}
@@ -69,14 +69,14 @@
 	}
 }
 
-func (s *stage) must(err error) {
+func (s *scenario) requireNoError(err error) {
 	s.Helper()
 	if err != nil {
 		s.Fatal(err)
 	}
 }
 
-func (s *stage) equal(what string, want, got any) {
+func (s *scenario) checkEqual(what string, want, got any) {
 	s.Helper()
 	if diff := cmp.Diff(want, got); diff != "" {
 		s.Errorf("%s (-want +got):\n%s", what, diff)
@@ -84,10 +84,10 @@
 }
 
 // await repeats a question until it is answered by true.
-func (s *stage) await(what string, holds func() bool) {
+func (s *scenario) await(what string, condition func() bool) {
 	s.Helper()
 	err := deploy.Retry(s.ctx, func() error {
-		if holds() {
+		if condition() {
 			return nil
 		}
 		return &deploy.ProcessError{Name: what, Reason: "does not hold yet"}
@@ -100,30 +100,30 @@
 // -----------------------------------------------------------------------------
 // Load.
 
-// under offers load while the fault happens, and judges what callers were told
+// runUnderLoad offers load while the fault happens, and judges what callers were told
 // by what the primary's ledger holds. The fault happens once the ledger holds
 // some entries.
-func (s *stage) under(fault func()) load.Report {
+func (s *scenario) runUnderLoad(fault func()) load.Report {
 	s.Helper()
 	type result struct {
 		report load.Report
 		err    error
 	}
-	ended := make(chan result, 1)
+	done := make(chan result, 1)
 	options := s.loadOptions()
 	go func() {
 		report, err := load.Run(s.ctx, options)
-		ended <- result{report, err}
+		done <- result{report, err}
 	}()
-	s.await("load", func() bool { return len(s.content(s.Databases[0]).Ledger) >= beforeFault })
+	s.await("load", func() bool { return len(s.databaseContent(s.Databases[0]).Ledger) >= entriesBeforeFault })
 	fault()
-	r := <-ended
-	s.must(r.err)
-	s.judge(r.report)
+	r := <-done
+	s.requireNoError(r.err)
+	s.checkReport(r.report)
 	return r.report
 }
 
-func (s *stage) loadOptions() load.Options {
+func (s *scenario) loadOptions() load.Options {
 	options := load.Options{
 		Group: group, User: "proof", Connections: 6, ConsistencyCheckers: 2, Seed: 4711,
 		Kinds: []load.Kind{
@@ -132,8 +132,8 @@
 		},
 		Duration: 3 * time.Second, StatementTimeout: 15 * time.Second,
 	}
-	for _, in := range s.Instances {
-		options.Addresses = append(options.Addresses, in.CallerAddress)
+	for _, instance := range s.Instances {
+		options.Addresses = append(options.Addresses, instance.CallerAddress)
 	}
 	for _, d := range s.Databases {
 		options.AdminAddresses = append(options.AdminAddresses, d.AdminAddress)
@@ -141,16 +141,16 @@
 	return options
 }
 
-// judge wants nothing lost, doubled or there against what callers were told,
+// checkReport wants nothing lost, doubled or there against what callers were told,
 // and every write seen by its session's reads through other instances.
-func (s *stage) judge(report load.Report) {
+func (s *scenario) checkReport(report load.Report) {
 	s.Helper()
 	text, _ := json.Marshal(report)
 	s.Logf("load: %s", text)
-	compared := *report.Comparison
-	s.equal("ledger against callers", load.Comparison{Acknowledged: compared.Acknowledged}, compared)
-	s.equal("reads that miss their session's write", int64(0), report.Check.Violations)
-	if compared.Acknowledged < beforeFault || report.Check.Checks == 0 {
+	comparison := *report.Comparison
+	s.checkEqual("ledger against callers", load.Comparison{Acknowledged: comparison.Acknowledged}, comparison)
+	s.checkEqual("reads that miss their session's write", int64(0), report.Check.Violations)
+	if comparison.Acknowledged < entriesBeforeFault || report.Check.Checks == 0 {
 		s.Errorf("too little was judged: %s", text)
 	}
 }
@@ -158,102 +158,102 @@
 // -----------------------------------------------------------------------------
 // Stand-ins.
 
-// state is what the proof reads of a database's state.
-type state struct {
+// databaseState is what the proof reads of a database's databaseState.
+type databaseState struct {
 	Role      string     `json:"role"`
 	Term      model.Term `json:"term"`
 	Streaming bool       `json:"streaming"`
 }
 
-func (s *stage) state(d *deploy.Database) state {
+func (s *scenario) databaseState(d *deploy.Database) databaseState {
 	s.Helper()
-	var got state
-	s.get(d.AdminAddress, "/state", &got)
+	var got databaseState
+	s.getJSON(d.AdminAddress, "/state", &got)
 	return got
 }
 
-func (s *stage) content(d *deploy.Database) database.Content {
+func (s *scenario) databaseContent(d *deploy.Database) database.Content {
 	s.Helper()
 	var got database.Content
-	s.get(d.AdminAddress, "/content", &got)
+	s.getJSON(d.AdminAddress, "/content", &got)
 	return got
 }
 
-func (s *stage) fail(d *deploy.Database, fault database.FaultRequest) {
+func (s *scenario) injectFault(d *deploy.Database, fault database.FaultRequest) {
 	s.Helper()
-	s.post(d.AdminAddress, "/fault", fault)
+	s.postJSON(d.AdminAddress, "/fault", fault)
 }
 
-func (s *stage) failPlatform(fault string) {
+func (s *scenario) injectPlatformFault(fault string) {
 	s.Helper()
-	s.post(s.PlatformAddress, "/admin/fault", platform.FaultRequest{Fault: fault})
+	s.postJSON(s.PlatformAddress, "/admin/fault", platform.FaultRequest{Fault: fault})
 }
 
-// loseWrites lets changes take effect at the platform while their answers are
+// loseWriteResponses lets changes take effect at the platform while their answers are
 // lost, until one has done so during the step.
-func (s *stage) loseWrites(step func()) {
+func (s *scenario) loseWriteResponses(step func()) {
 	s.Helper()
 	before := s.platformWrites()
-	s.post(s.PlatformAddress, "/admin/fault", platform.FaultRequest{Fault: "lose", Writes: true})
+	s.postJSON(s.PlatformAddress, "/admin/fault", platform.FaultRequest{Fault: "lose", Writes: true})
 	step()
 	s.await("a lost answer", func() bool { return s.platformWrites() > before })
-	s.failPlatform("none")
+	s.injectPlatformFault("none")
 }
 
 // platformWrites returns the number of writes that reached the platform.
-func (s *stage) platformWrites() int64 {
+func (s *scenario) platformWrites() int64 {
 	s.Helper()
 	var stats platform.Stats
-	s.get(s.PlatformAddress, "/admin/stats", &stats)
+	s.getJSON(s.PlatformAddress, "/admin/stats", &stats)
 	return stats.Writes
 }
 
-func (s *stage) get(address netip.AddrPort, path string, into any) {
+func (s *scenario) getJSON(address netip.AddrPort, path string, target any) {
 	s.Helper()
 	request, err := http.NewRequestWithContext(s.ctx, http.MethodGet, "http://"+address.String()+path, nil)
-	s.must(err)
-	answer, err := http.DefaultClient.Do(request)
-	s.must(err)
-	defer func() { _ = answer.Body.Close() }()
-	s.must(json.NewDecoder(answer.Body).Decode(into))
+	s.requireNoError(err)
+	response, err := http.DefaultClient.Do(request)
+	s.requireNoError(err)
+	defer func() { _ = response.Body.Close() }()
+	s.requireNoError(json.NewDecoder(response.Body).Decode(target))
 }
 
-func (s *stage) post(address netip.AddrPort, path string, body any) {
+func (s *scenario) postJSON(address netip.AddrPort, path string, body any) {
 	s.Helper()
 	text, err := json.Marshal(body)
-	s.must(err)
+	s.requireNoError(err)
 	request, err := http.NewRequestWithContext(s.ctx, http.MethodPost, "http://"+address.String()+path, bytes.NewReader(text))
-	s.must(err)
-	answer, err := http.DefaultClient.Do(request)
-	s.must(err)
-	_ = answer.Body.Close()
-	if answer.StatusCode >= http.StatusMultipleChoices {
-		s.Fatalf("%s answered %s", path, answer.Status)
+	s.requireNoError(err)
+	response, err := http.DefaultClient.Do(request)
+	s.requireNoError(err)
+	_ = response.Body.Close()
+	if response.StatusCode >= http.StatusMultipleChoices {
+		s.Fatalf("%s answered %s", path, response.Status)
 	}
 }
 
 // -----------------------------------------------------------------------------
 // Instances.
 
-// running returns the instances whose process is there.
-func (s *stage) running() []*deploy.Instance {
-	return slices.DeleteFunc(slices.Clone(s.Instances), func(in *deploy.Instance) bool { return in.Process.HasEnded() })
+// runningInstances returns the instances whose process is there.
+func (s *scenario) runningInstances() []*deploy.Instance {
+	return slices.DeleteFunc(slices.Clone(s.Instances), func(instance *deploy.Instance) bool { return instance.Process.HasEnded() })
 }
 
 // awaitStatus waits until the report of each running instance passes.
-func (s *stage) awaitStatus(what string, passes func(report status.Status) bool) {
+func (s *scenario) awaitStatus(what string, condition func(report status.Status) bool) {
 	s.Helper()
-	for _, in := range s.running() {
-		s.await(in.Name+": "+what, func() bool {
-			report, err := s.Status(s.ctx, in)
-			return err == nil && passes(report)
+	for _, instance := range s.runningInstances() {
+		s.await(instance.Name+": "+what, func() bool {
+			report, err := s.Status(s.ctx, instance)
+			return err == nil && condition(report)
 		})
 	}
 }
 
 // awaitPromotion waits until each running instance knows another primary than
 // the first one, and returns it.
-func (s *stage) awaitPromotion() *deploy.Database {
+func (s *scenario) awaitPromotion() *deploy.Database {
 	s.Helper()
 	var name string
 	s.awaitStatus("a new primary", func(report status.Status) bool {
@@ -265,12 +265,12 @@
 }
 
 // awaitEvent waits until an instance has logged an event.
-func (s *stage) awaitEvent(wanted event.Event) {
+func (s *scenario) awaitEvent(wanted event.Event) {
 	s.Helper()
-	mark := fmt.Sprintf(" event=%d ", wanted.Number)
+	pattern := fmt.Sprintf(" event=%d ", wanted.Number)
 	s.await("event "+wanted.Name, func() bool {
-		return slices.ContainsFunc(s.Instances, func(in *deploy.Instance) bool {
-			return slices.ContainsFunc(in.Process.LogLines(), func(line string) bool { return strings.Contains(line, mark) })
+		return slices.ContainsFunc(s.Instances, func(instance *deploy.Instance) bool {
+			return slices.ContainsFunc(instance.Process.LogLines(), func(line string) bool { return strings.Contains(line, pattern) })
 		})
 	})
 }
