--- a/internal/standin/drill/counters.go
+++ b/internal/standin/drill/counters.go
@@ -10,7 +10,7 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/deploy"
 )
 
-// sumCounters adds up one map of counters over all instances.
+// sumCounters sums one map of counters over all instances.
 func sumCounters(ctx context.Context, d *deploy.Deployment, counterMap string) (map[string]int64, error) {
 	sum := map[string]int64{}
 	for _, instance := range d.Instances {
@@ -25,7 +25,8 @@
 	return sum, nil
 }
 
-// readCounters reads one map of counters of an instance.
+// readCounters reads one map of counters from an instance's /debug/vars. It returns an
+// empty map if the instance has none of that name.
 func readCounters(ctx context.Context, instance *deploy.Instance, counterMap string) (map[string]int64, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+instance.OperatorAddress.String()+"/debug/vars", nil)
 	if err != nil {
--- a/internal/standin/drill/drill.go
+++ b/internal/standin/drill/drill.go
@@ -1,14 +1,15 @@
-// Package drill measures a deployment of real processes under faults.
+// Package drill is a fault-injection benchmark: it measures a deployment of real
+// processes on one machine, under load and under faults.
 //
 // # What flows in and out
 //
 // The name of an experiment and its flags flow in. Package deploy starts the
-// processes, package load offers work, the experiment lets faults happen. A
-// table of figures flows out on standard output, each with the run that gave
-// it: an experiment prints its own parameters first.
+// processes, package load generates load, and the experiment injects faults. A table of
+// figures flows out on standard output. An experiment prints its parameters first, so
+// that the figures can be traced to the run that gave them.
 //
-// Each experiment stands in a file of its own (experiment_*.go); one table lists
-// them for the command line and its help.
+// Each experiment has a file of its own (experiment_*.go). One table lists all
+// experiments for the command line and its help.
 //
 // # Usage
 //
@@ -32,11 +33,12 @@
 
 // Experiment is one measurement.
 type Experiment interface {
-	// Run measures and writes the figures.
+	// Run runs the measurement with the binaries of a directory and writes the
+	// figures.
 	Run(ctx context.Context, out io.Writer, binaries string) error
 }
 
-// entry is one experiment of the table.
+// entry is one experiment with its name on the command line and its help text.
 type entry struct {
 	name, help string
 	experiment Experiment
@@ -44,22 +46,22 @@
 
 // experiments lists all experiments.
 var experiments = []entry{
-	{"failover", "Gap in service, lost and doubled writes over many changes of primary.", &Failover{}},
-	{"replicas", "Share of reads served by replicas at several lags, with sessions that roam.", &Replicas{}},
-	{"manifest", "Time for a manifest to be in force on all instances.", &Manifest{}},
-	{"overhead", "Throughput and latency through one instance, against a database directly.", &Overhead{}},
-	{"flood", "Service by rank while one kind of work floods in.", &Flood{}},
+	{"failover", "Write gap, lost and duplicated writes over many failovers.", &Failover{}},
+	{"replicas", "Share of reads served by replicas at several lags, with multi-connection sessions.", &Replicas{}},
+	{"manifest", "Time until an accepted manifest is in force on all instances.", &Manifest{}},
+	{"overhead", "Throughput and latency through one instance, compared with a database directly.", &Overhead{}},
+	{"flood", "Throughput and latency by request kind while one kind floods.", &Flood{}},
 	{"idle", "Memory of idle callers' connections.", &Idle{}},
-	{"capacity", "Idle cost of an instance, and its slopes by instances, groups and listed names.", &Capacity{}},
+	{"capacity", "Cost of an idle instance, and its slope by instances, groups and listed names.", &Capacity{}},
 }
 
-// Main runs the experiment that the command line names and returns the exit
-// code.
+// Main runs the experiment that the command line names and returns the exit code: 0, 1
+// for a failed experiment, 2 for a wrong command line.
 func Main() int {
 	var commandLine struct {
 		Binaries string `help:"Directory of the built binaries." default:".build"`
 	}
-	options := []kong.Option{kong.Name("drill"), kong.Description("Measures eelgrassfold on one machine, with stand-ins.")}
+	options := []kong.Option{kong.Name("drill"), kong.Description("Measures eelgrassfold on one machine, with a simulated platform and simulated databases.")}
 	for _, e := range experiments {
 		options = append(options, kong.DynamicCommand(e.name, e.help, "", e.experiment))
 	}
@@ -88,21 +90,21 @@
 }
 
 // -----------------------------------------------------------------------------
-// Common parts.
+// Helpers of several experiments.
 
 const group = model.GroupID("ratings")
 
 var zones = []model.ZoneID{"lanier", "savannah", "allatoona"}
 
-// startTimeout bounds the start of a deployment.
+// startTimeout bounds the time that starting a deployment may take.
 const startTimeout = 20 * time.Second
 
-// startDeployment starts a deployment of one group.
+// startDeployment starts a deployment of one group with the base manifest.
 func startDeployment(ctx context.Context, binaries string, instances int, databaseFlags ...string) (*deploy.Deployment, error) {
 	return startDeploymentWith(ctx, binaries, deploy.BaseManifest, instances, databaseFlags...)
 }
 
-// startDeploymentWith starts a deployment of one group under a manifest of its own.
+// startDeploymentWith starts a deployment of one group with a given base manifest.
 func startDeploymentWith(ctx context.Context, binaries, manifest string, instances int, databaseFlags ...string) (*deploy.Deployment, error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -112,7 +114,7 @@
 	})
 }
 
-// writeRow writes one line of a table.
+// writeRow writes one formatted line of a table.
 func writeRow(out io.Writer, format string, values ...any) {
 	_, _ = fmt.Fprintf(out, format+"\n", values...)
 }
--- a/internal/standin/drill/experiment_capacity.go
+++ b/internal/standin/drill/experiment_capacity.go
@@ -16,10 +16,10 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/platform"
 )
 
-// Capacity measures what an idle deployment costs one instance, in processor
-// time, memory and control bytes. Three series vary one number each: of
-// instances, of groups, and of names in the platform's list behind which there
-// is no instance. The slope of each series is a least-squares fit.
+// Capacity measures the cost of one instance in an idle deployment: processor time,
+// memory and control traffic. Each of three series varies one number: instances, groups,
+// and names in the platform's list without an instance behind them. The slope of each
+// series is a least-squares fit.
 type Capacity struct {
 	Instances []int         `help:"Numbers of instances, before one group." default:"1,2,4,8,16,32"`
 	Groups    []int         `help:"Numbers of groups, behind one instance." default:"1,2,4,8,16"`
@@ -28,17 +28,18 @@
 	Measure   time.Duration `help:"Length of each measurement." default:"6s"`
 }
 
-// idleCost is what one instance costs on average while nothing is asked of it.
+// idleCost is the mean cost of one instance without load.
 type idleCost struct {
-	// processorPercent is the share of a core, in percent.
+	// processorPercent is the used share of a processor core, in percent.
 	processorPercent float64
-	// residentMB is in megabytes.
+	// residentMB is the resident memory, in megabytes.
 	residentMB float64
-	// peerRate, databaseRate and platformRate are control bytes a second, both ways.
+	// peerRate, databaseRate and platformRate are the control bytes per second, sent
+	// and received.
 	peerRate, databaseRate, platformRate float64
 }
 
-// point is one measurement of a series.
+// point is one measurement of a series: the varied number and the cost.
 type point struct {
 	size float64
 	cost idleCost
@@ -46,7 +47,7 @@
 
 // Run implements Experiment.
 func (c *Capacity) Run(ctx context.Context, out io.Writer, binaries string) error {
-	writeRow(out, "capacity: idle cost of one instance, mean over all, %s after %s of rest", c.Measure, c.Settle)
+	writeRow(out, "capacity: cost of one idle instance, mean over all, %s after %s of idle time", c.Measure, c.Settle)
 	series := []struct {
 		name    string
 		numbers []int
@@ -94,12 +95,12 @@
 	return c.measureIdle(ctx, binaries, 1, 1, number)
 }
 
-// spareConnections is the number of connections that a database takes beside
-// one control connection of each instance. With 20 in all, as in the manifest,
-// the last of 32 instances can't ask a database anything.
+// spareConnections is the number of connections that a database accepts in addition to
+// one control connection for each instance. With 20 connections in total, as in the
+// manifest, the last of 32 instances cannot open a control connection.
 const spareConnections = 20
 
-// measureIdle starts a deployment, lets it rest and measures it.
+// measureIdle starts a deployment, leaves it idle for a while and measures its cost.
 func (c *Capacity) measureIdle(ctx context.Context, binaries string, instances, groups, listed int) (idleCost, error) {
 	const timePerProcess = 4 * time.Second
 	startCtx, cancel := context.WithTimeout(ctx, startTimeout+time.Duration(instances+groups)*timePerProcess)
@@ -129,11 +130,12 @@
 	return c.measure(ctx, d)
 }
 
-// listRefreshTime is the time after which every instance has read the platform's list.
+// listRefreshTime is the time after which every instance has read the platform's
+// changed list.
 const listRefreshTime = 15 * time.Second
 
-// listPhantomInstances puts names into the platform's list at whose addresses nothing
-// listens.
+// listPhantomInstances replaces the platform's list by instances that do not exist:
+// nothing listens at their addresses.
 func listPhantomInstances(ctx context.Context, d *deploy.Deployment, count int) error {
 	const firstPort, portsPerAddress = 1, 1000
 	var listed []platform.Instance
@@ -154,7 +156,8 @@
 // -----------------------------------------------------------------------------
 // Measurement.
 
-// measure compares the counters of all instances before and after a while.
+// measure reads the counters of all instances twice, c.Measure apart, and returns the
+// mean cost of an instance in between.
 func (c *Capacity) measure(ctx context.Context, d *deploy.Deployment) (idleCost, error) {
 	before, err := readTotals(ctx, d)
 	if err != nil {
@@ -177,12 +180,12 @@
 	}, nil
 }
 
-// totals are counters summed up over all instances.
+// totals holds counters summed over all instances.
 type totals struct {
 	takenAt   time.Time
 	processor time.Duration
 	resident  int64
-	// bytes holds the bytes sent and received, by map of counters.
+	// bytes holds the bytes sent plus received, by the name of the counter map.
 	bytes map[string]int64
 }
 
@@ -209,7 +212,7 @@
 // -----------------------------------------------------------------------------
 // Slopes.
 
-// slopes fits a line through each cost of a series and returns the slopes.
+// slopes fits a line to each cost of a series and returns the slopes.
 func slopes(points []point) idleCost {
 	fit := func(metric func(idleCost) float64) float64 {
 		var sizes, costs []float64
@@ -228,8 +231,8 @@
 	}
 }
 
-// slope is the slope of the least-squares line through points. It is 0 where
-// all x are the same.
+// slope returns the slope of the least-squares line through points, or 0 if all x are
+// equal.
 func slope(x, y []float64) float64 {
 	var sumX, sumY float64
 	for i := range x {
--- a/internal/standin/drill/experiment_failover.go
+++ b/internal/standin/drill/experiment_failover.go
@@ -22,9 +22,9 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/load"
 )
 
-// Failover lets the primary fail under load, each time in a fresh deployment,
-// and measures the gap between acknowledged writes. Lost and doubled writes are
-// counted from the databases' final content.
+// Failover makes the primary fail under load, each time in a new deployment, and measures
+// the longest gap between acknowledged writes. Lost and duplicated writes are counted
+// from the final content of the new primary.
 type Failover struct {
 	Times     int           `help:"Changes of primary for each fault." default:"10"`
 	Instances int           `help:"Number of instances." default:"3"`
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// runFaultSeries repeats one fault and writes its line.
+// runFaultSeries repeats one fault and writes the line of its figures.
 func (f *Failover) runFaultSeries(ctx context.Context, out io.Writer, binaries, fault string) error {
 	var gaps []time.Duration
 	var total load.Comparison
@@ -76,7 +76,7 @@
 
 func roundToMillisecond(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
 
-// runOnce measures one change of primary.
+// runOnce measures one failover.
 func (f *Failover) runOnce(ctx context.Context, binaries, fault string, seed uint64) (load.Report, error) {
 	d, err := startDeployment(ctx, binaries, f.Instances)
 	if err != nil {
@@ -101,8 +101,8 @@
 	return report, <-faultResult
 }
 
-// saveLogs writes the instances' log lines of a run with an outcome that needs
-// an explanation.
+// saveLogs writes the instances' log lines to files if a write failed or its outcome is
+// unknown, so that the cause can be found.
 func (f *Failover) saveLogs(d *deploy.Deployment, report load.Report) {
 	post := report.Kinds["post"]
 	if f.Logs == "" || post.Unknown+post.Failed == 0 {
@@ -114,7 +114,7 @@
 	}
 }
 
-// callerAddresses returns where callers connect.
+// callerAddresses returns the instances' addresses for callers.
 func callerAddresses(d *deploy.Deployment) []netip.AddrPort {
 	var addresses []netip.AddrPort
 	for _, instance := range d.Instances {
@@ -132,7 +132,7 @@
 	return addresses
 }
 
-// injectPrimaryFault lets the first database, which is the primary, fail.
+// injectPrimaryFault injects a fault into the first database, which is the primary.
 func injectPrimaryFault(ctx context.Context, d *deploy.Deployment, fault string) error {
 	primary := d.Databases[0]
 	switch fault {
@@ -148,7 +148,7 @@
 	}
 }
 
-// setDatabaseFault lets a fault happen at a database.
+// setDatabaseFault sets the fault of a simulated database.
 func setDatabaseFault(ctx context.Context, d *deploy.Database, fault database.FaultRequest) error {
 	body, err := json.Marshal(fault)
 	if err != nil {
@@ -157,7 +157,8 @@
 	return sendRequest(ctx, http.MethodPost, fmt.Sprintf("http://%s/fault", d.AdminAddress), body)
 }
 
-// sendRequest sends a request to a stand-in and wants the status 200 or 204.
+// sendRequest sends an HTTP request to a simulated server. Its error is a
+// *load.HTTPStatusError if the status is 300 or above.
 func sendRequest(ctx context.Context, method, url string, body []byte) error {
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
--- a/internal/standin/drill/experiment_flood.go
+++ b/internal/standin/drill/experiment_flood.go
@@ -13,8 +13,8 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/load"
 )
 
-// Flood offers a steady load of all ranks through all instances, and lets one
-// kind of work flood in far beyond what the databases can take.
+// Flood offers a steady load of all ranks through all instances, while one request kind
+// floods: its rate exceeds by far what the databases can serve.
 type Flood struct {
 	Place     string        `help:"Whose sizes: consortium or reparto." default:"consortium" enum:"consortium,reparto"`
 	Instances int           `help:"Number of instances." default:"6"`
@@ -26,13 +26,14 @@
 	Seconds   float64       `help:"Length of each run, in seconds." default:"5"`
 }
 
-// deploymentSize holds the sizes of a deployment.
+// deploymentSize holds the slots and connections of each database and the availability
+// zones of a deployment.
 type deploymentSize struct {
 	slots, connections int
 	zones              []model.ZoneID
 }
 
-// deploymentSizes lists the deployments whose sizes can be used.
+// deploymentSizes holds the values of the flag --place.
 var deploymentSizes = map[string]deploymentSize{
 	"consortium": {slots: 3, connections: 20, zones: zones},
 	"reparto": {
@@ -41,16 +42,17 @@
 	},
 }
 
-// floodKinds are the kinds of work with their steady part of the capacity that
-// they use: slots of the primary for writes, of all databases for reads.
+// floodKinds are the request kinds with the share of the capacity that their steady load
+// uses. Writes use slots of the primary, reads use slots of all databases.
 var floodKinds = []struct {
 	name   string
 	access model.Access
 	part   float64
 	target time.Duration
-	// deadline is told with each statement. A long one would let late work hold
-	// all of the callers' connections, so that the wait for one of them, which
-	// counts from the arrival, hides how soon the instances answer.
+	// deadline is sent with each statement. With a long deadline, late statements
+	// would occupy all of the callers' connections. The wait for a connection, which
+	// counts as latency from the arrival on, would then hide how soon the instances
+	// answer.
 	deadline time.Duration
 }{
 	{"post", model.AccessWrite, 0.1, 200 * time.Millisecond, time.Second},
@@ -78,7 +80,7 @@
 // groupDatabases is the number of databases of a group.
 const groupDatabases = 3
 
-// runOnce measures one load.
+// runOnce measures one flooding kind at one load and writes its line.
 func (f *Flood) runOnce(ctx context.Context, out io.Writer, binaries string, size deploymentSize, floodingKind string, capacity, loadFactor float64) error {
 	d, err := f.startDeployment(ctx, binaries, size)
 	if err != nil {
@@ -115,13 +117,13 @@
 		cells = append(cells, fmt.Sprintf("%s: %5d, %5d, %5.1f%%, %5d, %4.0f and %5.0f ms", kind.name, kindReport.Offered, kindReport.Done,
 			percentage(kindReport.InTarget, kindReport.Offered), kindReport.NotRun, kindReport.Latency.P50, kindReport.Latency.P99))
 	}
-	writeRow(out, "%-6s %5.1f  %s; lost %d, doubled %d, refused but held %d", floodingKind, loadFactor, strings.Join(cells, " | "),
+	writeRow(out, "%-6s %5.1f  %s; lost %d, doubled %d, unexpectedly committed %d", floodingKind, loadFactor, strings.Join(cells, " | "),
 		report.Comparison.Lost, report.Comparison.Duplicated, report.Comparison.UnexpectedlyCommitted)
 	return nil
 }
 
-// warmUp offers a little work of each kind first, until the instances have met and
-// have their connections.
+// warmUp offers a light load of each kind, so that the instances are connected to each
+// other and to the databases before the measurement.
 func (f *Flood) warmUp(ctx context.Context, options load.Options) error {
 	options.Duration = f.Warm
 	options.AdminAddresses = nil
@@ -134,7 +136,7 @@
 	return err
 }
 
-// startDeployment starts a deployment of the place's sizes.
+// startDeployment starts a deployment of the given size.
 func (f *Flood) startDeployment(ctx context.Context, binaries string, size deploymentSize) (*deploy.Deployment, error) {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
--- a/internal/standin/drill/experiment_idle.go
+++ b/internal/standin/drill/experiment_idle.go
@@ -11,13 +11,14 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/deploy"
 )
 
-// Idle measures the memory that idle callers' connections cost an instance:
-// each has run one read before.
+// Idle measures the resident memory that idle callers' connections cost an instance.
+// Each connection has run one read before it is idle.
 type Idle struct {
 	Steps []int `help:"Numbers of connections." default:"0,1000,2500,5000"`
 }
 
-// collectTime lets an instance's garbage collector run before memory is read.
+// collectTime is the time before memory is read, in which the instance's garbage
+// collector runs.
 const collectTime = 8 * time.Second
 
 // Run implements Experiment.
@@ -76,7 +77,7 @@
 	return conn, nil
 }
 
-// sleep waits, or until the context ends.
+// sleep waits for a duration. Its error is that of the context if that ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-time.After(d):
--- a/internal/standin/drill/experiment_manifest.go
+++ b/internal/standin/drill/experiment_manifest.go
@@ -11,16 +11,16 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/deploy"
 )
 
-// Manifest measures how long an accepted manifest takes to be in force on all
-// instances, with the platform up, slow, and down right after the acceptance.
+// Manifest measures the time from the acceptance of a manifest until it is in force on
+// all instances, with the platform up, slow, and down right after the acceptance.
 type Manifest struct {
 	Instances int `help:"Number of instances." default:"7"`
 	Times     int `help:"Submissions for each state of the platform." default:"5"`
 }
 
-// manifestStates are the states of the platform; each gives the fault before
-// the submission and the one after it.
-var manifestStates = []struct{ name, before, after string }{
+// manifestStates are the states of the platform, each with the platform's fault before
+// and after the submission.
+var manifestStates = []struct{ name, faultBefore, faultAfter string }{
 	{"up", `{"fault":"none"}`, `{"fault":"none"}`},
 	{"slow", `{"fault":"slow","delay":"1s"}`, `{"fault":"slow","delay":"1s"}`},
 	{"down", `{"fault":"none"}`, `{"fault":"outage"}`},
@@ -40,7 +40,7 @@
 	for _, state := range manifestStates {
 		var times []time.Duration
 		for range m.Times {
-			elapsed, err := m.measureSubmission(ctx, d, number, state.before, state.after)
+			elapsed, err := m.measureSubmission(ctx, d, number, state.faultBefore, state.faultAfter)
 			if err != nil {
 				return err
 			}
@@ -53,7 +53,8 @@
 	return setPlatformFault(ctx, d, `{"fault":"none"}`)
 }
 
-// measureSubmission submits one manifest and waits until it is in force on all instances.
+// measureSubmission submits one manifest, waits until it is in force on all instances,
+// and returns the time that this took since the acceptance.
 func (m *Manifest) measureSubmission(ctx context.Context, d *deploy.Deployment, number int, faultBefore, faultAfter string) (time.Duration, error) {
 	if err := setPlatformFault(ctx, d, faultBefore); err != nil {
 		return 0, err
@@ -82,7 +83,7 @@
 	return time.Since(acceptedAt), nil
 }
 
-// setPlatformFault lets a fault happen at the platform.
+// setPlatformFault sets the fault of the simulated platform, given as JSON.
 func setPlatformFault(ctx context.Context, d *deploy.Deployment, fault string) error {
 	return sendRequest(ctx, http.MethodPost, fmt.Sprintf("http://%s/admin/fault", d.PlatformAddress), []byte(fault))
 }
--- a/internal/standin/drill/experiment_overhead.go
+++ b/internal/standin/drill/experiment_overhead.go
@@ -11,9 +11,9 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/load"
 )
 
-// Overhead compares reads sent to a stand-in database directly with reads
-// through one instance, in the same run: rounds of both take turns, since other
-// work on the machine moves the figures.
+// Overhead compares reads sent directly to a simulated database with reads through one
+// instance. Both are measured alternately in the same run, since other load on the
+// machine changes the figures.
 type Overhead struct {
 	Connections []int   `help:"Numbers of connections." default:"1,16,64"`
 	Rounds      int     `help:"Rounds of each comparison, one row each." default:"3"`
@@ -25,7 +25,7 @@
 func (o *Overhead) Run(ctx context.Context, out io.Writer, binaries string) error {
 	writeRow(out, "overhead: reads by key, database work %s, %.0f s each, closed loop, one instance", o.Work, o.Seconds)
 	writeRow(out, "direct: all connections to the one primary; through: the instance, which sends reads to the two replicas;")
-	writeRow(out, "limits: 64 slots and 200 connections a database, so that neither is the bound; cpu: processor time of the instance")
+	writeRow(out, "limits: 64 slots and 200 connections a database, so that neither is the bottleneck; cpu: processor time of the instance")
 	writeRow(out, "%11s %12s %12s %6s %12s %12s %10s %12s", "connections", "direct /s", "through /s", "ratio",
 		"direct p50", "through p50", "added us", "cpu us each")
 	d, err := startDeploymentWith(ctx, binaries, wideManifest, 1, "--work", o.Work, "--slots", "64", "--connections", "200", "--lag", "0s")
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// measure reads in a closed loop.
+// measure runs reads in a closed loop and returns their report.
 func (o *Overhead) measure(ctx context.Context, address netip.AddrPort, connections int, direct bool) (load.Report, error) {
 	return load.Run(ctx, load.Options{
 		Addresses: []netip.AddrPort{address}, Group: group, User: "drill", Connections: connections, ClosedLoop: true, Direct: direct,
@@ -78,8 +78,8 @@
 	})
 }
 
-// wideManifest has more slots and connections, so that the proxy itself is the
-// bound.
+// wideManifest has so many slots and connections that the proxy itself is the
+// bottleneck.
 const wideManifest = `service = "handicap-db"
 [limits]
 slots = 64
--- a/internal/standin/drill/experiment_replicas.go
+++ b/internal/standin/drill/experiment_replicas.go
@@ -10,9 +10,9 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/load"
 )
 
-// Replicas measures which share of reads the replicas serve at several lags,
-// with sessions that roam between instances and hand their token over, and
-// counts reads that did not show their session's own writes.
+// Replicas measures the share of reads that the replicas serve at several lags, with
+// sessions that use several instances and carry their token between them. It also counts
+// reads that did not return their session's own writes.
 type Replicas struct {
 	Lags      []time.Duration `help:"Lags of the replicas." default:"5ms,200ms,5s"`
 	Instances int             `help:"Number of instances." default:"3"`
@@ -23,12 +23,12 @@
 
 // Run implements Experiment.
 func (r *Replicas) Run(ctx context.Context, out io.Writer, binaries string) error {
-	writeRow(out, "replicas: %d instances, %.0f reads/s and %.0f writes/s by roaming sessions, %.0f s each",
+	writeRow(out, "replicas: %d instances, %.0f reads/s and %.0f writes/s by multi-connection sessions, %.0f s each",
 		r.Instances, r.Reads, r.Writes, r.Seconds)
 	writeRow(out, "%-6s %-22s %7s %9s %9s %9s %7s %11s", "lag", "kind", "reads", "replicas", "p50 ms", "p99 ms", "checks", "violations")
 	for _, lag := range r.Lags {
 		for _, kind := range replicaKinds {
-			if err := r.measureLag(ctx, out, binaries, lag, kind.name, kind.help); err != nil {
+			if err := r.measureLag(ctx, out, binaries, lag, kind.name, kind.staleness); err != nil {
 				return err
 			}
 		}
@@ -36,12 +36,13 @@
 	return nil
 }
 
-// replicaKinds are the kinds of reads that are measured.
-var replicaKinds = []struct{ name, help string }{
-	{"check", "no bound"},
-	{"pull", "bears 10 s"},
+// replicaKinds are the kinds of reads that are measured, with their maximum staleness.
+var replicaKinds = []struct{ name, staleness string }{
+	{"check", "any age"},
+	{"pull", "up to 10 s old"},
 }
 
+// measureLag measures one kind of reads at one lag and writes its line.
 func (r *Replicas) measureLag(ctx context.Context, out io.Writer, binaries string, lag time.Duration, kind, staleness string) error {
 	d, err := startDeployment(ctx, binaries, r.Instances, "--lag", lag.String())
 	if err != nil {
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// percentage returns part of whole in percent.
+// percentage returns part as a percentage of whole, or 0 where whole is 0.
 func percentage(part, whole int64) float64 {
 	const percent = 100
 	if whole == 0 {
--- a/internal/standin/proof/case_database_test.go
+++ b/internal/standin/proof/case_database_test.go
@@ -10,25 +10,28 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/load"
 )
 
-// ioError is the SQLSTATE of the fault "err".
+// ioError is the SQLSTATE of the errors that a database with the fault "err" returns.
 const ioError = "58030"
 
+// connectionsUnresponsive makes the open connections of all databases unresponsive.
 func connectionsUnresponsive(s *scenario) {
 	s.runUnderLoad(func() {
 		for _, d := range s.Databases {
 			s.injectFault(d, database.FaultRequest{Fault: "silent"})
 		}
 	})
-	s.requireService()
+	s.checkService()
 }
 
+// replicaLeaves lets a replica announce that it is leaving.
 func replicaLeaves(s *scenario) {
 	s.checkDeparture(s.Databases[1], func() {
 		s.injectFault(s.Databases[1], database.FaultRequest{Fault: "leave", Grace: "30s"})
 	})
 }
 
-// replicaLeavesByManifest declares the departure; the database says nothing.
+// replicaLeavesByManifest declares a replica as leaving in the manifest only; the
+// database itself does not announce it.
 func replicaLeavesByManifest(s *scenario) {
 	leaving := s.Databases[1]
 	name := fmt.Sprintf("name = %q\n", leaving.Name)
@@ -36,8 +39,9 @@
 	s.checkDeparture(leaving, func() { s.checkEqual("exit code", exitSuccess, s.submit(s.Instances[0], text, 1)) })
 }
 
-// checkDeparture lets every statement at the replica fail once it has no work, so that
-// new work there would be seen by a caller.
+// checkDeparture checks that a leaving replica receives no new work. Once it has no
+// requests left, it answers every statement with an error, so that a caller would see
+// any statement that is still sent there.
 func (s *scenario) checkDeparture(leaving *deploy.Database, startDeparture func()) {
 	s.Helper()
 	report := s.runUnderLoad(func() {
@@ -45,11 +49,12 @@
 		s.awaitNoRequests(leaving)
 		s.injectFault(leaving, database.FaultRequest{Fault: "err", Share: 1})
 	})
-	s.checkNoCause(report, ioError)
-	s.requireService()
+	s.checkNoneEndedWith(report, ioError)
+	s.checkService()
 }
 
-// primaryLeaves wants a planned change of primary besides.
+// primaryLeaves checks that a leaving primary is replaced by a planned failover and
+// receives no new work afterwards.
 func primaryLeaves(s *scenario) {
 	leaving := s.Databases[0]
 	report := s.runUnderLoad(func() {
@@ -58,17 +63,17 @@
 		s.awaitNoRequests(leaving)
 		s.injectFault(leaving, database.FaultRequest{Fault: "err", Share: 1})
 	})
-	s.checkNoCause(report, ioError)
-	s.requireService()
+	s.checkNoneEndedWith(report, ioError)
+	s.checkService()
 	out, err := s.RunOperatorCommand(s.ctx, s.Instances[0], "logbook")
 	s.requireNoError(err)
 	if !strings.Contains(out, "reason: primary leaving") {
-		s.Errorf("the logbook does not tell why:\n%s", out)
+		s.Errorf("the logbook does not hold the reason of the failover:\n%s", out)
 	}
 }
 
-// awaitNoRequests waits until each instance has heard that a database leaves and
-// has no request there.
+// awaitNoRequests waits until each instance knows that a database is leaving and has no
+// requests running there.
 func (s *scenario) awaitNoRequests(leaving *deploy.Database) {
 	s.Helper()
 	s.awaitStatus("no work at the leaving database", func(report status.Status) bool {
@@ -81,8 +86,8 @@
 	})
 }
 
-// checkNoCause wants no statement to have ended for a cause.
-func (s *scenario) checkNoCause(report load.Report, cause string) {
+// checkNoneEndedWith checks that no statement ended with the given cause.
+func (s *scenario) checkNoneEndedWith(report load.Report, cause string) {
 	s.Helper()
 	for name, kind := range report.Kinds {
 		s.checkEqual(name+" with "+cause, int64(0), kind.Causes[cause])
--- a/internal/standin/proof/case_instance_test.go
+++ b/internal/standin/proof/case_instance_test.go
@@ -7,30 +7,31 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/load"
 )
 
-// instanceKilled kills an instance between a write and its COMMIT.
+// instanceKilled kills an instance between a write and its COMMIT. The write must not
+// be committed.
 func instanceKilled(s *scenario) {
-	const entry = "written by a transaction that was cut off"
+	const entry = "written by an interrupted transaction"
 	conn := s.connect(s.Instances[0], map[string]string{"eelgrassfold.kind": "post"})
 	defer s.disconnect(conn)
 	s.execute(conn, "BEGIN", "INSERT INTO ledger (entry) VALUES ('"+entry+"')")
 	s.runUnderLoad(func() { s.Instances[0].Process.Kill() })
 	if _, err := conn.Exec(s.ctx, "COMMIT"); err == nil {
-		s.Error("a transaction was committed through an instance that was killed")
+		s.Error("COMMIT succeeded through an instance that was killed")
 	}
-	s.requireService()
+	s.checkService()
 	s.requireNoError(s.StartInstance(s.Instances[0]))
 	s.requireNoError(s.AwaitServing(s.ctx))
-	s.requireService()
+	s.checkService()
 	for _, d := range s.Databases {
 		if slices.Contains(s.databaseContent(d).Ledger, entry) {
-			s.Errorf("%s holds an entry that was not committed", d.Name)
+			s.Errorf("%s holds an entry of a transaction that was not committed", d.Name)
 		}
 	}
 }
 
-// instancePaused pauses an instance before the primary is cut off, and lets it
-// go on when another primary is in its place: what it knows is out of date, and
-// the old primary still takes its connections.
+// instancePaused pauses an instance before the primary is partitioned from its replicas
+// and resumes it after another database was promoted. The instance's state is then out
+// of date, and the old primary still accepts its connections.
 func instancePaused(s *scenario) {
 	s.runUnderLoad(func() {
 		s.requireNoError(s.Instances[2].Process.Pause())
@@ -44,14 +45,16 @@
 		s.awaitPromotion()
 		s.injectFault(s.Databases[0], database.FaultRequest{Fault: "none"})
 	})
-	s.requireService()
+	s.checkService()
 	s.awaitSameContent()
 }
 
+// instanceTerminated ends an instance by SIGTERM.
 func instanceTerminated(s *scenario) {
 	s.checkCleanShutdown(s.Instances[2].Process.Stop)
 }
 
+// instanceDrained drains an instance by the operator command.
 func instanceDrained(s *scenario) {
 	s.checkCleanShutdown(func() error {
 		if _, err := s.RunOperatorCommand(s.ctx, s.Instances[2], "drain"); err != nil {
@@ -61,11 +64,12 @@
 	})
 }
 
-// checkCleanShutdown ends the last instance under load and with a transaction open,
-// which has to come to its end.
+// checkCleanShutdown shuts down the last instance under load while a transaction is open.
+// The transaction must still be able to commit, and callers may see only the errors of
+// shutdownCauses.
 func (s *scenario) checkCleanShutdown(shutDown func() error) {
 	s.Helper()
-	const entry = "written by a transaction that the end met"
+	const entry = "written by a transaction open during the shutdown"
 	conn := s.connect(s.Instances[2], map[string]string{"eelgrassfold.kind": "post"})
 	s.execute(conn, "BEGIN", "INSERT INTO ledger (entry) VALUES ('"+entry+"')")
 	report := s.runUnderLoad(func() {
@@ -80,17 +84,18 @@
 		s.requireNoError(<-done)
 	})
 	s.checkOnlyCleanErrors(report)
-	s.requireService()
+	s.checkService()
 	if !slices.Contains(s.databaseContent(s.Databases[0]).Ledger, entry) {
-		s.Error("a transaction that was acknowledged is lost")
+		s.Error("an acknowledged transaction is lost")
 	}
 }
 
-// shutdownCauses are what a caller may see of an instance that ends: its
-// connection is closed between two requests, and new ones are refused.
+// shutdownCauses are the causes that a caller may see from an instance that shuts down:
+// the connection is closed between two requests, and new connections are refused.
 var shutdownCauses = []string{"57P01", "connect", "unsent"}
 
-// checkOnlyCleanErrors wants no request to have been cut off.
+// checkOnlyCleanErrors checks that no request was interrupted: none has an unknown
+// outcome, and all errors are among shutdownCauses.
 func (s *scenario) checkOnlyCleanErrors(report load.Report) {
 	s.Helper()
 	for name, kind := range report.Kinds {
--- a/internal/standin/proof/case_operator_test.go
+++ b/internal/standin/proof/case_operator_test.go
@@ -16,14 +16,14 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/deploy"
 )
 
-// The exit codes of a submission.
+// Exit codes of the command "submit".
 const (
 	exitSuccess  = 0
 	exitConflict = 3
 	exitUnknown  = 5
 )
 
-// submit runs the verb and returns its exit code.
+// submit runs the command "submit" and returns its exit code.
 func (s *scenario) submit(instance *deploy.Instance, text string, expected uint64) int {
 	s.Helper()
 	file := filepath.Join(s.TempDir(), "manifest.toml")
@@ -34,6 +34,7 @@
 	return exitCode(err)
 }
 
+// exitCode returns the exit code of the command that returned err.
 func exitCode(err error) int {
 	var failed *deploy.ProcessError
 	if errors.As(err, &failed) {
@@ -50,7 +51,7 @@
 	})
 }
 
-// competingManifests returns two manifests that differ.
+// competingManifests returns two different manifests.
 func (s *scenario) competingManifests(round uint64) []string {
 	return []string{
 		fmt.Sprintf("%s# first, round %d\n", s.ManifestText(), round),
@@ -58,7 +59,8 @@
 	}
 }
 
-// concurrentSubmissions submits two manifests against the same number at once.
+// concurrentSubmissions submits two manifests concurrently, both based on the same
+// number. Exactly one must be accepted, and that one must be in force everywhere.
 func concurrentSubmissions(s *scenario) {
 	const rounds = 5
 	for number := uint64(1); number <= rounds; number++ {
@@ -78,10 +80,11 @@
 		winner := max(0, slices.Index(exitCodes, exitSuccess))
 		s.awaitInForce(number+1, manifest.Digest([]byte(texts[winner])))
 	}
-	s.requireService()
+	s.checkService()
 }
 
-// responsesLostInSubmission holds what the operator was told against what is in
+// responsesLostInSubmission loses the platform's response to a submission that took
+// effect, and checks the exit code that the operator received against the manifest in
 // force afterwards.
 func responsesLostInSubmission(s *scenario) {
 	texts := s.competingManifests(1)
@@ -104,10 +107,10 @@
 	}
 	s.checkEqual("exit code of the next submission", exitSuccess, s.submit(s.Instances[1], texts[1], number))
 	s.awaitInForce(number+1, manifest.Digest([]byte(texts[1])))
-	s.requireService()
+	s.checkService()
 }
 
-// restartInOutage starts an instance anew while the platform is down: it has
+// restartInOutage restarts an instance while the platform is down. The instance must get
 // the manifest from its peers.
 func restartInOutage(s *scenario) {
 	s.injectPlatformFault("outage")
@@ -117,12 +120,13 @@
 		s.requireNoError(s.AwaitServing(s.ctx))
 	})
 	s.awaitInForce(1, manifest.Digest([]byte(s.ManifestText())))
-	s.requireService()
+	s.checkService()
 	s.injectPlatformFault("none")
-	s.requireService()
+	s.checkService()
 }
 
-// logbookRecordsFailover prints the change of primary, also while the platform is down.
+// logbookRecordsFailover checks that each instance prints the record of a failover, also
+// while the platform is down.
 func logbookRecordsFailover(s *scenario) {
 	s.Databases[0].Process.Kill()
 	primary := s.awaitPromotion()
@@ -131,41 +135,41 @@
 	s.checkRecords(primary)
 }
 
-// checkRecords wants each instance to tell which primary was found at first, and
-// of the one change since.
+// checkRecords checks that each instance's logbook holds two records: the primary found
+// at first, and the failover to the given primary.
 func (s *scenario) checkRecords(primary *deploy.Database) {
 	s.Helper()
 	for _, instance := range s.Instances {
-		const wanted = 2
-		s.await("records at "+instance.Name, func() bool { return len(s.records(instance)) >= wanted })
+		const recordCount = 2
+		s.await("records at "+instance.Name, func() bool { return len(s.records(instance)) >= recordCount })
 		records := s.records(instance)
-		s.checkEqual("number of records", wanted, len(records))
+		s.checkEqual("number of records", recordCount, len(records))
 		s.checkEqual("first primary", s.Databases[0].Name, records[0].Primary)
 		s.checkFailoverRecord(instance, records[1], primary)
 	}
 }
 
-// checkFailoverRecord wants a record, in JSON and in text, to tell of the change and its
-// evidence.
+// checkFailoverRecord checks that a record, in its JSON and its text form, describes the
+// failover and its evidence.
 func (s *scenario) checkFailoverRecord(instance *deploy.Instance, record engine.PromotionRecord, primary *deploy.Database) {
 	s.Helper()
 	s.checkEqual("group", group, record.Group)
-	s.checkEqual("primary before", s.Databases[0].Name, record.PreviousPrimary)
+	s.checkEqual("previous primary", s.Databases[0].Name, record.PreviousPrimary)
 	s.checkEqual("primary", primary.Name, record.Primary)
 	s.checkEqual("term", s.databaseState(primary).Term, record.Term)
 	if len(record.Evidence) == 0 || len(record.FencedDatabases) < 2 || record.Coordinator == "" || record.PromotedAt.IsZero() {
-		s.Errorf("%s: the record lacks evidence, fences, conductor or time: %+v", instance.Name, record)
+		s.Errorf("%s: the record lacks evidence, fenced databases, coordinator or time: %+v", instance.Name, record)
 	}
 	out, err := s.RunOperatorCommand(s.ctx, instance, "logbook")
 	s.requireNoError(err)
 	for _, wanted := range append([]string{"evidence: ", "reason: ", string(record.Primary)}, record.Evidence...) {
 		if !strings.Contains(out, wanted) {
-			s.Errorf("%s: the logbook does not tell %q:\n%s", instance.Name, wanted, out)
+			s.Errorf("%s: the logbook does not hold %q:\n%s", instance.Name, wanted, out)
 		}
 	}
 }
 
-// records returns an instance's logbook from its JSON form.
+// records returns the records of an instance's logbook, read in its JSON form.
 func (s *scenario) records(instance *deploy.Instance) []engine.PromotionRecord {
 	s.Helper()
 	out, err := s.RunOperatorCommand(s.ctx, instance, "logbook", "--json")
--- a/internal/standin/proof/case_transaction_test.go
+++ b/internal/standin/proof/case_transaction_test.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// writerCount is the number of sessions that run transactions side by side,
-	// transactions that of each, and entries that of one transaction.
+	// writerCount is the number of sessions that run transactions concurrently,
+	// transactionsPerWriter the number of transactions of each session, and
+	// entriesPerTransaction the number of entries of each transaction.
 	writerCount           = 9
 	transactionsPerWriter = 20
 	entriesPerTransaction = 3
 )
 
-// clientOutcome is what a session was clientOutcome of a transaction.
+// clientOutcome is the outcome of a transaction as its session knows it.
 type clientOutcome int
 
 const (
@@ -28,20 +29,20 @@
 	outcomeNotCommitted
 )
 
-// concurrentTransactions runs transactions through all instances, lets the
-// primary die meanwhile, and wants each to stand in the ledger whole and in one
-// piece, or not at all, as its session was told.
+// concurrentTransactions runs transactions through all instances and kills the primary
+// meanwhile. All entries of a transaction must be in the ledger without other entries in
+// between, or none of them, according to the outcome that its session received.
 func concurrentTransactions(s *scenario) {
-	ended := make(chan map[string]clientOutcome, writerCount)
+	results := make(chan map[string]clientOutcome, writerCount)
 	for w := range writerCount {
-		go func() { ended <- s.runTransactions(s.Instances[w%len(s.Instances)], w) }()
+		go func() { results <- s.runTransactions(s.Instances[w%len(s.Instances)], w) }()
 	}
 	s.await("transactions", func() bool { return len(s.databaseContent(s.Databases[0]).Ledger) >= entriesBeforeFault })
 	s.Databases[0].Process.Kill()
 	primary := s.awaitPromotion()
 	committed := 0
 	for range writerCount {
-		for name, outcome := range <-ended {
+		for name, outcome := range <-results {
 			if outcome == outcomeCommitted {
 				committed++
 			}
@@ -52,10 +53,11 @@
 		s.Error("no transaction was committed")
 	}
 	s.Logf("%d of %d transactions committed", committed, writerCount*transactionsPerWriter)
-	s.requireService()
+	s.checkService()
 }
 
-// runTransactions runs one session's transactions.
+// runTransactions runs the transactions of one session and returns their outcomes by
+// name. It connects again when the connection is lost.
 func (s *scenario) runTransactions(instance *deploy.Instance, writer int) map[string]clientOutcome {
 	outcomes := map[string]clientOutcome{}
 	var conn *pgx.Conn
@@ -75,7 +77,8 @@
 	return outcomes
 }
 
-// runTransaction appends entries in one transaction.
+// runTransaction appends entries to the ledger in one transaction and returns its
+// outcome.
 func (s *scenario) runTransaction(conn *pgx.Conn, name string) clientOutcome {
 	tx, err := conn.Begin(s.ctx)
 	if err != nil {
@@ -98,29 +101,31 @@
 	return outcomeUnknown
 }
 
+// entryName returns the i-th entry of a transaction.
 func entryName(name string, i int) string { return fmt.Sprintf("%s, entry %d", name, i) }
 
-// checkAtomic wants a transaction's entries to stand next to each other, once,
-// where it was committed, and nowhere where it was not.
+// checkAtomic checks that all entries of a transaction are in the ledger once and next to
+// each other if it was committed, and that none is if it was not. If the outcome is
+// unknown, either is allowed.
 func (s *scenario) checkAtomic(ledger []string, name string, outcome clientOutcome) {
 	s.Helper()
 	var expected, found []string
-	start := slices.Index(ledger, entryName(name, 0))
+	firstIndex := slices.Index(ledger, entryName(name, 0))
 	for i := range entriesPerTransaction {
 		expected = append(expected, entryName(name, i))
 	}
-	if start >= 0 {
-		found = ledger[start:min(start+entriesPerTransaction, len(ledger))]
+	if firstIndex >= 0 {
+		found = ledger[firstIndex:min(firstIndex+entriesPerTransaction, len(ledger))]
 	}
-	count := 0
+	present := 0
 	for _, entry := range ledger {
 		if slices.Contains(expected, entry) {
-			count++
+			present++
 		}
 	}
-	isComplete := count == entriesPerTransaction && slices.Equal(expected, found)
-	isAbsent := count == 0
+	isComplete := present == entriesPerTransaction && slices.Equal(expected, found)
+	isAbsent := present == 0
 	if outcome == outcomeCommitted && !isComplete || outcome == outcomeNotCommitted && !isAbsent || !isComplete && !isAbsent {
-		s.Errorf("%s: told %d, %d entries in the ledger, the first of them in %q", name, outcome, count, found)
+		s.Errorf("%s: outcome %d, %d entries in the ledger, beginning with %q", name, outcome, present, found)
 	}
 }
--- a/internal/standin/proof/proof_test.go
+++ b/internal/standin/proof/proof_test.go
@@ -1,14 +1,14 @@
-// Package proof lets faults happen to whole deployments of real processes, and
-// holds what callers were told against what the databases finally hold.
+// Package proof injects faults into whole deployments of real processes, and compares
+// the outcomes that callers received with the final content of the databases.
 //
 // # What flows in and out
 //
-// The binaries are built once by `go build`. Each case starts a deployment of
-// its own, offers a small load with a fixed seed, lets its faults happen and
-// judges. The verdict rests on what callers and operators were told and on the
-// databases' content; an instance's own opinion serves only to wait until it
-// has noticed something. Nothing is timed: a limit for the whole case turns a
-// hang into a failure.
+// The binaries are built once by `go build`. Each case starts a deployment of its own,
+// offers a small load with a fixed seed, injects its faults and checks the results. The
+// checks rely on the answers that callers and operators received and on the content of
+// the databases. The status that an instance reports is used only to wait until the
+// instance has detected something. The cases measure no times; a time limit for the whole
+// case turns a hang into a failure.
 //
 // # Usage
 //
@@ -20,13 +20,13 @@
 	"testing"
 )
 
-// faultCase is one case of the table.
+// faultCase is one test case.
 type faultCase struct {
 	name string
 	run  func(s *scenario)
 }
 
-// cases lists every case; the files case_*_test.go hold them.
+// cases lists all cases. The files case_*_test.go implement them.
 var cases = []faultCase{
 	{"primary killed", primaryKilled},
 	{"primary frozen and thawed", primaryFrozen},
@@ -48,7 +48,7 @@
 	{"logbook", logbookRecordsFailover},
 }
 
-// maxConcurrentDeployments is the number of deployments that run at once.
+// maxConcurrentDeployments is the maximum number of deployments that run at once.
 const maxConcurrentDeployments = 2
 
 func TestProof(t *testing.T) {
@@ -64,7 +64,7 @@
 	}
 }
 
-// buildBinaries builds the binaries into a temporary directory and returns its name.
+// buildBinaries builds the binaries into a temporary directory and returns its path.
 func buildBinaries(t *testing.T) string {
 	t.Helper()
 	directory := t.TempDir()
--- a/internal/standin/proof/session_test.go
+++ b/internal/standin/proof/session_test.go
@@ -10,7 +10,7 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/deploy"
 )
 
-// connect opens a caller's connection.
+// connect opens a caller's connection with startup parameters, or ends the test.
 func (s *scenario) connect(instance *deploy.Instance, parameters map[string]string) *pgx.Conn {
 	s.Helper()
 	conn, err := s.dial(instance, parameters)
@@ -18,6 +18,7 @@
 	return conn
 }
 
+// dial opens a caller's connection with startup parameters.
 func (s *scenario) dial(instance *deploy.Instance, parameters map[string]string) (*pgx.Conn, error) {
 	connectionURL := url.URL{Scheme: "postgres", User: url.User("proof"), Host: instance.CallerAddress.String(), Path: "/" + string(group)}
 	config, err := pgx.ParseConfig(connectionURL.String())
@@ -33,7 +34,7 @@
 
 func (s *scenario) disconnect(conn *pgx.Conn) { _ = conn.Close(s.ctx) }
 
-// execute runs statements that have to succeed.
+// execute runs statements and ends the test if one fails.
 func (s *scenario) execute(conn *pgx.Conn, statements ...string) {
 	s.Helper()
 	for _, sql := range statements {
@@ -43,9 +44,9 @@
 	}
 }
 
-// requireService wants each running instance to take a write whose session reads it
-// through the next one.
-func (s *scenario) requireService() {
+// checkService checks that each running instance accepts a write, and that its session
+// reads the written value through the next instance.
+func (s *scenario) checkService() {
 	s.Helper()
 	running := s.runningInstances()
 	for i, instance := range running {
@@ -65,6 +66,7 @@
 	return conn.PgConn().ParameterStatus("eelgrassfold.token")
 }
 
+// read reads a key with a session token.
 func (s *scenario) read(instance *deploy.Instance, key, token string) string {
 	s.Helper()
 	conn := s.connect(instance, map[string]string{"eelgrassfold.kind": "check", "eelgrassfold.token": token})
--- a/internal/standin/proof/stage_test.go
+++ b/internal/standin/proof/stage_test.go
@@ -25,15 +25,15 @@
 
 const (
 	group = model.GroupID("ratings")
-	// caseTimeout turns a hang into a failure.
+	// caseTimeout bounds the time of a case, so that a hang becomes a failure.
 	caseTimeout = 60 * time.Second
-	// entriesBeforeFault is the number of entries that the ledger holds when a fault
-	// happens under load.
+	// entriesBeforeFault is the number of entries that the ledger must hold before a
+	// fault is injected under load.
 	entriesBeforeFault = 20
 )
 
-// scenario is one case's deployment: three databases of one group, the first of
-// them primary, and three instances.
+// scenario is the deployment of one case: three instances and one group of three
+// databases, the first of which is primary.
 type scenario struct {
 	*testing.T
 	*deploy.Deployment
@@ -56,7 +56,8 @@
 	return s
 }
 
-// cleanUp stops what is left: each process has to cleanUp as asked.
+// cleanUp stops all processes, each of which must end when requested. It logs the end of
+// their logs if the test has failed.
 func (s *scenario) cleanUp() {
 	if err := s.Stop(); err != nil {
 		s.Error(err)
@@ -83,7 +84,7 @@
 	}
 }
 
-// await repeats a question until it is answered by true.
+// await waits until a condition is true, or ends the test when its time is over.
 func (s *scenario) await(what string, condition func() bool) {
 	s.Helper()
 	err := deploy.Retry(s.ctx, func() error {
@@ -100,9 +101,8 @@
 // -----------------------------------------------------------------------------
 // Load.
 
-// runUnderLoad offers load while the fault happens, and judges what callers were told
-// by what the primary's ledger holds. The fault happens once the ledger holds
-// some entries.
+// runUnderLoad offers load, injects a fault once the ledger holds entriesBeforeFault
+// entries, and compares the outcomes that callers received with the primary's ledger.
 func (s *scenario) runUnderLoad(fault func()) load.Report {
 	s.Helper()
 	type result struct {
@@ -141,24 +141,24 @@
 	return options
 }
 
-// checkReport wants nothing lost, doubled or there against what callers were told,
-// and every write seen by its session's reads through other instances.
+// checkReport checks that no write was lost, duplicated or unexpectedly committed, and
+// that every write was visible to its session's reads through other instances.
 func (s *scenario) checkReport(report load.Report) {
 	s.Helper()
 	text, _ := json.Marshal(report)
 	s.Logf("load: %s", text)
 	comparison := *report.Comparison
-	s.checkEqual("ledger against callers", load.Comparison{Acknowledged: comparison.Acknowledged}, comparison)
-	s.checkEqual("reads that miss their session's write", int64(0), report.Check.Violations)
+	s.checkEqual("ledger compared with callers' outcomes", load.Comparison{Acknowledged: comparison.Acknowledged}, comparison)
+	s.checkEqual("reads that did not return their session's write", int64(0), report.Check.Violations)
 	if comparison.Acknowledged < entriesBeforeFault || report.Check.Checks == 0 {
-		s.Errorf("too little was judged: %s", text)
+		s.Errorf("too few writes or checks to be meaningful: %s", text)
 	}
 }
 
 // -----------------------------------------------------------------------------
-// Stand-ins.
+// Simulated databases and platform.
 
-// databaseState is what the proof reads of a database's databaseState.
+// databaseState holds the fields of a database's state that the tests use.
 type databaseState struct {
 	Role      string     `json:"role"`
 	Term      model.Term `json:"term"`
@@ -179,18 +179,20 @@
 	return got
 }
 
+// injectFault sets the fault of a simulated database.
 func (s *scenario) injectFault(d *deploy.Database, fault database.FaultRequest) {
 	s.Helper()
 	s.postJSON(d.AdminAddress, "/fault", fault)
 }
 
+// injectPlatformFault sets the fault of the simulated platform.
 func (s *scenario) injectPlatformFault(fault string) {
 	s.Helper()
 	s.postJSON(s.PlatformAddress, "/admin/fault", platform.FaultRequest{Fault: fault})
 }
 
-// loseWriteResponses lets changes take effect at the platform while their answers are
-// lost, until one has done so during the step.
+// loseWriteResponses makes the platform apply writes but lose their responses. It runs
+// the step, waits until the platform has received a write, and clears the fault.
 func (s *scenario) loseWriteResponses(step func()) {
 	s.Helper()
 	before := s.platformWrites()
@@ -208,6 +210,7 @@
 	return stats.Writes
 }
 
+// getJSON decodes the JSON document at a path into target.
 func (s *scenario) getJSON(address netip.AddrPort, path string, target any) {
 	s.Helper()
 	request, err := http.NewRequestWithContext(s.ctx, http.MethodGet, "http://"+address.String()+path, nil)
@@ -218,6 +221,7 @@
 	s.requireNoError(json.NewDecoder(response.Body).Decode(target))
 }
 
+// postJSON sends a body as JSON and ends the test if the status is 300 or above.
 func (s *scenario) postJSON(address netip.AddrPort, path string, body any) {
 	s.Helper()
 	text, err := json.Marshal(body)
@@ -235,12 +239,12 @@
 // -----------------------------------------------------------------------------
 // Instances.
 
-// runningInstances returns the instances whose process is there.
+// runningInstances returns the instances whose process is running.
 func (s *scenario) runningInstances() []*deploy.Instance {
 	return slices.DeleteFunc(slices.Clone(s.Instances), func(instance *deploy.Instance) bool { return instance.Process.HasEnded() })
 }
 
-// awaitStatus waits until the report of each running instance passes.
+// awaitStatus waits until the status of each running instance meets a condition.
 func (s *scenario) awaitStatus(what string, condition func(report status.Status) bool) {
 	s.Helper()
 	for _, instance := range s.runningInstances() {
@@ -251,8 +255,8 @@
 	}
 }
 
-// awaitPromotion waits until each running instance knows another primary than
-// the first one, and returns it.
+// awaitPromotion waits until each running instance reports a primary other than the first
+// database, and returns it.
 func (s *scenario) awaitPromotion() *deploy.Database {
 	s.Helper()
 	var name string
