--- a/Makefile
+++ b/Makefile
@@ -18,12 +18,13 @@
 	$(BIN)/golangci-lint run ./...
 	go vet ./...
 
-# KNOWN names the tests that KNOWN-RED.txt lists; .ci/run passes them over.
+# KNOWN is the pattern of the tests to skip; .ci/run sets it to those that
+# KNOWN-RED.txt lists.
 test:
 	go test -race -timeout 30m $(if $(KNOWN),-skip '^($(KNOWN))$$') ./...
 
-# The documents hold commands with their outputs; docs runs them and writes the
-# outputs anew, docs-check fails where one has changed.
+# The documents contain commands with their outputs. The target docs runs the commands
+# and updates the outputs; docs-check fails if an output differs.
 docs:
 	go test ./internal/command/proxy -run 'TestDocs|TestEventsPage' -count 1 -update
 
