--- a/internal/standin/flood/run.go
+++ b/internal/standin/flood/run.go
@@ -18,10 +18,10 @@
 // it.
 type scheduler interface {
 	Enqueue(now time.Time, work rank.Work) (rank.Refusal, bool)
-	Requeue(now time.Time, request model.RequestID, ending rank.SlotCompletion)
+	Requeue(now time.Time, request model.RequestID, completion rank.SlotCompletion)
 	TakeExpired(now time.Time) []model.RequestID
 	AssignSlots(now time.Time, candidates rank.Candidates) []rank.SlotAssignment
-	Finish(now time.Time, request model.RequestID, ending rank.SlotCompletion)
+	Finish(now time.Time, request model.RequestID, completion rank.SlotCompletion)
 	HandlePeerMessage(now time.Time, from model.InstanceID, body message.PeerMessage)
 	TakeMessages(now time.Time) []message.SendPeer
 }
--- a/internal/standin/load/check.go
+++ b/internal/standin/load/check.go
@@ -70,8 +70,8 @@
 	return fmt.Sprintf("%s-%d-%d", c.run.entryPrefix, c.index, c.keyCount)
 }
 
-// write writes the next value to the key, which isNewKey says to insert, and reports
-// whether the write was acknowledged.
+// write writes the next value to the current key, by an INSERT if isNewKey is set, and
+// reports whether the write was acknowledged.
 func (c *checker) write(ctx context.Context, addressIndex int, isNewKey bool) bool {
 	sql := "UPDATE kv SET value = $2 WHERE key = $1"
 	if isNewKey {
--- a/internal/standin/load/compare.go
+++ b/internal/standin/load/compare.go
@@ -44,7 +44,9 @@
 }
 
 // Error implements error.
-func (e *HTTPStatusError) Error() string { return fmt.Sprintf("%s answered %d", e.URL, e.Status) }
+func (e *HTTPStatusError) Error() string {
+	return fmt.Sprintf("%s returned HTTP status %d", e.URL, e.Status)
+}
 
 // adminTimeout bounds a request to a database's admin address, since a frozen database
 // never answers.
@@ -132,15 +134,15 @@
 	url := "http://" + admin.String() + path
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return errors.Wrapf(err, "ask %s", url)
+		return errors.Wrapf(err, "request %s", url)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return errors.Wrapf(err, "ask %s", url)
+		return errors.Wrapf(err, "request %s", url)
 	}
 	defer response.Body.Close() //nolint:errcheck // the body was read
 	if response.StatusCode != http.StatusOK {
 		return &HTTPStatusError{URL: url, Status: response.StatusCode}
 	}
-	return errors.Wrapf(json.NewDecoder(response.Body).Decode(value), "read %s", url)
+	return errors.Wrapf(json.NewDecoder(response.Body).Decode(value), "decode response of %s", url)
 }
--- a/internal/standin/load/kind.go
+++ b/internal/standin/load/kind.go
@@ -30,7 +30,7 @@
 
 // Error implements error.
 func (e *KindError) Error() string {
-	return fmt.Sprintf("%q is not a kind of work of the form name=read:100/s or name=write:100/s", e.Text)
+	return fmt.Sprintf("%q is not a request kind of the form name=read:100/s or name=write:100/s", e.Text)
 }
 
 // accessByName maps the names used by ParseKind to their access.
--- a/internal/standin/load/load_test.go
+++ b/internal/standin/load/load_test.go
@@ -201,7 +201,7 @@
 // -----------------------------------------------------------------------------
 // The report.
 
-func TestGapCountsFromTheStartToTheEnd(t *testing.T) {
+func TestWriteGapIncludesStartAndEnd(t *testing.T) {
 	startedAt := time.Unix(100, 0)
 	cases := []struct {
 		name      string
--- a/internal/standin/load/session.go
+++ b/internal/standin/load/session.go
@@ -64,7 +64,7 @@
 	}
 	config, err := pgx.ParseConfig(connectionURL.String())
 	if err != nil {
-		return nil, errors.Wrap(err, "connection settings")
+		return nil, errors.Wrap(err, "parse connection settings")
 	}
 	config.RuntimeParams["application_name"] = applicationTag
 	if !s.token.Position.IsZero() {
