--- a/internal/standin/proof/case_database_test.go
+++ b/internal/standin/proof/case_database_test.go
@@ -10,66 +10,71 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/standin/load"
 )
 
-// ioError is the SQLSTATE of the fault "err".
+// ioError is the SQLSTATE of the errors that a database with the fault "err" returns.
 const ioError = "58030"
 
-func connectionsSilent(s *stage) {
-	s.under(func() {
+// connectionsUnresponsive makes the open connections of all databases unresponsive.
+func connectionsUnresponsive(s *scenario) {
+	s.runUnderLoad(func() {
 		for _, d := range s.Databases {
-			s.fail(d, database.FaultRequest{Fault: "silent"})
+			s.injectFault(d, database.FaultRequest{Fault: "silent"})
 		}
 	})
-	s.serves()
+	s.checkService()
 }
 
-func replicaLeaves(s *stage) {
-	s.leaves(s.Databases[1], func() {
-		s.fail(s.Databases[1], database.FaultRequest{Fault: "leave", Grace: "30s"})
+// replicaLeaves lets a replica announce that it is leaving.
+func replicaLeaves(s *scenario) {
+	s.checkDeparture(s.Databases[1], func() {
+		s.injectFault(s.Databases[1], database.FaultRequest{Fault: "leave", Grace: "30s"})
 	})
 }
 
-// replicaLeavesByManifest declares the departure; the database says nothing.
-func replicaLeavesByManifest(s *stage) {
+// replicaLeavesByManifest declares a replica as leaving in the manifest only; the
+// database itself does not announce it.
+func replicaLeavesByManifest(s *scenario) {
 	leaving := s.Databases[1]
 	name := fmt.Sprintf("name = %q\n", leaving.Name)
 	text := strings.Replace(s.ManifestText(), name, name+"leaving = true\n", 1)
-	s.leaves(leaving, func() { s.equal("exit code", exitDone, s.submit(s.Instances[0], text, 1)) })
+	s.checkDeparture(leaving, func() { s.checkEqual("exit code", exitSuccess, s.submit(s.Instances[0], text, 1)) })
 }
 
-// leaves lets every statement at the replica fail once it has no work, so that
-// new work there would be seen by a caller.
-func (s *stage) leaves(leaving *deploy.Database, leave func()) {
+// checkDeparture checks that a leaving replica receives no new work. Once it has no
+// requests left, it answers every statement with an error, so that a caller would see
+// any statement that is still sent there.
+func (s *scenario) checkDeparture(leaving *deploy.Database, startDeparture func()) {
 	s.Helper()
-	report := s.under(func() {
-		leave()
-		s.awaitNoWork(leaving)
-		s.fail(leaving, database.FaultRequest{Fault: "err", Share: 1})
+	report := s.runUnderLoad(func() {
+		startDeparture()
+		s.awaitNoRequests(leaving)
+		s.injectFault(leaving, database.FaultRequest{Fault: "err", Share: 1})
 	})
-	s.wantNoCause(report, ioError)
-	s.serves()
+	s.checkNoneEndedWith(report, ioError)
+	s.checkService()
 }
 
-// primaryLeaves wants a planned change of primary besides.
-func primaryLeaves(s *stage) {
+// primaryLeaves checks that a leaving primary is replaced by a planned failover and
+// receives no new work afterwards.
+func primaryLeaves(s *scenario) {
 	leaving := s.Databases[0]
-	report := s.under(func() {
-		s.fail(leaving, database.FaultRequest{Fault: "leave", Grace: "30s"})
+	report := s.runUnderLoad(func() {
+		s.injectFault(leaving, database.FaultRequest{Fault: "leave", Grace: "30s"})
 		s.awaitPromotion()
-		s.awaitNoWork(leaving)
-		s.fail(leaving, database.FaultRequest{Fault: "err", Share: 1})
+		s.awaitNoRequests(leaving)
+		s.injectFault(leaving, database.FaultRequest{Fault: "err", Share: 1})
 	})
-	s.wantNoCause(report, ioError)
-	s.serves()
+	s.checkNoneEndedWith(report, ioError)
+	s.checkService()
 	out, err := s.RunOperatorCommand(s.ctx, s.Instances[0], "logbook")
-	s.must(err)
+	s.requireNoError(err)
 	if !strings.Contains(out, "reason: primary leaving") {
-		s.Errorf("the logbook does not tell why:\n%s", out)
+		s.Errorf("the logbook does not hold the reason of the failover:\n%s", out)
 	}
 }
 
-// awaitNoWork waits until each instance has heard that a database leaves and
-// has no request there.
-func (s *stage) awaitNoWork(leaving *deploy.Database) {
+// awaitNoRequests waits until each instance knows that a database is leaving and has no
+// requests running there.
+func (s *scenario) awaitNoRequests(leaving *deploy.Database) {
 	s.Helper()
 	s.awaitStatus("no work at the leaving database", func(report status.Status) bool {
 		for _, d := range report.Groups[0].Databases {
@@ -81,10 +86,10 @@
 	})
 }
 
-// wantNoCause wants no statement to have ended for a cause.
-func (s *stage) wantNoCause(report load.Report, cause string) {
+// checkNoneEndedWith checks that no statement ended with the given cause.
+func (s *scenario) checkNoneEndedWith(report load.Report, cause string) {
 	s.Helper()
 	for name, kind := range report.Kinds {
-		s.equal(name+" with "+cause, int64(0), kind.Causes[cause])
+		s.checkEqual(name+" with "+cause, int64(0), kind.Causes[cause])
 	}
 }
