--- a/internal/core/placement/placement_test.go
+++ b/internal/core/placement/placement_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestUrgentWorkGoesFirst(t *testing.T) {
+func TestUrgentRankIsServedFirst(t *testing.T) {
 	s, _ := newFixture(t)
 	writeRequirements := func(rank model.Rank) Requirements {
 		return Requirements{Group: ratings, Rank: rank, ArrivedAt: clock.Now(), RequiresPrimary: true}
@@ -214,7 +214,7 @@
 	mustAcquire(t, s, requirements)
 }
 
-func TestFailing(t *testing.T) {
+func TestFailureDuration(t *testing.T) {
 	s, leases := newFixture(t)
 	if diff := cmp.Diff(FailureDurationUnknown, s.FailureDuration(ratings)); diff != "" {
 		t.Errorf("before the first answer: %s", diff)
@@ -235,7 +235,7 @@
 
 // An instance that was partitioned cannot tell whether the primary failed in the
 // meantime: the failure duration starts at the first view after the gap.
-func TestFailingStartsAfterViewGap(t *testing.T) {
+func TestFailureDurationStartsAfterViewGap(t *testing.T) {
 	s, leases := newFixture(t)
 	s.RecordProbe("a", true)
 	s.byID["a"].recordUnreachable(clock.Now().Add(-time.Minute))
@@ -270,7 +270,7 @@
 
 // A primary with an overdue answer is probed on a new connection before it counts as
 // unresponsive, and does not count as unresponsive if it answers the probe.
-func TestSilenceIsDoubtedFirst(t *testing.T) {
+func TestUnansweredPrimaryIsProbedFirst(t *testing.T) {
 	s, _ := newFixture(t)
 	requirements := Requirements{Group: ratings, ArrivedAt: clock.Now(), RequiresPrimary: true}
 	mustAcquire(t, s, requirements)
--- a/internal/core/rank/lease_test.go
+++ b/internal/core/rank/lease_test.go
@@ -223,10 +223,10 @@
 	}
 }
 
-// TestCutOffSidesServe partitions a busy fleet into two sides. Once the members
+// TestPartitionedSidesServe partitions a busy fleet into two sides. Once the members
 // know the live instances of their side, each side must serve nearly all of its
 // urgent requests, which need less than its share of the slots.
-func TestCutOffSidesServe(t *testing.T) {
+func TestPartitionedSidesServe(t *testing.T) {
 	f := newFleet(7)
 	arbiter := f.members[0].scheduler.peers.arbiter("g")
 	isMinority := map[model.InstanceID]bool{arbiter: true, f.members[0].id: true, f.members[1].id: true}
--- a/internal/core/rank/scheduler_test.go
+++ b/internal/core/rank/scheduler_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestCallerGivesWay(t *testing.T) {
+func TestFairnessBetweenCallers(t *testing.T) {
 	s := newTestScheduler()
 	for id := model.RequestID(1); id <= 10; id++ {
 		s.Enqueue(start, work(id, 0, 500*ms))
@@ -124,10 +124,10 @@
 	}
 }
 
-// TestNothingIsLost makes random calls and checks that each admitted request
+// TestEachRequestLeavesOnce makes random calls and checks that each admitted request
 // leaves the scheduler exactly once, and that no database runs more requests
 // than it has slots.
-func TestNothingIsLost(t *testing.T) {
+func TestEachRequestLeavesOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newTestScheduler()
 		now := start
@@ -219,10 +219,10 @@
 	}
 }
 
-// TestFloorsAreKept floods the scheduler with one rank and checks that each
+// TestMinimumSharesAreKept floods the scheduler with one rank and checks that each
 // other rank, which always has waiting requests, gets at least nine tenths of
 // its minimum share of the slot-time.
-func TestFloorsAreKept(t *testing.T) {
+func TestMinimumSharesAreKept(t *testing.T) {
 	for flood := range model.Rank(3) {
 		served := serveFlood(newTestScheduler(), flood)
 		total := served[0] + served[1] + served[2]
--- a/internal/core/succession/succession_test.go
+++ b/internal/core/succession/succession_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestChoose(t *testing.T) {
+func TestChooseCandidate(t *testing.T) {
 	p := func(term, offset int) model.Position {
 		return model.Position{Term: model.Term(term), Offset: uint64(offset)}
 	}
--- a/internal/edge/caller/fault_test.go
+++ b/internal/edge/caller/fault_test.go
@@ -146,8 +146,8 @@
 	}
 }
 
-// TestMuteStatement runs a write whose answer never arrives.
-func TestMuteStatement(t *testing.T) {
+// TestUnansweredWrite runs a write whose answer never arrives.
+func TestUnansweredWrite(t *testing.T) {
 	setup := newTestSetup(t, func(setup *testSetup, _ *Options) {
 		setup.core.dispatch.SilenceTimeout = time.Millisecond
 	})
--- a/internal/edge/caller/session_test.go
+++ b/internal/edge/caller/session_test.go
@@ -10,9 +10,9 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/message"
 )
 
-// TestConversations sends simple queries and checks the answers and the
+// TestSimpleQueries sends simple queries and checks the answers and the
 // statements that reach the database.
-func TestConversations(t *testing.T) {
+func TestSimpleQueries(t *testing.T) {
 	cases := []struct {
 		name     string
 		queries  []string
@@ -318,9 +318,9 @@
 	})
 }
 
-// TestStatementsApart checks that a session cannot use statements that
+// TestPreparedStatementsAreSeparate checks that a session cannot use statements that
 // another one prepared on the connection they share.
-func TestStatementsApart(t *testing.T) {
+func TestPreparedStatementsAreSeparate(t *testing.T) {
 	setup := newTestSetup(t)
 	setup.setDatabases(1)
 	first, second := startRaw(t, setup), startRaw(t, setup)
--- a/internal/edge/caller/transaction_test.go
+++ b/internal/edge/caller/transaction_test.go
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestNothingRunsAfterLoss checks that statements sent after a transaction
+// TestNothingRunsAfterLostTransaction checks that statements sent after a transaction
 // was lost do not run outside a transaction.
-func TestNothingRunsAfterLoss(t *testing.T) {
+func TestNothingRunsAfterLostTransaction(t *testing.T) {
 	setup := newTestSetup(t)
 	setup.db.answerWith("INSERT x", (*fakeConn).disconnect)
 	conn := connect(t, setup, "")
--- a/internal/edge/database/pool_test.go
+++ b/internal/edge/database/pool_test.go
@@ -219,9 +219,9 @@
 	}
 }
 
-// TestRefusals checks the reason that Acquire reports when no connection to a
+// TestAcquireFailureReasons checks the reason that Acquire reports when no connection to a
 // database can be opened.
-func TestRefusals(t *testing.T) {
+func TestAcquireFailureReasons(t *testing.T) {
 	cases := []struct {
 		name    string
 		prepare func(s *testServer, pool *Pool)
--- a/internal/edge/group/edge_test.go
+++ b/internal/edge/group/edge_test.go
@@ -503,9 +503,9 @@
 	}
 }
 
-// TestSilentConnectionIsReplacedAndItsLateAnswerDropped guards against taking the
+// TestUnresponsiveConnectionIsReplacedAndLateAnswerDropped guards against taking the
 // late answer to an expired request for the answer to the next one.
-func TestSilentConnectionIsReplacedAndItsLateAnswerDropped(t *testing.T) {
+func TestUnresponsiveConnectionIsReplacedAndLateAnswerDropped(t *testing.T) {
 	releaseLateAnswer := make(chan struct{})
 	database := newScriptedDatabase(t, func(statement string) reply {
 		if strings.HasPrefix(statement, "CALL group_fence") {
--- a/internal/edge/peer/edge_test.go
+++ b/internal/edge/peer/edge_test.go
@@ -330,7 +330,7 @@
 	}
 }
 
-func TestSlowAndSilentDialers(t *testing.T) {
+func TestSlowAndUnresponsiveDialers(t *testing.T) {
 	cases := []struct {
 		name      string
 		change    func(*Options)
--- a/internal/edge/platform/edge_test.go
+++ b/internal/edge/platform/edge_test.go
@@ -246,7 +246,7 @@
 // Each write must use a new connection. The platform's connections become
 // unresponsive after one response, as they do if a firewall or proxy between the
 // two ends drops its state of them.
-func TestChangesDoNotUseOldConnections(t *testing.T) {
+func TestWritesUseNewConnections(t *testing.T) {
 	testDone := make(chan struct{})
 	defer close(testDone)
 	const body = `{"rows":[{"table":"t","key":"k","version":"2"}]}`
@@ -320,7 +320,7 @@
 
 // The platform reads the request and never responds. With increasing timeouts, a
 // write may be reported as unsent only if the platform has received no byte of it.
-func TestTimeoutNeverClaimsUnsentForWhatWasRead(t *testing.T) {
+func TestTimeoutIsUnsentOnlyIfNothingWasRead(t *testing.T) {
 	var mu sync.Mutex
 	read := false
 	testDone := make(chan struct{})
--- a/internal/node/fleet/directory_test.go
+++ b/internal/node/fleet/directory_test.go
@@ -82,7 +82,7 @@
 // A name is certain to have no route only if the newest configuration is known.
 // Many lookups of such a name at the same time must share the reads of the
 // store.
-func TestNameWithoutAConfiguration(t *testing.T) {
+func TestUnknownRouteNeedsNewestConfiguration(t *testing.T) {
 	f := newUnstartedFleet(1, 3)
 	memory := f.options.Store.(*memoryStore)
 	memory.setDown(true)
--- a/internal/node/fleet/steward_test.go
+++ b/internal/node/fleet/steward_test.go
@@ -13,7 +13,7 @@
 // A holder of the coordinator lease that does not reach the store can't
 // complete a failover. It must not count as available, neither by its messages
 // nor by its own report, so that another instance takes over.
-func TestHolderWithoutTheStore(t *testing.T) {
+func TestCoordinatorWithoutStore(t *testing.T) {
 	const holder, other = model.InstanceID("z1-2"), model.InstanceID("z1-3")
 	for name, c := range map[string]struct {
 		holder, other message.GossipState
--- a/internal/report/eventlog/sparing_test.go
+++ b/internal/report/eventlog/sparing_test.go
@@ -13,9 +13,9 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/log"
 )
 
-// TestSparingWriterKeepsWarnings checks that, in a flood, the lines of routine
+// TestLimitedWriterKeepsWarnings checks that, in a flood, the lines of routine
 // events are omitted before those of warnings.
-func TestSparingWriterKeepsWarnings(t *testing.T) {
+func TestLimitedWriterKeepsWarnings(t *testing.T) {
 	var out bytes.Buffer
 	writer := eventlog.NewWriterWithLimits(log.NewLogger(log.Options{Level: event.LevelInfo, Writer: &out}), 2, 5)
 	now := time.Unix(1000, 0)
--- a/internal/report/log/buffer_test.go
+++ b/internal/report/log/buffer_test.go
@@ -19,9 +19,9 @@
 	return w.out.Write(body)
 }
 
-// TestBufferNeverBlocks checks that a reader that has stopped reading causes
+// TestAsyncWriterNeverBlocks checks that a reader that has stopped reading causes
 // dropped lines and does not block Write.
-func TestBufferNeverBlocks(t *testing.T) {
+func TestAsyncWriterNeverBlocks(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	b := NewAsyncWriter(out)
 	const written = 3 * maxBufferedLines
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestBufferKeepsOrder(t *testing.T) {
+func TestAsyncWriterKeepsOrder(t *testing.T) {
 	var out bytes.Buffer
 	b := NewAsyncWriter(&out)
 	for _, line := range []string{"a\n", "b\n", "c\n"} {
--- a/internal/standin/flood/flood_test.go
+++ b/internal/standin/flood/flood_test.go
@@ -50,9 +50,9 @@
 	})
 }
 
-// TestFloorsWhileUrgentFloods checks that each other rank keeps its floor,
+// TestMinimumSharesDuringUrgentFlood checks that each other rank keeps its floor,
 // within 5%, or all that it asks for.
-func TestFloorsWhileUrgentFloods(t *testing.T) {
+func TestMinimumSharesDuringUrgentFlood(t *testing.T) {
 	eachPlace(t, func(t *testing.T, place Topology) {
 		flooded := Run(Scenario{Topology: place, Scheduler: Leases, Rank: 0, Load: 10, Seed: 1})
 		ranks := Manifest(place).Ranks
