--- a/internal/standin/flood/flood_test.go
+++ b/internal/standin/flood/flood_test.go
@@ -51,9 +51,9 @@
 	})
 }
 
-// TestFloorsWhileUrgentFloods checks that every rank keeps at least 95% of its minimum
+// TestMinimumSharesDuringUrgentFlood checks that every rank keeps at least 95% of its minimum
 // slot share while the most urgent rank floods.
-func TestFloorsWhileUrgentFloods(t *testing.T) {
+func TestMinimumSharesDuringUrgentFlood(t *testing.T) {
 	forEachTopology(t, func(t *testing.T, topology Topology) {
 		flooded := Run(Scenario{Topology: topology, Scheduler: Leases, Rank: 0, Load: 10, Seed: 1})
 		ranks := Manifest(topology).Ranks
