--- a/internal/edge/caller/attempt.go
+++ b/internal/edge/caller/attempt.go
@@ -20,6 +20,10 @@
 	r.attempt = d.Attempt
 	r.dispatch = d
 	if r.partlySent {
+		// The core dispatches a request again once a lost commit is known not to
+		// have taken effect. A part of the earlier answer was already sent to the
+		// caller, so the request can't be run again. The database error ends the
+		// request in the core.
 		s.reportOutcome(r, message.OutcomeDatabaseError{SQLState: problemConnectionLost.sqlState})
 		return true, s.endWithProblem(r, problemConnectionLost, statusIdle)
 	}
@@ -67,8 +71,10 @@
 		o.appendSetup(r.conn, r.dispatch, b.extended)
 	}
 	o.appendBatch(r.conn, b)
-	kept := r.firstBatch && b.isSet()
-	if b.traits.leavesState && !kept {
+	// A SET that opens the request is stored in the session's settings, and need not
+	// be undone on the connection.
+	storedBySession := r.firstBatch && b.isSet()
+	if b.traits.leavesState && !storedBySession {
 		r.conn.State.NeedsReset = true
 	}
 	r.sentAt = time.Now()
@@ -78,14 +84,13 @@
 	}
 	rl := newRelay(s, r, b)
 	result := rl.run(ctx)
-	s.mailbox.endRead()
-	s.stopWatch()
+	s.mailbox.endReadLimit()
+	s.stopCallerWatch()
 	return s.finishExchange(ctx, r, b, result)
 }
 
-// finishUnsent ends an attempt of whose batch only the first n bytes could be
-// sent. If nothing was sent of the batch that opens the request, nothing can
-// have run.
+// finishUnsent ends an attempt after a failed write: only the first n bytes of its
+// batch were sent. If n is 0 and the batch opens the request, nothing can have run.
 func (s *session) finishUnsent(r *request, b *batch, n int) (bool, error) {
 	if n == 0 && r.firstBatch {
 		s.discardConn(r)
--- a/internal/edge/caller/authenticate.go
+++ b/internal/edge/caller/authenticate.go
@@ -129,7 +129,7 @@
 	if !h.usesTLS && !isLoopback(h.conn) {
 		return &problem{sqlState: stateInvalidAuth, message: "TLS is required for a password", fatal: true}
 	}
-	password, err := h.askPassword()
+	password, err := h.requestPassword()
 	if err != nil {
 		return &problem{sqlState: stateProtocolViolation, message: "expected a password", fatal: true}
 	}
@@ -147,7 +147,7 @@
 	return nil
 }
 
-func (h *handshake) askPassword() (string, error) {
+func (h *handshake) requestPassword() (string, error) {
 	request, _ := (&pgproto3.AuthenticationCleartextPassword{}).Encode(nil)
 	_, err := h.conn.Write(request)
 	if err != nil {
--- a/internal/edge/caller/cancel_test.go
+++ b/internal/edge/caller/cancel_test.go
@@ -128,7 +128,7 @@
 }
 
 // TestDrain drains the server with one idle session and one whose request runs.
-// The request must complete, and both callers must be told to connect again.
+// The request must complete, and both callers must receive FATAL 57P01.
 func TestDrain(t *testing.T) {
 	setup := newTestSetup(t)
 	running, release := make(chan struct{}), make(chan struct{})
--- a/internal/edge/caller/conclude.go
+++ b/internal/edge/caller/conclude.go
@@ -50,7 +50,7 @@
 // is durable.
 func (s *session) finishCompleteAnswer(ctx context.Context, r *request, b *batch, res resultComplete) (bool, error) {
 	if res.databaseError == nil {
-		s.rememberSetting(r, b)
+		s.storeSetting(r, b)
 	}
 	if r.transactionStatus == statusIdle {
 		s.releaseConn(r)
--- a/internal/edge/caller/fault_test.go
+++ b/internal/edge/caller/fault_test.go
@@ -32,8 +32,8 @@
 	return got
 }
 
-// sqlStateOf returns the SQLSTATE of an error, or a description of other
-// errors.
+// sqlStateOf returns the SQLSTATE of an error, "no rows" for pgx.ErrNoRows, "broken"
+// for any other error, or "" for none.
 func sqlStateOf(err error) string {
 	var pgErr *pgconn.PgError
 	switch {
--- a/internal/edge/caller/gate.go
+++ b/internal/edge/caller/gate.go
@@ -86,7 +86,7 @@
 	if !rl.commitPosition.IsZero() || rl.behind || rl.notStarted != nil || rl.setupQueryFailed {
 		return nil
 	}
-	rl.session.mailbox.endRead()
+	rl.session.mailbox.endReadLimit()
 	res := rl.session.awaitRelease(ctx, rl.request)
 	if res != nil {
 		return res
--- a/internal/edge/caller/gate_test.go
+++ b/internal/edge/caller/gate_test.go
@@ -19,7 +19,9 @@
 }
 
 // TestHoldUntilDurable runs a read at position 7:100 with different dispatches,
-// durable positions and actions of the core.
+// durable positions and actions of the core. An answer below the minimum position
+// must be rejected as behind. With HoldUntilDurable, an answer whose position is not
+// known to be durable must be held until the core releases it or aborts the request.
 func TestHoldUntilDurable(t *testing.T) {
 	read := message.OutcomeRead{Position: position(7, 100)}
 	release := func(held message.ResultHeld) message.Action {
@@ -35,7 +37,8 @@
 		durable  model.Position
 		action   func(message.ResultHeld) message.Action
 		want     statementOutcome
-		held     bool
+		// held is true if the answer must be reported to the core as held.
+		held bool
 	}{
 		{
 			"fresh replica",
@@ -162,9 +165,9 @@
 	}
 }
 
-// TestHeldAnswerOverLimit reads an answer that is larger than the limit for
-// held answers. The server must stop reading, wait once for the release and
-// then send every row.
+// TestHeldAnswerOverLimit reads an answer of 12.5 MiB, which is larger than
+// maxHeldAnswer (4 MiB). The server must stop reading, wait once for the release
+// and then send every row.
 func TestHeldAnswerOverLimit(t *testing.T) {
 	const rows = 200
 	row := strings.Repeat("x", 64<<10)
@@ -205,7 +208,9 @@
 }
 
 // TestCommitAcknowledgedAfterLoss loses the connection at a commit that the
-// core acknowledges afterwards.
+// core acknowledges afterwards. The caller must receive the token of the commit.
+// The answer to a COMMIT can be generated, but that of any other statement is lost:
+// error 08007 reports that the statement was committed without its answer.
 func TestCommitAcknowledgedAfterLoss(t *testing.T) {
 	token := model.Token{Group: testGroup, Position: position(7, 101)}
 	cases := []struct {
--- a/internal/edge/caller/mailbox.go
+++ b/internal/edge/caller/mailbox.go
@@ -60,9 +60,9 @@
 	m.items = append([]any{item}, m.items...)
 }
 
-// startRead limits the reads of conn until endRead is called: they end at the
-// deadline, or as soon as there is an item.
-func (m *mailbox) startRead(conn deadliner, deadline time.Time) {
+// startReadLimit limits the reads of conn until endReadLimit is called: they end
+// at the deadline, or as soon as there is an item.
+func (m *mailbox) startReadLimit(conn deadliner, deadline time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.readConn = conn
@@ -72,8 +72,8 @@
 	_ = conn.SetReadDeadline(deadline)
 }
 
-// endRead ends the effect of startRead.
-func (m *mailbox) endRead() {
+// endReadLimit ends the effect of startReadLimit.
+func (m *mailbox) endReadLimit() {
 	m.mu.Lock()
 	m.readConn = nil
 	m.mu.Unlock()
--- a/internal/edge/caller/patience.go
+++ b/internal/edge/caller/patience.go
@@ -13,7 +13,9 @@
 	// cancelGrace is how long a database may take to answer after a cancel
 	// request.
 	cancelGrace = time.Second
-	// checkTimeout is the maximum duration of the check of a silent connection.
+	// checkTimeout is the maximum duration of the check of a silent connection: a
+	// backend connection on which no bytes have arrived for the silence threshold
+	// during an exchange.
 	checkTimeout = 2 * time.Second
 	// confirmDelay is the time between the check that finds no running
 	// statement on a silent connection and its closing. An answer that was
@@ -68,7 +70,7 @@
 }
 
 // rearm sets the read deadline of the backend connection to the next timer.
-func (rl *relay) rearm() { rl.session.mailbox.startRead(rl.request.conn, rl.nextTimer()) }
+func (rl *relay) rearm() { rl.session.mailbox.startReadLimit(rl.request.conn, rl.nextTimer()) }
 
 // nextTimer returns the time of the earliest timer.
 func (rl *relay) nextTimer() time.Time {
@@ -129,7 +131,7 @@
 	}
 	if !t.watchAt.IsZero() && !now.Before(t.watchAt) {
 		t.watchAt = time.Time{}
-		rl.session.startWatch()
+		rl.session.startCallerWatch()
 	}
 	if !t.closeAt.IsZero() && !now.Before(t.closeAt) {
 		return rl.closeUnresponsive(now)
--- a/internal/edge/caller/request.go
+++ b/internal/edge/caller/request.go
@@ -92,7 +92,7 @@
 
 // endRequest removes a request. Its backend connection must have been given up.
 func (s *session) endRequest(r *request) {
-	s.stopWatch()
+	s.stopCallerWatch()
 	s.currentRequest.Store(0)
 	s.server.requests.drop(r.id)
 	s.request = nil
@@ -175,7 +175,7 @@
 		select {
 		case <-s.mailbox.signal:
 		case <-timer.C:
-			s.startWatch()
+			s.startCallerWatch()
 		case <-ctx.Done():
 			return nil, errTerminating
 		}
--- a/internal/edge/caller/session.go
+++ b/internal/edge/caller/session.go
@@ -135,7 +135,7 @@
 
 // awaitBackground waits for the goroutines that the batch has started.
 func (s *session) awaitBackground() {
-	s.stopWatch()
+	s.stopCallerWatch()
 	if s.cancelDone != nil {
 		<-s.cancelDone
 		s.cancelDone = nil
@@ -155,9 +155,9 @@
 			}
 			s.releaseWorkspace()
 		}
-		s.mailbox.startRead(s.conn, s.idleDeadline())
+		s.mailbox.startReadLimit(s.conn, s.idleDeadline())
 		err := s.reader.Fill()
-		s.mailbox.endRead()
+		s.mailbox.endReadLimit()
 		if err == nil {
 			return nil
 		}
@@ -175,9 +175,9 @@
 // readFullBatch reads a complete batch, even if it arrives in parts.
 func (s *session) readFullBatch(ctx context.Context, b *batch) error {
 	for {
-		s.mailbox.startRead(s.conn, s.idleDeadline())
+		s.mailbox.startReadLimit(s.conn, s.idleDeadline())
 		err := s.readBatch(b)
-		s.mailbox.endRead()
+		s.mailbox.endReadLimit()
 		if err == nil || !isTimeout(err) {
 			return err
 		}
@@ -245,7 +245,7 @@
 // end ends the session for a reason, and sends a last error if the caller can
 // still receive it.
 func (s *session) end(reason error) error {
-	s.stopWatch()
+	s.stopCallerWatch()
 	if r := s.request; r != nil {
 		s.discardConn(r)
 		s.reportOutcome(r, message.OutcomeDatabaseError{SQLState: stateProtocolViolation})
--- a/internal/edge/caller/settings.go
+++ b/internal/edge/caller/settings.go
@@ -116,8 +116,8 @@
 	return rejection, nil
 }
 
-// rememberSetting stores a SET of the caller that a database has accepted.
-func (s *session) rememberSetting(r *request, b *batch) {
+// storeSetting stores a SET of the caller that a database has accepted.
+func (s *session) storeSetting(r *request, b *batch) {
 	cmd := b.command()
 	if cmd == nil || r.transactionStatus != statusIdle || !r.firstBatch || !b.executes() {
 		return
--- a/internal/edge/caller/startup_test.go
+++ b/internal/edge/caller/startup_test.go
@@ -43,7 +43,10 @@
 	return &tls.Config{Certificates: []tls.Certificate{{Certificate: [][]byte{raw}, PrivateKey: key}}}
 }
 
-// TestAuthentication checks which callers may connect.
+// TestAuthentication checks which callers may connect. Each case wants the SQLSTATE
+// of the error, "broken" for an error without a SQLSTATE, or "" for none. The options
+// of the case replace those of the test setup, except for the listen address and the
+// prefix of idempotency keys, without which no server starts.
 func TestAuthentication(t *testing.T) {
 	hash, err := NewPasswordHash("regatta")
 	if err != nil {
--- a/internal/edge/caller/watch.go
+++ b/internal/edge/caller/watch.go
@@ -10,9 +10,9 @@
 // has ended.
 type callerDisconnected struct{}
 
-// startWatch reads ahead from the caller until stopWatch is called, to detect
-// whether its connection has ended. Short requests end before it is started.
-func (s *session) startWatch() {
+// startCallerWatch reads ahead from the caller until stopCallerWatch is called, to
+// detect whether its connection has ended. Short requests end before it is started.
+func (s *session) startCallerWatch() {
 	if s.watchDone != nil {
 		return
 	}
@@ -33,8 +33,8 @@
 	}()
 }
 
-// stopWatch ends the watch. The data that it has read stays in the reader.
-func (s *session) stopWatch() {
+// stopCallerWatch ends the watch. The data that it has read stays in the reader.
+func (s *session) stopCallerWatch() {
 	if s.watchDone == nil {
 		return
 	}
--- a/internal/edge/database/pool.go
+++ b/internal/edge/database/pool.go
@@ -153,8 +153,8 @@
 	return p.subpools[database]
 }
 
-// setDatabases creates or updates the subpool of each target and retires the
-// subpools of all other databases.
+// setDatabases creates or updates the subpool of each target and marks the
+// databases of all other subpools as removed.
 func (p *Pool) setDatabases(targets []message.DatabaseTarget) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -170,7 +170,7 @@
 	}
 	for database, s := range p.subpools {
 		if !listed[database] {
-			s.retire()
+			s.markRemoved()
 		}
 	}
 }
--- a/internal/edge/database/subpool.go
+++ b/internal/edge/database/subpool.go
@@ -14,9 +14,12 @@
 	pool     *Pool
 	database model.DatabaseID
 
-	mu      sync.Mutex
-	current message.DatabaseTarget
-	retired bool
+	mu sync.Mutex
+	// currentTarget is the target set last: the address, the connection limit and
+	// whether the database is draining.
+	currentTarget message.DatabaseTarget
+	// removed is true if the database is no longer among the targets.
+	removed bool
 	// openCount is the number of connections, including those that are being
 	// opened or closed.
 	openCount int
@@ -56,7 +59,7 @@
 		}
 		// A nil connection from wait means that the loop has to try again: a
 		// connection may be opened, or the target has changed.
-		if conn != nil && s.isUsable(conn) {
+		if conn != nil && s.checkOrClose(conn) {
 			return conn, 0, nil
 		}
 	}
@@ -69,7 +72,7 @@
 func (s *subpool) takeOrReserve() (*Conn, bool, *AcquireError) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.retired || s.current.Leaving {
+	if s.removed || s.currentTarget.Leaving {
 		return nil, false, &AcquireError{Database: s.database, Reason: message.NotStartedShuttingDown}
 	}
 	if n := len(s.idle); n > 0 {
@@ -78,15 +81,16 @@
 		s.idle = s.idle[:n-1]
 		return conn, false, nil
 	}
-	if s.openCount < s.current.Connections {
+	if s.openCount < s.currentTarget.Connections {
 		s.openCount++
 		return nil, true, nil
 	}
 	return nil, false, nil
 }
 
-// openReserved opens a connection that takeOrReserve has counted. It returns the
-// time that opening took, also with an error.
+// openReserved opens a connection. takeOrReserve has already counted it as open; if
+// opening fails, openReserved counts it as closed. It returns the time that opening
+// took, also with an error.
 func (s *subpool) openReserved(ctx context.Context, expires time.Time) (*Conn, time.Duration, error) {
 	startedAt := time.Now()
 	conn, err := s.connect(ctx, expires)
@@ -105,7 +109,7 @@
 func (s *subpool) wait(ctx context.Context, expires time.Time) (*Conn, error) {
 	waiter := make(chan *Conn, 1)
 	s.mu.Lock()
-	if len(s.idle) > 0 || s.openCount < s.current.Connections {
+	if len(s.idle) > 0 || s.openCount < s.currentTarget.Connections {
 		s.mu.Unlock()
 		return nil, nil
 	}
@@ -150,8 +154,8 @@
 // address, or if the limit is exceeded.
 func (s *subpool) put(conn *Conn) {
 	s.mu.Lock()
-	moved := conn.address != s.current.Address
-	if s.retired || s.current.Leaving || moved || s.openCount > s.current.Connections {
+	moved := conn.address != s.currentTarget.Address
+	if s.removed || s.currentTarget.Leaving || moved || s.openCount > s.currentTarget.Connections {
 		s.mu.Unlock()
 		conn.terminate()
 		s.countClosed()
@@ -184,7 +188,7 @@
 	if len(s.waiters) == 0 {
 		return
 	}
-	if s.openCount >= s.current.Connections && !s.retired && !s.current.Leaving {
+	if s.openCount >= s.currentTarget.Connections && !s.removed && !s.currentTarget.Leaving {
 		return
 	}
 	waiter := s.waiters[0]
@@ -192,8 +196,11 @@
 	waiter <- nil
 }
 
-// isUsable checks an idle connection, and closes it if it is broken.
-func (s *subpool) isUsable(conn *Conn) bool {
+// checkOrClose checks an idle connection and reports whether it can be used. It
+// closes the connection if it is broken. If the connection does not answer the query
+// that checks it after a long idle time, checkOrClose also closes all connections
+// that were idle for as long.
+func (s *subpool) checkOrClose(conn *Conn) bool {
 	if !conn.isSocketIdle() {
 		staleConnections.Add(1)
 		conn.close()
@@ -221,16 +228,16 @@
 func (s *subpool) target() message.DatabaseTarget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.current
+	return s.currentTarget
 }
 
 // setTarget replaces the target. It closes idle connections that the new target
 // does not allow, and wakes all waiters.
 func (s *subpool) setTarget(target message.DatabaseTarget) {
 	s.mu.Lock()
-	moved := s.current.Address.IsValid() && s.current.Address != target.Address
-	s.current = target
-	s.retired = false
+	moved := s.currentTarget.Address.IsValid() && s.currentTarget.Address != target.Address
+	s.currentTarget = target
+	s.removed = false
 	s.mu.Unlock()
 	if target.Leaving || moved {
 		s.closeIdle(time.Now())
@@ -243,7 +250,7 @@
 func (s *subpool) trim() {
 	for {
 		s.mu.Lock()
-		if s.openCount <= s.current.Connections || len(s.idle) == 0 {
+		if s.openCount <= s.currentTarget.Connections || len(s.idle) == 0 {
 			s.mu.Unlock()
 			return
 		}
@@ -260,14 +267,14 @@
 func (s *subpool) isDrained() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.retired && s.openCount == 0
+	return s.removed && s.openCount == 0
 }
 
-// retire marks the database as removed: it closes the idle connections and lets
+// markRemoved marks the database as removed: it closes the idle connections and lets
 // all waiting and later calls of acquire fail.
-func (s *subpool) retire() {
+func (s *subpool) markRemoved() {
 	s.mu.Lock()
-	s.retired = true
+	s.removed = true
 	s.mu.Unlock()
 	s.closeIdle(time.Now())
 	s.wakeAllWaiters()
--- a/internal/edge/group/lane.go
+++ b/internal/edge/group/lane.go
@@ -20,7 +20,9 @@
 // of its term or nonce.
 const sqlStateConflict = "EG001"
 
-// counters are the metrics of all control connections, by the name of the event.
+// counters are the metrics of all control connections: the numbers of events, under
+// "opened", "unreachable", "silent", "refused" and "broken", and the traffic, under
+// "sent.bytes" and "received.bytes".
 var counters = expvar.NewMap("control")
 
 // -----------------------------------------------------------------------------
@@ -211,11 +213,11 @@
 	if len(waiting) == 0 {
 		return false
 	}
-	expires := q.options.Now().Add(q.options.ConnectTimeout)
-	if lastExpiry := latestExpiry(waiting); lastExpiry.Before(expires) {
-		expires = lastExpiry
+	deadline := q.options.Now().Add(q.options.ConnectTimeout)
+	if lastExpiry := latestExpiry(waiting); lastExpiry.Before(deadline) {
+		deadline = lastExpiry
 	}
-	conn, err := open(ctx, q.target, q.options, expires)
+	conn, err := open(ctx, q.target, q.options, deadline)
 	if err != nil {
 		q.scheduleReconnect(err)
 		q.failAll(waiting, message.ControlUnreachable)
@@ -269,20 +271,21 @@
 		req.sentAt = sentAt
 	}
 	q.mu.Unlock()
-	expires := batchDeadline(batch)
+	deadline := batchDeadline(batch)
 	reused := q.conn.hasAnswered
-	result, err := q.exchange(statement, expires)
+	result, err := q.exchange(statement, deadline)
 	if err != nil {
-		q.handleFailure(batch, err, reused, expires)
+		q.handleFailure(batch, err, reused, deadline)
 		return
 	}
 	q.backoff.Reset()
 	q.answerFromRow(batch, result, message.ControlOK)
 }
 
-// exchange sends a statement and returns its result. Both must end before expires.
-func (q *requestQueue) exchange(statement string, expires time.Time) (*row, error) {
-	if err := q.conn.send(statement, expires); err != nil {
+// exchange sends a statement and returns its result. Both must end before the
+// deadline.
+func (q *requestQueue) exchange(statement string, deadline time.Time) (*row, error) {
+	if err := q.conn.send(statement, deadline); err != nil {
 		return nil, err
 	}
 	return q.conn.receive()
@@ -335,14 +338,14 @@
 // handleFailure answers a batch whose statement failed. If a connection that was
 // used before turned out to be broken, it queues the batch again instead, which is
 // safe because every control statement is idempotent.
-func (q *requestQueue) handleFailure(batch []*request, err error, reused bool, expires time.Time) {
+func (q *requestQueue) handleFailure(batch []*request, err error, reused bool, deadline time.Time) {
 	var statementErr *StatementError
 	if errors.As(err, &statementErr) {
-		q.handleRefusal(batch, statementErr, expires)
+		q.handleRefusal(batch, statementErr, deadline)
 		return
 	}
 	if isTimeout(err) {
-		q.handleTimeout(batch, expires)
+		q.handleTimeout(batch, deadline)
 		return
 	}
 	q.closeBroken(err)
@@ -356,10 +359,10 @@
 
 // handleTimeout answers the requests of a batch that have expired, closes the
 // connection, and queues the other requests again for a new connection.
-func (q *requestQueue) handleTimeout(batch []*request, expires time.Time) {
+func (q *requestQueue) handleTimeout(batch []*request, deadline time.Time) {
 	counters.Add("silent", 1)
 	q.logEvent(event.ControlSilent, event.F("statement", batch[0].statementName()))
-	expiredCount := slices.IndexFunc(batch, func(req *request) bool { return req.expires.After(expires) })
+	expiredCount := slices.IndexFunc(batch, func(req *request) bool { return req.expires.After(deadline) })
 	if expiredCount < 0 {
 		expiredCount = len(batch)
 	}
@@ -368,10 +371,10 @@
 	q.requeue(batch[expiredCount:])
 }
 
-// handleRefusal answers a batch whose statement the database rejected. The answer
-// to a conflict carries the database's status, which takes another statement,
-// except for ResolveInDoubt.
-func (q *requestQueue) handleRefusal(batch []*request, statementErr *StatementError, expires time.Time) {
+// handleRefusal answers a batch whose statement the database rejected. After a
+// conflict, the answer carries the database's status, which is read with a further
+// statement; the answer to a ResolveInDoubt has no status.
+func (q *requestQueue) handleRefusal(batch []*request, statementErr *StatementError, deadline time.Time) {
 	counters.Add("refused", 1)
 	q.logEvent(event.ControlRefused,
 		event.F("statement", batch[0].statementName()),
@@ -383,20 +386,20 @@
 	case batch[0].isResolveInDoubt():
 		q.failAll(batch, message.ControlConflict)
 	default:
-		q.handleConflict(batch, expires)
+		q.handleConflict(batch, deadline)
 	}
 }
 
 // handleConflict reads the database's status and answers a batch with
 // ControlConflict and that status.
-func (q *requestQueue) handleConflict(batch []*request, expires time.Time) {
-	result, err := q.exchange(callStatement("group_status"), expires)
+func (q *requestQueue) handleConflict(batch []*request, deadline time.Time) {
+	result, err := q.exchange(callStatement("group_status"), deadline)
 	var statementErr *StatementError
 	switch {
 	case errors.As(err, &statementErr):
 		q.failAll(batch, message.ControlRefused)
 	case err != nil:
-		q.handleFailure(batch, err, false, expires)
+		q.handleFailure(batch, err, false, deadline)
 	default:
 		q.answerFromRow(batch, result, message.ControlConflict)
 	}
--- a/internal/edge/group/question.go
+++ b/internal/edge/group/question.go
@@ -20,7 +20,8 @@
 	timeout       time.Duration
 	expires       time.Time
 
-	// sentAt is the time at which the statement was last sent.
+	// sentAt is the time at which the statement was last sent. The queue's goroutine
+	// writes it while holding the queue's lock.
 	sentAt time.Time
 	// timer answers the request when it expires.
 	timer *time.Timer
@@ -124,7 +125,8 @@
 	}
 }
 
-// failureEvent returns the event that answers the request with an error.
+// failureEvent returns the event that answers the request with an error. For a queued
+// request, the queue's lock must be held, because sentAt may be written at any time.
 func (r *request) failureEvent(controlErr message.ControlErr) message.Event {
 	if resolve, found := r.action.(message.ResolveInDoubt); found {
 		return message.InDoubtResolved{Database: r.database, CorrelationID: r.correlationID, IdempotencyKey: resolve.IdempotencyKey, Err: controlErr}
--- a/internal/edge/operator/edge.go
+++ b/internal/edge/operator/edge.go
@@ -230,11 +230,11 @@
 }
 
 // query posts an event to the core and waits for the answer. If there is none in
-// time, the answer is nil. posted tells whether the event was posted; it is not if
-// too many queries are pending.
+// time, the answer is nil. posted is false if the event was not posted, because too
+// many queries are pending.
 func (s *Server) query(ctx context.Context, newEvent func(id uint64) message.Event) (answer message.Action, posted bool) {
-	id, answered, hasRoom := s.beginQuery()
-	if !hasRoom {
+	id, answered, accepted := s.beginQuery()
+	if !accepted {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.options.AnswerTimeout)
--- a/internal/edge/peer/codec.go
+++ b/internal/edge/peer/codec.go
@@ -23,8 +23,8 @@
 	// a message together with its own number.
 	compressedNumber = 12
 	// compressionThreshold is the size in bytes above which a message is
-	// compressed. Messages that are sent to many peers, such as configurations,
-	// are larger than this.
+	// compressed. Messages that are sent to many peers, such as manifests, are
+	// larger than this.
 	compressionThreshold = 1 << 10
 )
 
@@ -33,7 +33,7 @@
 	name string
 	// number identifies the type on the wire and must never change.
 	number byte
-	// replaceable tells that a newer message of the type supersedes older ones,
+	// replaceable is true if a newer message of the type supersedes older ones,
 	// so that an older one may be dropped from a full queue.
 	replaceable bool
 	// decode decodes the body of a message.
@@ -42,7 +42,8 @@
 	zeroValue message.PeerMessage
 }
 
-// messageTypes lists the types of messages that peers exchange.
+// messageTypes lists the types of messages that peers exchange. The numbers 0 and 12
+// are keepaliveNumber and compressedNumber.
 var messageTypes = []messageType{
 	{"heartbeat", 1, true, decode[message.Heartbeat], message.Heartbeat{}},
 	{"manifest-offer", 2, false, decode[message.ManifestOffer], message.ManifestOffer{}},
@@ -80,7 +81,7 @@
 func messageTypeOf(m message.PeerMessage) messageType { return messageTypesByGoType[reflect.TypeOf(m)] }
 
 // encodeMessage returns the number of m followed by its body, compressed if it
-// is larger than compressionThreshold. Its errors are *DecodeError and those of
+// is larger than compressionThreshold. Its errors are *MessageCodingError and those of
 // the compression.
 func encodeMessage(m message.PeerMessage) ([]byte, error) {
 	mt := messageTypeOf(m)
@@ -89,7 +90,7 @@
 	encoder := msgpack.NewEncoder(&out)
 	encoder.UseCompactInts(true)
 	if err := encoder.Encode(m); err != nil {
-		return nil, &DecodeError{MessageName: mt.name, Cause: errors.WithStack(err)}
+		return nil, &MessageCodingError{MessageName: mt.name, Cause: errors.WithStack(err)}
 	}
 	if out.Len() <= compressionThreshold {
 		return out.Bytes(), nil
@@ -117,12 +118,12 @@
 
 // decompress decompresses the output of compress, without its leading number.
 // Its errors are *FrameSizeError, if the result is larger than maxFrame, and
-// *DecodeError.
+// *MessageCodingError.
 func decompress(body []byte) ([]byte, error) {
 	reader := flate.NewReader(bytes.NewReader(body))
 	content, err := io.ReadAll(io.LimitReader(reader, maxFrame+1))
 	if err != nil {
-		return nil, &DecodeError{MessageName: "packed", Cause: errors.WithStack(err)}
+		return nil, &MessageCodingError{MessageName: "packed", Cause: errors.WithStack(err)}
 	}
 	if len(content) > maxFrame {
 		return nil, &FrameSizeError{Size: len(content), Limit: maxFrame}
@@ -132,7 +133,7 @@
 
 // decodeMessage decodes the output of encodeMessage. It returns nil for a
 // keepalive. Its errors are *FrameSizeError, *UnknownMessageNumberError and
-// *DecodeError.
+// *MessageCodingError.
 func decodeMessage(content []byte) (message.PeerMessage, error) {
 	if len(content) > 0 && content[0] == compressedNumber {
 		var err error
@@ -151,15 +152,15 @@
 		return nil, &UnknownMessageNumberError{Number: content[0]}
 	}
 	if err := checkStructure(content[1:]); err != nil {
-		return nil, &DecodeError{MessageName: mt.name, Cause: err}
+		return nil, &MessageCodingError{MessageName: mt.name, Cause: err}
 	}
 	reader := bytes.NewReader(content[1:])
 	m, err := mt.decode(msgpack.NewDecoder(reader))
 	if err != nil {
-		return nil, &DecodeError{MessageName: mt.name, Cause: err}
+		return nil, &MessageCodingError{MessageName: mt.name, Cause: err}
 	}
 	if reader.Len() > 0 {
-		return nil, &DecodeError{MessageName: mt.name, Cause: &TrailingBytesError{Count: reader.Len()}}
+		return nil, &MessageCodingError{MessageName: mt.name, Cause: &TrailingBytesError{Count: reader.Len()}}
 	}
 	return m, nil
 }
@@ -197,6 +198,7 @@
 		count, err = decoder.DecodeMapLen()
 		count *= 2
 	case msgpcode.IsExt(code):
+		// No message uses extension types.
 		return &MessageStructureError{Depth: depth}
 	default:
 		err = decoder.Skip()
--- a/internal/edge/peer/errors.go
+++ b/internal/edge/peer/errors.go
@@ -40,18 +40,20 @@
 	return fmt.Sprintf("unknown message number %d", e.Number)
 }
 
-// DecodeError reports a message that cannot be encoded or decoded.
-type DecodeError struct {
+// MessageCodingError reports a message that cannot be encoded or decoded.
+type MessageCodingError struct {
 	// MessageName is the name of the message's type.
 	MessageName string
 	Cause       error
 }
 
 // Error implements error.
-func (e *DecodeError) Error() string { return "invalid " + e.MessageName + ": " + e.Cause.Error() }
+func (e *MessageCodingError) Error() string {
+	return "invalid " + e.MessageName + ": " + e.Cause.Error()
+}
 
 // Unwrap returns the cause.
-func (e *DecodeError) Unwrap() error { return e.Cause }
+func (e *MessageCodingError) Unwrap() error { return e.Cause }
 
 // TrailingBytesError reports bytes after the end of a message.
 type TrailingBytesError struct {
@@ -101,7 +103,7 @@
 func (e *ProtocolVersionError) faultName() string      { return "version" }
 func (e *FrameSizeError) faultName() string            { return "size" }
 func (e *UnknownMessageNumberError) faultName() string { return "number" }
-func (e *DecodeError) faultName() string               { return "unreadable" }
+func (e *MessageCodingError) faultName() string        { return "unreadable" }
 func (e *AuthenticationError) faultName() string       { return "authentication" }
 func (e *FrameSequenceError) faultName() string        { return "replay" }
 
--- a/internal/edge/peer/handshake.go
+++ b/internal/edge/peer/handshake.go
@@ -136,7 +136,7 @@
 }
 
 // readHello decodes a frame with a hello. Its errors are *FrameSizeError,
-// *ProtocolVersionError and *DecodeError.
+// *ProtocolVersionError and *MessageCodingError.
 func readHello(frame []byte) (hello, error) {
 	if len(frame) < versionSize {
 		return hello{}, &FrameSizeError{Size: len(frame), Limit: maxHandshakeFrame}
@@ -146,10 +146,10 @@
 	}
 	var h hello
 	if err := msgpack.Unmarshal(frame[versionSize:], &h); err != nil {
-		return hello{}, &DecodeError{MessageName: "hello", Cause: errors.WithStack(err)}
+		return hello{}, &MessageCodingError{MessageName: "hello", Cause: errors.WithStack(err)}
 	}
 	if h.Instance == "" || len(h.Nonce) != nonceSize {
-		return hello{}, &DecodeError{MessageName: "hello", Cause: &FrameSizeError{Size: len(h.Nonce), Limit: nonceSize}}
+		return hello{}, &MessageCodingError{MessageName: "hello", Cause: &FrameSizeError{Size: len(h.Nonce), Limit: nonceSize}}
 	}
 	return h, nil
 }
--- a/internal/edge/peer/link.go
+++ b/internal/edge/peer/link.go
@@ -21,7 +21,7 @@
 type link struct {
 	conn    net.Conn
 	session session
-	// dialed tells that this instance dialed the connection.
+	// dialed is true if this instance dialed the connection.
 	dialed bool
 	// address is the address of the other end.
 	address netip.AddrPort
--- a/internal/edge/platform/connection.go
+++ b/internal/edge/platform/connection.go
@@ -30,7 +30,7 @@
 	}
 	c.mu.Unlock()
 	if sealed {
-		return 0, &AbandonedConnError{}
+		return 0, &SealedConnError{}
 	}
 	n, err := c.Conn.Write(body)
 	counters.Add("sent.bytes", int64(n))
@@ -44,13 +44,15 @@
 	return n, err
 }
 
-func (c *countingConn) bytesWritten() int {
+// bytesCounted returns the number of bytes passed to Write. Not all of them need
+// have been sent.
+func (c *countingConn) bytesCounted() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.bytes
 }
 
-// seal makes all further writes fail with *AbandonedConnError, and returns the final
+// seal makes all further writes fail with *SealedConnError, and returns the final
 // count.
 func (c *countingConn) seal() int {
 	c.mu.Lock()
@@ -64,7 +66,7 @@
 	mu sync.Mutex
 	// conn is the connection of the request, nil until one is assigned.
 	conn *countingConn
-	// bytesBefore is the number of bytes written before the request.
+	// bytesBefore is the connection's byte count before the request.
 	bytesBefore int
 }
 
@@ -79,7 +81,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.conn = counted
-		s.bytesBefore = counted.bytesWritten()
+		s.bytesBefore = counted.bytesCounted()
 	}}
 }
 
--- a/internal/edge/platform/edge.go
+++ b/internal/edge/platform/edge.go
@@ -79,7 +79,7 @@
 
 	mu    sync.Mutex
 	queue []*platformRequest
-	// closed tells that requests fail at once and are not queued.
+	// closed is true if requests fail at once and are not queued.
 	closed bool
 }
 
--- a/internal/edge/platform/edge_test.go
+++ b/internal/edge/platform/edge_test.go
@@ -60,6 +60,10 @@
 	listInstances = message.ListInstances{CorrelationID: 7, Timeout: unreachedTimeout}
 )
 
+// TestRequestsAndResponses checks the request that each action sends, and the event
+// for each kind of response. A write is reported as refused only if the response
+// shows that nothing was changed (status 3xx or 4xx). After a 202, a 5xx or a 200
+// that can't be decoded, the change may have taken effect, and the outcome is unknown.
 func TestRequestsAndResponses(t *testing.T) {
 	tooLarge := strings.Repeat("x", 4<<20+1)
 	unknown := message.RowsWritten{CorrelationID: 7, Err: message.PlatformUnknown}
@@ -209,6 +213,8 @@
 	return true
 }
 
+// The platform reads a write and closes the connection before a complete response.
+// The outcome of each write must be unknown, and each must be sent only once.
 func TestLostAnswersToWrites(t *testing.T) {
 	cases := []struct {
 		name string
@@ -305,6 +311,7 @@
 	}
 }
 
+// A write to an address where nothing listens must be reported as not sent.
 func TestRefusedConnectionIsReportedAsUnsent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -367,6 +374,9 @@
 	return nil, nil
 }
 
+// A request must fail as unreachable if it expires in the queue, or if the queue
+// already holds maxQueuedRequests (1024) requests. All other requests must be
+// answered, of which no more than Options.Concurrency are executed at once.
 func TestQueueIsBoundedInNumberAndTime(t *testing.T) {
 	service := &blockedService{entered: make(chan struct{}, 2000), released: make(chan struct{})}
 	client, events := startClient(t, platform.Options{Service: service, Concurrency: 2})
@@ -402,6 +412,8 @@
 	}
 }
 
+// At shutdown, the outcome of a write that was sent must be unknown, and writes that
+// are queued or arrive later must be reported as not sent.
 func TestShutdownAnswersAllRequests(t *testing.T) {
 	received, testDone := make(chan struct{}), make(chan struct{})
 	defer close(testDone)
--- a/internal/edge/platform/port.go
+++ b/internal/edge/platform/port.go
@@ -87,10 +87,10 @@
 // Error implements error.
 func (e *UnsentError) Error() string { return "not sent: " + e.Reason }
 
-// AbandonedConnError reports a write to a connection whose request has failed.
-type AbandonedConnError struct{}
+// SealedConnError reports a write to a sealed connection: its request has failed.
+type SealedConnError struct{}
 
 // Error implements error.
-func (e *AbandonedConnError) Error() string {
+func (e *SealedConnError) Error() string {
 	return "the request of this connection has already failed"
 }
--- a/internal/edge/postgres/frame.go
+++ b/internal/edge/postgres/frame.go
@@ -109,8 +109,8 @@
 // returned yet.
 func (r *Reader) Buffered() int { return r.unreadEnd - r.unreadStart }
 
-// ReadCount returns the number of reads that returned bytes. Comparing two
-// results tells whether anything has arrived in between.
+// ReadCount returns the number of reads that returned bytes. Two results differ if
+// bytes have arrived in between.
 func (r *Reader) ReadCount() uint64 { return r.readCount }
 
 // HasFrame reports whether Next would return without a read.
@@ -171,7 +171,7 @@
 	if r.buffer == nil {
 		return r.fillIdle()
 	}
-	r.makeRoom()
+	r.ensureFreeSpace()
 	n, err := r.source.Read(r.buffer[r.unreadEnd:])
 	return r.recordRead(n, err)
 }
@@ -232,10 +232,10 @@
 	r.buffer = nil
 }
 
-// makeRoom moves the buffered bytes to the front, and doubles the buffer if it
-// is full. Memory thus grows with the bytes received, not with the length that
-// a header announces.
-func (r *Reader) makeRoom() {
+// ensureFreeSpace frees space at the end of the buffer: it moves the buffered bytes
+// to the front, and doubles the buffer if it is full. Memory thus grows with the
+// bytes received, not with the length that a header announces.
+func (r *Reader) ensureFreeSpace() {
 	if r.unreadEnd < len(r.buffer) {
 		return
 	}
--- a/internal/edge/session/attempt.go
+++ b/internal/edge/session/attempt.go
@@ -97,7 +97,7 @@
 }
 
 // outcomeOfFailure returns the placement outcome of a failure with the given code, or
-// fallback if the code tells nothing about the database.
+// fallback if the code has no placement outcome of its own.
 func outcomeOfFailure(code statement.Code, fallback placement.Outcome) placement.Outcome {
 	switch code {
 	case statement.CodeConnectionLimit:
@@ -234,7 +234,8 @@
 }
 
 // logAnswer logs a successful answer to the caller. proof is the log field that says
-// why the answer is valid.
+// why the answer is valid: "reads only" for the COMMIT of a transaction without
+// writes; for the other values see the callers.
 func (s *session) logAnswer(req *pendingRequest, att *attempt, reply *backend.Reply, proof string) {
 	s.observeMetrics(req, "ok")
 	age := time.Duration(0)
--- a/internal/edge/session/server.go
+++ b/internal/edge/session/server.go
@@ -234,7 +234,7 @@
 		case !errors.Is(err, os.ErrDeadlineExceeded) || endRequested:
 			return false
 		case isLimited:
-			ses.abortIdleTransaction("the transaction was idle for longer than the limit")
+			ses.failIdleTransaction("the transaction was idle for longer than the limit")
 		}
 	}
 }
--- a/internal/edge/session/session.go
+++ b/internal/edge/session/session.go
@@ -181,8 +181,9 @@
 	}
 }
 
-// wrote records a position that the session has written.
-func (s *session) wrote(position model.Position) {
+// recordWrittenPosition raises the session's minimum position to that of a write of
+// the session, so that later reads see the write.
+func (s *session) recordWrittenPosition(position model.Position) {
 	if s.minPosition.Less(position) {
 		s.minPosition, s.minPositionAsOf = position, clock.Now()
 	}
--- a/internal/edge/session/single.go
+++ b/internal/edge/session/single.go
@@ -127,7 +127,7 @@
 	switch validity := s.confirmPrimary(req, att, reply); {
 	case validity == lease.ValidityConfirmed:
 		if isWrite {
-			s.wrote(reply.Position)
+			s.recordWrittenPosition(reply.Position)
 		}
 		s.logAnswer(req, att, reply, "lease")
 		return conclusion{answer: answer}
--- a/internal/edge/session/transaction.go
+++ b/internal/edge/session/transaction.go
@@ -25,9 +25,9 @@
 	// attempt holds the connection. It is nil before the first statement, and after
 	// the connection was lost or released.
 	attempt *attempt
-	// wrote is set once a write was sent. failed is set once the transaction
+	// sentWrite is set once a write was sent. failed is set once the transaction
 	// accepts only COMMIT and ROLLBACK.
-	wrote, failed bool
+	sentWrite, failed bool
 }
 
 // handleInTransaction answers a request inside a transaction.
@@ -62,7 +62,7 @@
 		return s.runFirst(req, isWrite)
 	}
 	s.server.options.Scheduler.StartStatement(t.attempt.reservation)
-	t.wrote = t.wrote || isWrite
+	t.sentWrite = t.sentWrite || isWrite
 	reply, err := s.sendStatement(req, t.attempt, nil, req.remaining())
 	s.reportOutcome(t.attempt, isWrite, reply, err)
 	return s.concludeInTransaction(req, reply, err, false)
@@ -92,7 +92,7 @@
 				begin.MinPosition = att.reservation.MinPosition
 			}
 			t.attempt = att
-			t.wrote = isWrite
+			t.sentWrite = isWrite
 			reply, err := s.sendStatement(req, att, &begin, req.remaining())
 			s.reportOutcome(att, isWrite, reply, err)
 			if reply == nil || reply.Failure == nil || !reply.Failure.Code.GuaranteesNotExecuted() {
@@ -116,7 +116,7 @@
 
 // concludeInTransaction answers a statement that was sent inside the transaction.
 // The answer to the first statement is returned only if its BEGIN carried a minimum
-// position, or if the database is confirmed as the primary.
+// position, as a read-only BEGIN may, or if the database is confirmed as the primary.
 func (s *session) concludeInTransaction(req *pendingRequest, reply *backend.Reply, err error, isFirst bool) statement.Answer {
 	t := s.transaction
 	_, isCommit := req.Statement.(statement.Commit)
@@ -133,13 +133,16 @@
 	if isCommit {
 		return s.concludeCommit(req, reply, answer)
 	}
+	// proof states in the log why the answer is valid: an earlier statement of the
+	// transaction was checked ("transaction"), the database has reached the minimum
+	// position ("position"), or it is confirmed as the primary ("lease").
 	proof := "transaction"
 	if isFirst {
 		proof = "position"
 		if t.attempt.reservation.MinPosition.IsZero() {
 			proof = "lease"
 			if validity := s.confirmPrimary(req, t.attempt, reply); validity != lease.ValidityConfirmed {
-				s.abortAttempt()
+				s.closeTransactionConn()
 				return s.failTransaction(req, &statement.FailureError{Code: statement.CodeAborted, Message: "the primary is " + validity.String() + "; " + notConfirmedText})
 			}
 		}
@@ -153,11 +156,11 @@
 // transaction has changed nothing.
 func (s *session) concludeLostInTransaction(req *pendingRequest, isCommit bool, err error) statement.Answer {
 	t := s.transaction
-	wrote := t.wrote
+	sentWrite := t.sentWrite
 	reservation := t.attempt.reservation
-	s.abortAttempt()
+	s.closeTransactionConn()
 	s.server.options.PrimaryConfirmer.ReportSuspectedPrimary(req.route.Group)
-	if isCommit && wrote {
+	if isCommit && sentWrite {
 		s.transaction = nil
 		return s.logFailure(req, reservation, &statement.FailureError{Code: statement.CodeOutcomeUnknown, Message: "the answer to COMMIT was lost"}, statement.TransactionStateIdle)
 	}
@@ -172,7 +175,7 @@
 // concludeFailedCommit answers a COMMIT that the database answered with a failure.
 func (s *session) concludeFailedCommit(req *pendingRequest, reply *backend.Reply) statement.Answer {
 	reservation := s.transaction.attempt.reservation
-	s.abortAttempt()
+	s.closeTransactionConn()
 	s.transaction = nil
 	return s.logFailure(req, reservation, reply.Failure, statement.TransactionStateIdle)
 }
@@ -185,7 +188,7 @@
 	answer.TransactionState = statement.TransactionStateIdle
 	att := t.attempt
 	s.endAttempt(att, reply.TransactionState == statement.TransactionStateIdle)
-	if !t.wrote {
+	if !t.sentWrite {
 		s.logAnswer(req, att, reply, "reads only")
 		return answer
 	}
@@ -194,7 +197,7 @@
 			Code: statement.CodeOutcomeUnknown, Message: "the commit's primary is " + validity.String(),
 		}, statement.TransactionStateIdle)
 	}
-	s.wrote(reply.Position)
+	s.recordWrittenPosition(reply.Position)
 	s.logAnswer(req, att, reply, "lease")
 	return answer
 }
@@ -222,16 +225,16 @@
 	s.transaction = nil
 }
 
-// abortAttempt closes the connection of the transaction, so that the database rolls
-// it back.
-func (s *session) abortAttempt() {
+// closeTransactionConn closes the connection of the transaction, so that the database
+// rolls it back.
+func (s *session) closeTransactionConn() {
 	s.endAttempt(s.transaction.attempt, false)
 	s.transaction.attempt = nil
 }
 
-// abortIdleTransaction rolls back a transaction without a request from the caller,
-// and marks it as failed.
-func (s *session) abortIdleTransaction(reason string) {
+// failIdleTransaction marks a transaction as failed and rolls it back, without a
+// request from the caller.
+func (s *session) failIdleTransaction(reason string) {
 	t := s.transaction
 	id := model.DatabaseID("")
 	if t.attempt != nil {
