--- a/internal/command/proxy/proxy.go
+++ b/internal/command/proxy/proxy.go
@@ -3,8 +3,8 @@
 // # What flows in and out
 //
 // Arguments flow in. Results flow out on standard output, error messages and the
-// log of `serve` on standard error. The exit code tells a pipeline the kind of
-// failure (see the table in exit.go): a conflict requires another review, an
+// log of `serve` on standard error. The exit code states, for pipelines, the kind
+// of failure (see the table in exit.go): a conflict requires another review, an
 // unavailable platform another attempt, an unknown outcome a check of the
 // manifest in force.
 //
--- a/internal/config/manifest/manifest.go
+++ b/internal/config/manifest/manifest.go
@@ -77,7 +77,7 @@
 	Name   string
 	Rank   model.Rank
 	Access model.Access
-	// HasStalenessBound tells whether MaxStaleness applies. Without a bound, a
+	// HasStalenessBound is true if MaxStaleness applies. Without a bound, a
 	// read has session consistency only.
 	HasStalenessBound bool
 	// MaxStaleness is the maximum age of the data that a read may see.
--- a/internal/config/manifest/parse.go
+++ b/internal/config/manifest/parse.go
@@ -29,8 +29,9 @@
 	// minFailoverDatabases is the smallest number of databases of which a majority
 	// remains after the loss of one.
 	minFailoverDatabases = 3
-	// floorTolerance allows for rounding errors in floors that add up to 1.
-	floorTolerance = 1e-9
+	// minSlotShareTolerance allows for rounding errors in minimum slot shares that
+	// add up to 1.
+	minSlotShareTolerance = 1e-9
 )
 
 // -----------------------------------------------------------------------------
@@ -139,17 +140,17 @@
 func (r *reader) readRanks(tables []*toml.Table) []Rank {
 	seenNames := map[string]bool{}
 	var ranks []Rank
-	floorSum := 0.0
+	minSlotShareSum := 0.0
 	for i, table := range tables {
 		rank := readRank(table, seenNames)
 		if _, found := r.rankByName[rank.Name]; !found {
 			r.rankByName[rank.Name] = model.Rank(i)
 		}
 		ranks = append(ranks, rank)
-		if floorSum <= 1+floorTolerance && floorSum+rank.MinSlotShare > 1+floorTolerance {
-			table.Errorf("floor", "the sum of all floors must be at most 1, but it reaches %g", floorSum+rank.MinSlotShare)
+		if minSlotShareSum <= 1+minSlotShareTolerance && minSlotShareSum+rank.MinSlotShare > 1+minSlotShareTolerance {
+			table.Errorf("floor", "the sum of all floors must be at most 1, but it reaches %g", minSlotShareSum+rank.MinSlotShare)
 		}
-		floorSum += rank.MinSlotShare
+		minSlotShareSum += rank.MinSlotShare
 	}
 	return ranks
 }
@@ -157,20 +158,20 @@
 func readRank(table *toml.Table, seenNames map[string]bool) Rank {
 	table.Require("name", "target", "worth", "floor")
 	rank := Rank{Name: readName(table, "name", seenNames)}
-	target, hasTarget := table.Duration("target")
-	worth, hasWorth := table.Float("worth")
-	floor, hasFloor := table.Float("floor")
-	if hasTarget && target <= 0 {
+	latencyTarget, hasLatencyTarget := table.Duration("target")
+	value, hasValue := table.Float("worth")
+	minSlotShare, hasMinSlotShare := table.Float("floor")
+	if hasLatencyTarget && latencyTarget <= 0 {
 		table.Errorf("target", "must be above 0")
 	}
-	if hasWorth && (!(worth > 0) || math.IsInf(worth, 0)) {
+	if hasValue && (!(value > 0) || math.IsInf(value, 0)) {
 		table.Errorf("worth", "must be above 0")
 	}
-	if hasFloor && !(floor >= 0 && floor <= 1) {
+	if hasMinSlotShare && !(minSlotShare >= 0 && minSlotShare <= 1) {
 		table.Errorf("floor", "must be from 0 to 1")
-		floor = 0
+		minSlotShare = 0
 	}
-	rank.LatencyTarget, rank.Value, rank.MinSlotShare = target, worth, floor
+	rank.LatencyTarget, rank.Value, rank.MinSlotShare = latencyTarget, value, minSlotShare
 	return rank
 }
 
--- a/internal/report/event/event.go
+++ b/internal/report/event/event.go
@@ -47,7 +47,7 @@
 	Name string
 	// Level is the level at which the line is written.
 	Level Level
-	// Text tells an operator what happened.
+	// Text describes for operators what happened.
 	Text string
 	// Fields lists the names of the fields on the event's log line.
 	Fields []string
@@ -87,5 +87,5 @@
 	serveEvents,
 	sessionEvents,
 	fleetEvents,
-	stewardEvents,
+	coordinatorEvents,
 }
--- a/internal/report/event/event_fleet.go
+++ b/internal/report/event/event_fleet.go
@@ -1,7 +1,7 @@
 package event
 
 // -----------------------------------------------------------------------------
-// 720: configuration and databases, as one instance knows them.
+// 720: the configuration and the databases, as one instance has read them.
 
 // Events of the configuration, the databases and the dependencies of an instance.
 var (
--- a/internal/report/event/event_steward.go
+++ b/internal/report/event/event_steward.go
@@ -64,7 +64,7 @@
 	}
 )
 
-var stewardEvents = []Event{
+var coordinatorEvents = []Event{
 	GroupRowSeen, GroupRowWritten, ChangeBegun, ChangeFailed, ChangeEnded, PrimarySteppedDown, PromotionCalled, DatabaseAsked,
 	CoordinatorLeaseWritten, LeasesRevoked, GroupSurveyed,
 }
--- a/internal/report/story/story_test.go
+++ b/internal/report/story/story_test.go
@@ -44,6 +44,6 @@
 func TestWriteTimelineWithoutMatch(t *testing.T) {
 	var missing *NotFoundError
 	if err := WriteTimeline(strings.NewReader("{}\n"), &bytes.Buffer{}, "r9"); !errors.As(err, &missing) {
-		t.Errorf("%v", err)
+		t.Errorf("got %v, want a *NotFoundError", err)
 	}
 }
--- a/internal/standin/database/admin.go
+++ b/internal/standin/database/admin.go
@@ -15,8 +15,8 @@
 	// Ledger holds the entries in commit order.
 	Ledger []string `json:"ledger"`
 	// Committed maps the idempotency key of each commit in the log to the
-	// commit's position. Settled maps each key that was settled as not
-	// committed to the position of the log entry that forbids its commit.
+	// commit's position. Settled maps the key of each in-doubt commit that was
+	// resolved as not committed to the position of the log entry that forbids it.
 	Committed map[string]string `json:"committed"`
 	Settled   map[string]string `json:"settled"`
 }
--- a/internal/standin/database/database.go
+++ b/internal/standin/database/database.go
@@ -212,8 +212,8 @@
 	// that reads see.
 	Received model.Position `json:"received"`
 	Applied  model.Position `json:"applied"`
-	// Source is the primary that a replica follows, and Streaming tells whether
-	// it receives the log from there.
+	// Source is the primary that a replica follows, and Streaming is true
+	// if the replica receives the log from there.
 	Source    model.DatabaseID `json:"source"`
 	Streaming bool             `json:"streaming"`
 	Leaving   bool             `json:"leaving"`
--- a/internal/standin/database/log.go
+++ b/internal/standin/database/log.go
@@ -27,19 +27,21 @@
 	Value string `msgpack:"val"`
 }
 
-// entry is one entry of the log: a commit, the start of a term, or the
-// settlement of an idempotency key as not committed.
+// entry is one entry of the log: a commit, the start of a term, or the resolution
+// of an in-doubt commit as not committed.
 type entry struct {
 	Position model.Position `msgpack:"pos"`
-	// Key is the idempotency key of the commit or the settlement; it may be empty.
+	// Key is the idempotency key of the commit, or of the in-doubt commit that was
+	// resolved; it may be empty.
 	Key string `msgpack:"key"`
-	// Settled tells that Key was not committed and never will be.
-	Settled bool     `msgpack:"set"`
-	Changes []change `msgpack:"chg"`
+	// ResolvedNotCommitted is true if Key was not committed and never will be.
+	ResolvedNotCommitted bool     `msgpack:"set"`
+	Changes              []change `msgpack:"chg"`
 }
 
-// keyOutcome tells what the log holds for an idempotency key: its commit, or
-// its settlement as not committed, and the position of that entry.
+// keyOutcome is what the log holds for an idempotency key: whether the commit with
+// the key took place or was resolved as not committed, and the position of the entry
+// that says so.
 type keyOutcome struct {
 	committed bool
 	position  model.Position
@@ -81,7 +83,7 @@
 func (l *entryLog) append(e entry) {
 	l.entries = append(l.entries, e)
 	if e.Key != "" {
-		l.keys[e.Key] = keyOutcome{committed: !e.Settled, position: e.Position}
+		l.keys[e.Key] = keyOutcome{committed: !e.ResolvedNotCommitted, position: e.Position}
 	}
 }
 
--- a/internal/standin/database/node_control.go
+++ b/internal/standin/database/node_control.go
@@ -74,7 +74,7 @@
 	if outcome, known := n.log.keys[key]; known {
 		return outcome, nil
 	}
-	return keyOutcome{position: n.appendEntry(entry{Key: key, Settled: true})}, nil
+	return keyOutcome{position: n.appendEntry(entry{Key: key, ResolvedNotCommitted: true})}, nil
 }
 
 // enterTerm raises the term, makes the node a replica and ends the stream from
--- a/internal/standin/database/session.go
+++ b/internal/standin/database/session.go
@@ -21,7 +21,7 @@
 	backend   *pgproto3.Backend
 	processID uint32
 	secretKey []byte
-	// control tells that the connection accepts control statements only.
+	// control is true if the connection accepts control statements only.
 	control bool
 	// startup holds the startup parameters, and settings the values that were set
 	// since.
@@ -35,7 +35,7 @@
 	// is delayed until it is known whether the statement ends the implicit transaction,
 	// and thus whether it commits.
 	pendingResult *result
-	// skipUntilSync tells that messages are ignored up to the next Sync, because an
+	// skipUntilSync is true if messages are ignored up to the next Sync, because an
 	// extended query failed.
 	skipUntilSync bool
 
@@ -125,8 +125,8 @@
 	return false
 }
 
-// sendReady tells the client that it may send the next statement, and flushes
-// all responses. It reports whether the connection stays open.
+// sendReady sends ReadyForQuery, so that the client may send the next statement, and
+// flushes all responses. It reports whether the connection stays open.
 func (s *session) sendReady() bool {
 	s.backend.Send(&pgproto3.ReadyForQuery{TxStatus: s.tx.status()})
 	return s.backend.Flush() == nil
--- a/internal/standin/database/sqlstate.go
+++ b/internal/standin/database/sqlstate.go
@@ -6,7 +6,7 @@
 type sqlError struct {
 	state   string
 	message string
-	// fatal tells that the connection is closed after the error.
+	// fatal is true if the connection is closed after the error.
 	fatal bool
 }
 
@@ -48,7 +48,8 @@
 	// stateTermMismatch: the session expects another term, or the database stopped
 	// being primary during the transaction.
 	stateTermMismatch = "EG002"
-	// stateDuplicateKey: the idempotency key was committed or settled before.
+	// stateDuplicateKey: the commit with the idempotency key has taken place, or was
+	// resolved as not committed.
 	stateDuplicateKey = "EG003"
 )
 
--- a/internal/standin/deploy/deploy.go
+++ b/internal/standin/deploy/deploy.go
@@ -104,8 +104,8 @@
 func (e *StartError) Unwrap() error { return e.Cause }
 
 // Start starts all processes and returns when each instance has the manifest in
-// force and knows every primary. After a failed step it stops what it has started
-// and returns a *StartError.
+// force and has confirmed a primary of every group. After a failed step it stops
+// what it has started and returns a *StartError.
 func Start(ctx context.Context, options Options) (*Deployment, error) {
 	directory, err := os.MkdirTemp("", "eelgrassfold-")
 	if err != nil {
@@ -383,8 +383,8 @@
 	return d.RunOperatorCommand(ctx, in, "submit", file, "--expected", fmt.Sprint(expected))
 }
 
-// AwaitServing waits until each instance has a manifest in force and knows every
-// primary. It returns an error if an instance has ended.
+// AwaitServing waits until each instance has a manifest in force and has confirmed
+// a primary of every group. It returns an error if an instance has ended.
 func (d *Deployment) AwaitServing(ctx context.Context) error {
 	for _, in := range d.Instances {
 		if err := Retry(ctx, func() error { return d.isServing(ctx, in) }); err != nil {
@@ -394,8 +394,8 @@
 	return nil
 }
 
-// isServing returns nil if an instance has a manifest in force and knows every
-// primary.
+// isServing returns nil if an instance has a manifest in force and has confirmed a
+// primary of every group.
 func (d *Deployment) isServing(ctx context.Context, in *Instance) error {
 	if in.Process.HasEnded() {
 		return backoff.Permanent(&ProcessError{Name: in.Name, Reason: "ended early: " + in.Process.LogTail()})
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -137,7 +137,7 @@
 	Zone model.ZoneID     `json:"zone"`
 	// Peer is the address at which the instance accepts connections of its peers.
 	Peer netip.AddrPort `json:"peer"`
-	// Leaving tells that the platform is about to remove the instance.
+	// Leaving is true if the platform is about to remove the instance.
 	Leaving bool `json:"leaving"`
 }
 
--- a/internal/standin/platform/platform_test.go
+++ b/internal/standin/platform/platform_test.go
@@ -136,8 +136,8 @@
 func TestFaults(t *testing.T) {
 	cases := []struct {
 		fault string
-		// answered tells whether a write gets a response, read whether a request
-		// that changes nothing gets one, and changed whether the write takes effect.
+		// answered is true if a write gets a response, read if a request that changes
+		// nothing gets one, and changed if the write takes effect.
 		answered, read, changed bool
 	}{
 		{`{"fault":"none"}`, true, true, true},
