--- a/internal/core/engine/constants.go
+++ b/internal/core/engine/constants.go
@@ -112,6 +112,6 @@
 	// requests remain.
 	drainTimeout = 60 * time.Second
 	// minDrainTime is the minimum time between the start of draining and
-	// termination, so that the other instances learn of it.
+	// termination, so that the other instances receive a message about it.
 	minDrainTime = 500 * time.Millisecond
 )
--- a/internal/core/engine/steward_promote.go
+++ b/internal/core/engine/steward_promote.go
@@ -25,8 +25,8 @@
 	e.fenceGroup(g)
 }
 
-// fenceGroup asks every database that is not fenced yet and has no pending Fence to
-// reject older terms.
+// fenceGroup sends a Fence, by which a database rejects older terms, to every
+// database that is not fenced yet and has no pending Fence.
 func (e *Engine) fenceGroup(g *group) {
 	st := &g.failover
 	e.choosePrimaryWhenFenced(g)
@@ -143,7 +143,7 @@
 	return longest
 }
 
-// promoteChosen asks the chosen database to become primary.
+// promoteChosen sends a Promote to the chosen database.
 func (e *Engine) promoteChosen(g *group) {
 	st := &g.failover
 	st.correlationID = e.correlationID()
@@ -153,7 +153,7 @@
 }
 
 // handlePromoted continues with the record once the database is promoted. A
-// database that does not respond is asked again; the other databases stay fenced
+// database that does not respond receives another Promote; the other databases stay fenced
 // meanwhile. If it still does not respond after claimExpiry, another term is
 // claimed.
 func (e *Engine) handlePromoted(g *group, d *database, answered message.ControlAnswered) {
--- a/internal/core/engine/steward_record.go
+++ b/internal/core/engine/steward_record.go
@@ -40,7 +40,9 @@
 
 // backfillRecord writes the row and a record for a group that has no row, or whose
 // row is older than the state of the databases because its coordinator stopped
-// between promotion and record.
+// between promotion and record. It writes nothing if the group has no known primary,
+// if the row is in a later term than the group, or if the row already shows the
+// promotion of the group's term. In any case it ends the running failover step.
 func (e *Engine) backfillRecord(g *group) {
 	st := &g.failover
 	st.step = failoverIdle
@@ -71,9 +73,9 @@
 // -----------------------------------------------------------------------------
 // Replica repair.
 
-// repairReplicas makes databases that follow no primary or another one follow the
-// group's primary. Only the group's first coordinator does so, and an instance
-// that is recording its promotion of the primary.
+// repairReplicas sends a Follow for the group's primary to each database that needs
+// repair. Only the instance with coordinator rank 0 for the group does so, and an
+// instance that is recording its promotion of the primary.
 func (e *Engine) repairReplicas(g *group) {
 	if g.primary == nil || !g.isReachablePrimary(e.now) || g.failover.step == failoverFence || g.failover.step == failoverPromote {
 		return
@@ -103,7 +105,10 @@
 	return g.primary.isReachable(now) && g.primary.inTerm(g.term) && g.primary.status.Role == model.RolePrimary
 }
 
-// needsRepair reports whether a database follows no primary or another one.
+// needsRepair reports whether a database has to follow the group's primary but does
+// not: it is in an older term, is not a replica, or replicates from another source.
+// It is false for a database that is unreachable or in a later term than the group,
+// and within repairInterval of the last Follow.
 func (e *Engine) needsRepair(g *group, d *database) bool {
 	if d == g.primary || !d.isReachable(e.now) || d.status.Term > g.term {
 		return false
@@ -114,9 +119,8 @@
 	return d.status.Term < g.term || d.status.Role != model.RoleReplica || d.status.Source != g.primary.name
 }
 
-// handleFollowAnswer handles the response to a Follow, whose status is recorded
-// like that of any other response. It reports whether the response belongs to a
-// Follow.
+// handleFollowAnswer reports whether a response belongs to the pending Follow, which
+// is no longer pending then. handleControlAnswer records the status in the response.
 func (e *Engine) handleFollowAnswer(d *database, answered message.ControlAnswered) bool {
 	if answered.CorrelationID != d.followID {
 		return false
--- a/internal/core/engine/system_answer.go
+++ b/internal/core/engine/system_answer.go
@@ -66,7 +66,8 @@
 }
 
 // handleCommitted waits until the commit is durable. A commit on a replaced primary
-// is resolved instead, since only the group knows whether it survived.
+// is resolved instead: its outcome is queried from the group, since the commit may
+// have been lost in the failover.
 func (e *Engine) handleCommitted(r *request, outcome message.OutcomeCommitted, attemptEnded message.AttemptEnded) {
 	e.updateLatency(r, attemptEnded)
 	e.releaseSlot(r, slotCompletion(attemptEnded, false))
@@ -158,10 +159,10 @@
 	e.requeue(r, completion, pause)
 }
 
-// handleDuplicateKey ends a request whose key the group already knows. If the
-// caller chose the key, it belongs to an earlier request of the caller. If this
-// instance chose it, an earlier attempt may have committed, so the group is asked
-// for the outcome.
+// handleDuplicateKey ends a request whose key has already been used in the group. If
+// the caller chose the key, it belongs to an earlier request of the caller. If this
+// instance chose it, an earlier attempt may have committed, so the outcome is queried
+// from the group.
 func (e *Engine) handleDuplicateKey(r *request, attemptEnded message.AttemptEnded) {
 	e.releaseSlot(r, slotCompletion(attemptEnded, false))
 	if r.callerKey {
@@ -173,7 +174,7 @@
 	e.startResolving(r)
 }
 
-// handleLostCommit asks the group for the outcome of a commit. A retryable request,
+// handleLostCommit queries the outcome of a commit from the group. A retryable request,
 // which may run twice without harm, is retried at once under a new key instead.
 func (e *Engine) handleLostCommit(r *request, outcome message.OutcomeConnectionLost, completion rank.SlotCompletion) {
 	if r.kind.Retryable && r.canRetry() && !outcome.PartlySent && e.now.Before(r.deadline) {
--- a/internal/core/engine/system_member.go
+++ b/internal/core/engine/system_member.go
@@ -36,7 +36,7 @@
 	if peer == e.options.Instance {
 		return
 	}
-	e.instances.get(peer).heartbeatSentAt = e.now
+	e.instances.getOrAdd(peer).heartbeatSentAt = e.now
 	e.instances.heartbeatSequence++
 	e.emit(message.SendPeer{To: peer, Body: e.newHeartbeat()})
 }
@@ -61,7 +61,7 @@
 
 // handleHeartbeat records that an instance is alive.
 func (e *Engine) handleHeartbeat(from model.InstanceID, heartbeat message.Heartbeat) {
-	entry := e.instances.get(from)
+	entry := e.instances.getOrAdd(from)
 	if !entry.alive {
 		e.logEvent(event.InstanceAlive, event.F("instance", from), event.F("zone", heartbeat.Zone))
 		e.instances.linksChanged = true
@@ -83,12 +83,12 @@
 	}
 }
 
-// addKnownPeer adds an instance that a peer knows.
+// addKnownPeer adds an instance that a peer's heartbeat lists.
 func (e *Engine) addKnownPeer(known message.KnownPeer) {
 	if known.Instance == e.options.Instance {
 		return
 	}
-	entry := e.instances.get(known.Instance)
+	entry := e.instances.getOrAdd(known.Instance)
 	if !entry.peerAddress.IsValid() {
 		entry.peerAddress = known.PeerAddress
 		e.instances.linksChanged = true
@@ -97,13 +97,13 @@
 
 // handleGroupUpdate handles a peer's message that it has promoted a database. The
 // message is a hint only, so the databases are probed at once.
-func (e *Engine) handleGroupUpdate(news message.GroupUpdate) {
-	g, found := e.groupsByName[news.Group]
+func (e *Engine) handleGroupUpdate(update message.GroupUpdate) {
+	g, found := e.groupsByName[update.Group]
 	if !found {
 		return
 	}
 	var record PromotionRecord
-	if err := json.Unmarshal(news.Record, &record); err == nil && record.Group == g.name {
+	if err := json.Unmarshal(update.Record, &record); err == nil && record.Group == g.name {
 		e.addRecord(g, record)
 	}
 	e.probeGroup(g)
@@ -153,7 +153,7 @@
 	return heartbeatInterval * time.Duration(max(1, min(links, maxLinks)/heartbeatLinkThreshold))
 }
 
-// expireInstances marks instances as gone that have not sent a heartbeat for
+// expireInstances marks instances as not alive that have not sent a heartbeat for
 // maxMissedHeartbeats intervals, and deletes those that the platform does not list
 // after instanceRetention.
 func (e *Engine) expireInstances() {
@@ -200,7 +200,7 @@
 		if listedInstance.Instance == e.options.Instance {
 			continue
 		}
-		entry := e.instances.get(listedInstance.Instance)
+		entry := e.instances.getOrAdd(listedInstance.Instance)
 		entry.listed = true
 		if !entry.peerAddress.IsValid() {
 			entry.peerAddress = listedInstance.PeerAddress
--- a/internal/core/engine/system_prove.go
+++ b/internal/core/engine/system_prove.go
@@ -8,8 +8,9 @@
 // -----------------------------------------------------------------------------
 // Durability of positions.
 
-// runDurability releases the results and commits that have become durable, and asks
-// replicas to report the oldest position that a request still waits for.
+// runDurability releases the results and commits that have become durable, and
+// requests from replicas a report of the oldest position that a request still waits
+// for.
 func (e *Engine) runDurability() {
 	for _, g := range e.groups {
 		e.advanceDurable(g)
@@ -74,8 +75,9 @@
 	e.abortRequest(r, true, "the commit was not confirmed by a majority within the deadline")
 }
 
-// awaitOldestPosition asks each replica of the term to respond as soon as it has
-// received the oldest position that a request waits for.
+// awaitOldestPosition sends an AwaitPosition to each replica of the term that has not
+// received the oldest position that a request waits for. The replica responds as soon
+// as it has.
 func (e *Engine) awaitOldestPosition(g *group) {
 	position, found := e.oldestNonDurable(g)
 	if !found {
--- a/internal/core/engine/system_schedule.go
+++ b/internal/core/engine/system_schedule.go
@@ -10,15 +10,17 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// latencyTargetDivisor limits the time that a read waits for a replica to catch up
-// to this part of its rank's latency target.
+// latencyTargetDivisor divides the latency target of a read's rank; the result is the
+// maximum time that the read waits for a replica to catch up.
 const latencyTargetDivisor = 4
 
 // -----------------------------------------------------------------------------
-// Slot grants.
+// Slot assignments.
 
 // runSchedule ends the requests that have passed their deadline and dispatches
-// those to which the scheduler grants a slot.
+// those to which the scheduler assigns a slot. requiredSampleTime of each group is
+// computed anew: AssignSlots calls candidates, which sets it for the reads that wait
+// for a sample.
 func (e *Engine) runSchedule() {
 	for _, id := range e.scheduler.TakeExpired(e.now) {
 		if r, found := e.requests.byID[id]; found {
@@ -28,13 +30,13 @@
 	for _, g := range e.groups {
 		g.requiredSampleTime = time.Time{}
 	}
-	for _, grant := range e.scheduler.AssignSlots(e.now, e.candidates) {
-		r, found := e.requests.byID[grant.Request]
+	for _, assignment := range e.scheduler.AssignSlots(e.now, e.candidates) {
+		r, found := e.requests.byID[assignment.Request]
 		if !found {
-			e.scheduler.Finish(e.now, grant.Request, rank.SlotCompletion{})
+			e.scheduler.Finish(e.now, assignment.Request, rank.SlotCompletion{})
 			continue
 		}
-		e.dispatch(r, e.databases[grant.Database])
+		e.dispatch(r, e.databases[assignment.Database])
 	}
 	for _, g := range e.groups {
 		e.probeForSample(g)
@@ -124,7 +126,10 @@
 }
 
 // computeMinimum computes the oldest state that the read may show now. It reports
-// false while the sample that this needs has not arrived.
+// false while the sample that this needs has not arrived; see sample in
+// table_group.go. If the session's earlier writes are not known, a sample from the
+// arrival of the request or later covers them: its position is recorded as the
+// session's write position and becomes the barrier token of the response.
 func (e *Engine) computeMinimum(r *request) bool {
 	s := r.session
 	minPos := r.minPosition()
@@ -282,9 +287,10 @@
 }
 
 // mustHold reports whether results of a replica are held until their position is
-// durable, because its state may include entries that a promotion could discard. In
-// a group of three, the state of a streaming replica is already held by two
-// databases, a majority.
+// durable, because its state may include entries that a promotion could discard. The
+// state of a streaming replica is already held by two databases, the replica and its
+// source. In a group of two or three these are a majority, so that only results of a
+// replica that does not stream are held there.
 func (e *Engine) mustHold(g *group, d *database) bool {
 	const pairSize = 2
 	return !d.status.Streaming || g.majority() > pairSize
--- a/internal/core/engine/system_watch.go
+++ b/internal/core/engine/system_watch.go
@@ -51,7 +51,7 @@
 // request that was sent before that of the last recorded status is dropped, since
 // it is older.
 func (e *Engine) recordStatus(d *database, answered message.ControlAnswered) {
-	if d.statusKnown && answered.SentAt.Before(d.statusAskedAt) {
+	if d.statusKnown && answered.SentAt.Before(d.statusRequestedAt) {
 		return
 	}
 	status := answered.Status
@@ -69,7 +69,7 @@
 	d.status = status
 	d.applied = status.Applied
 	d.statusKnown = true
-	d.statusAskedAt = answered.SentAt
+	d.statusRequestedAt = answered.SentAt
 	d.answeredAt = e.now
 	d.failingSince = time.Time{}
 	e.adoptTerm(d)
@@ -121,7 +121,7 @@
 	}
 }
 
-// closeAttempt asks the edge to close the connection of a running attempt.
+// closeAttempt emits a CloseConnection for a running attempt, once.
 func (e *Engine) closeAttempt(r *request) {
 	if r.closeRequested {
 		return
@@ -156,7 +156,7 @@
 		appliedCount--
 	}
 	if appliedCount < len(samples) {
-		d.lag = max(d.lag, d.statusAskedAt.Sub(samples[appliedCount].observedAt))
+		d.lag = max(d.lag, d.statusRequestedAt.Sub(samples[appliedCount].observedAt))
 		return
 	}
 	shown := sort.Search(appliedCount, func(i int) bool { return !samples[i].position.Less(d.applied) })
--- a/internal/core/engine/table_group.go
+++ b/internal/core/engine/table_group.go
@@ -13,18 +13,18 @@
 // Databases.
 
 // database is the last observed state of one database. It decides where requests
-// are sent. It is no evidence of the database's present state, unless the comment
-// of a function says so.
+// are sent. The database's present state may differ; functions whose result holds
+// for the present state say so in their comment.
 type database struct {
 	name     model.DatabaseID
 	declared manifest.Database
 	group    *group
 	// status is the last response: its request was sent at statusAskedAt and it
 	// arrived at answeredAt. statusKnown reports that there was one.
-	status        message.DatabaseStatus
-	statusKnown   bool
-	statusAskedAt time.Time
-	answeredAt    time.Time
+	status            message.DatabaseStatus
+	statusKnown       bool
+	statusRequestedAt time.Time
+	answeredAt        time.Time
 	// failingSince is when the first of the failed probes since answeredAt failed,
 	// zero if none has.
 	failingSince time.Time
@@ -141,20 +141,20 @@
 	if g.primary == nil || !g.primary.inTerm(g.term) || g.primary.status.Role != model.RolePrimary {
 		return time.Time{}, false
 	}
-	askedTimes := make([]time.Time, 0, len(g.databases))
+	requestTimes := make([]time.Time, 0, len(g.databases))
 	for _, d := range g.databases {
 		if d != g.primary && d.inTerm(g.term) {
-			askedTimes = append(askedTimes, d.statusAskedAt)
+			requestTimes = append(requestTimes, d.statusRequestedAt)
 		}
 	}
 	requiredReplicas := g.majority() - 1
-	if len(askedTimes) < requiredReplicas {
+	if len(requestTimes) < requiredReplicas {
 		return time.Time{}, false
 	}
-	sort.Slice(askedTimes, func(i, j int) bool { return askedTimes[i].After(askedTimes[j]) })
-	confirmedAt := g.primary.statusAskedAt
-	if requiredReplicas > 0 && askedTimes[requiredReplicas-1].Before(confirmedAt) {
-		confirmedAt = askedTimes[requiredReplicas-1]
+	sort.Slice(requestTimes, func(i, j int) bool { return requestTimes[i].After(requestTimes[j]) })
+	confirmedAt := g.primary.statusRequestedAt
+	if requiredReplicas > 0 && requestTimes[requiredReplicas-1].Before(confirmedAt) {
+		confirmedAt = requestTimes[requiredReplicas-1]
 	}
 	return confirmedAt, true
 }
--- a/internal/core/engine/table_instance.go
+++ b/internal/core/engine/table_instance.go
@@ -45,8 +45,8 @@
 	return instanceTable{byID: map[model.InstanceID]*instance{}, linksChanged: true}
 }
 
-// get returns the entry of an instance and creates it if there is none.
-func (t *instanceTable) get(id model.InstanceID) *instance {
+// getOrAdd returns the entry of an instance and creates it if there is none.
+func (t *instanceTable) getOrAdd(id model.InstanceID) *instance {
 	entry, found := t.byID[id]
 	if !found {
 		entry = &instance{id: id}
--- a/internal/core/engine/table_instance_test.go
+++ b/internal/core/engine/table_instance_test.go
@@ -23,7 +23,7 @@
 			if rapid.Bool().Draw(t, "remove") {
 				table.remove(id)
 			} else {
-				table.get(id)
+				table.getOrAdd(id)
 			}
 			if !slices.Equal(earlierCopy, earlier) {
 				t.Fatal("a slice that sorted returned earlier has changed")
--- a/internal/core/engine/table_request.go
+++ b/internal/core/engine/table_request.go
@@ -106,8 +106,8 @@
 	// database and term are those of the current attempt.
 	database *database
 	term     model.Term
-	// closeRequested reports that the edge has been asked to close the connection
-	// of the attempt.
+	// closeRequested is true once a CloseConnection has been emitted for the
+	// attempt.
 	closeRequested bool
 	// minimum is the oldest state that the attempt may show. It is known to exist
 	// since minimumAt.
--- a/internal/core/message/action_peer.go
+++ b/internal/core/message/action_peer.go
@@ -14,8 +14,8 @@
 }
 
 // SetPeers gives the peer adapter the list of links to maintain. It replaces the
-// previous list. An entry without an Instance is a seed address from the settings; the
-// peer's name becomes known when the link is established.
+// previous list. For an entry without an Instance, the peer's ID becomes known when the
+// link is established.
 type SetPeers struct{ Peers []PeerTarget }
 
 // PeerTarget is one link of SetPeers.
--- a/internal/core/message/event_fleet.go
+++ b/internal/core/message/event_fleet.go
@@ -34,15 +34,16 @@
 	ViewVersion      uint64
 	ViewAge          time.Duration
 	CoordinatorLease lease.CoordinatorLease
-	// HolderAlive is true if the sender has recently received a message from the holder
-	// of the coordinator lease.
+	// HolderAlive is true if the holder of the coordinator lease is available to the
+	// sender: the sender has recently received a message from it, and the holder
+	// reaches the store and is not leaving.
 	HolderAlive bool
 	Groups      []GroupGossip
 	// ConfigurationAge and DatabasesAge are how long before SenderClock the sender's
 	// configuration and list of databases were last known to be the newest.
 	ConfigurationAge, DatabasesAge time.Duration
 	// ZoneSize is the number of instances in the sender's availability zone. FleetSize
-	// is the number in all zones; it is set if the sender links to other zones.
+	// is the number in all zones from which the sender receives messages.
 	ZoneSize, FleetSize int
 	// MinViewVersion is the lowest view version among the members in the sender's
 	// availability zone; zero if no message has arrived from one of them.
--- a/internal/core/message/event_peer.go
+++ b/internal/core/message/event_peer.go
@@ -14,14 +14,17 @@
 }
 
 // PeerConnected reports that a link to an authenticated peer is established, no matter
-// which side dialed. The name of a peer that was dialed by its seed address becomes
-// known by this event.
+// which side dialed. The ID of a peer that was dialed by its address only becomes known
+// by this event.
 type PeerConnected struct{ Peer model.InstanceID }
 
 // PeerDisconnected reports that the link to a peer broke or could not be established.
-// It does not show whether the peer is alive: only heartbeats do.
+// It does not show whether the peer is alive: only the messages received from it do.
 type PeerDisconnected struct {
-	Peer    model.InstanceID
+	// Peer is empty if the peer's ID is unknown, since no link to Address has been
+	// established yet.
+	Peer model.InstanceID
+	// Address is the remote address of the link, whichever side dialed.
 	Address netip.AddrPort
 }
 
@@ -55,6 +58,7 @@
 // ManifestOffer forwards a manifest that the platform has accepted.
 type ManifestOffer struct {
 	Number uint64 `msgpack:"num"`
+	// Digest is the SHA-256 hash of Body in hexadecimal, as manifest.Digest returns it.
 	Digest string `msgpack:"sum"`
 	Body   []byte `msgpack:"body"`
 }
@@ -67,20 +71,24 @@
 // GroupUpdate forwards a group's row as it last was on the platform, and records of the
 // group's logbook. It is a hint: only databases confirm a term.
 type GroupUpdate struct {
-	Group  model.GroupID `msgpack:"grp"`
-	Row    []byte        `msgpack:"row"`
-	Record []byte        `msgpack:"rec"`
+	Group model.GroupID `msgpack:"grp"`
+	// Row and Record are JSON documents: the row, and an engine.PromotionRecord.
+	Row    []byte `msgpack:"row"`
+	Record []byte `msgpack:"rec"`
 }
 
-// DatabaseLeaving reports to a peer whether a database is shutting down.
+// DatabaseLeaving reports to a peer whether a database is leaving, which means that it
+// is shutting down.
 type DatabaseLeaving struct {
 	Database model.DatabaseID `msgpack:"db"`
 	Leaving  bool             `msgpack:"leave"`
 }
 
 // LeaseRequest reports to the arbiter of a group the sender's slot demands and the
-// leases that it holds. Each LeaseRequest replaces the previous one, so that a lost one
-// does no harm. See core/rank.
+// leases that it holds. A slot is the right to run one statement at a database; the
+// arbiter is the instance that leases a group's slots to all instances. Each
+// LeaseRequest replaces the previous one, so that a lost one does no harm. See
+// core/rank.
 type LeaseRequest struct {
 	Group model.GroupID `msgpack:"grp"`
 	// Sequence counts the sender's lease requests for this group.
@@ -91,7 +99,8 @@
 	LastGrantSeen uint64       `msgpack:"seen"`
 	Demands       []SlotDemand `msgpack:"wants"`
 	HeldLeases    []HeldLease  `msgpack:"held"`
-	// Limits lists the databases for which the sender has lowered its limit.
+	// Limits lists the databases whose limit the sender has lowered, because of slow or
+	// failed answers, below the one that the manifest sets.
 	Limits []SlotLimit `msgpack:"lim"`
 }
 
@@ -116,7 +125,8 @@
 	Rank     model.Rank       `msgpack:"rank"`
 }
 
-// SlotLimit is how many slots of a database all instances together should use.
+// SlotLimit is how many slots of a database all instances together should use,
+// according to the sender.
 type SlotLimit struct {
 	Database model.DatabaseID `msgpack:"db"`
 	Slots    int              `msgpack:"n"`
--- a/internal/core/model/model.go
+++ b/internal/core/model/model.go
@@ -1,7 +1,7 @@
 // Package model defines the types that every other package shares: identifiers, log
 // positions, session tokens, ranks, kinds of access and roles.
 //
-// # What flows in and out
+// # Dependencies
 //
 // The package defines values only. It imports no other package of the project, so
 // that the decisions (internal/core), the protocol adapters (internal/edge) and the
@@ -23,8 +23,10 @@
 // -----------------------------------------------------------------------------
 // Identifiers.
 
-// InstanceID identifies one running process of eelgrassfold. A restarted process has
-// another ID.
+// InstanceID identifies an instance of eelgrassfold. Most values identify one running
+// process: a restarted process has another one. Where a field or comment speaks of an
+// instance's name, such as lease.CoordinatorLease.HolderName, the value is the name from
+// the settings, which stays the same after a restart.
 type InstanceID string
 
 // ZoneID names an availability zone.
@@ -54,9 +56,9 @@
 // replaces one of a lower term.
 type Term uint64
 
-// Nonce identifies the author of a change in a row or a database. An instance whose
-// request was not answered reads the nonce to determine whether its change took
-// effect.
+// Nonce identifies one change of a row or a database and is stored with it. An instance
+// whose request was not answered reads the nonce to determine whether its own change
+// took effect.
 type Nonce string
 
 // -----------------------------------------------------------------------------
@@ -172,7 +174,9 @@
 // The values of Access.
 const (
 	// AccessWrite requires the primary. Its commit is acknowledged only once the
-	// primary is confirmed or the commit's position is durable.
+	// primary is confirmed (it was the primary when it answered) or the commit's
+	// position is durable (replicated to a majority, so that it survives any
+	// promotion).
 	AccessWrite Access = iota
 	// AccessRead is served by any database that is fresh enough.
 	AccessRead
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -9,8 +9,8 @@
 // database and one statement in flight to it.
 //
 // The number of statements in flight to a database is limited, so that statements
-// queue here, ordered by rank, and not in the database's own queue, which does not
-// know ranks.
+// queue here, ordered by rank, and not in the database's own queue, which has
+// no ranks.
 //
 // # Usage
 //
--- a/internal/core/rank/admission.go
+++ b/internal/core/rank/admission.go
@@ -157,7 +157,7 @@
 		return q.reject(message.RefuseOverload, s.retryAfter(work, maxRetryAfter), "caller holds its share of the queue")
 	}
 	workAhead := s.workAhead(now, g, q, work)
-	if target := s.target(q.rank); target > 0 {
+	if target := s.latencyTarget(q.rank); target > 0 {
 		it.target = work.Arrived.Add(target)
 		available := time.Duration(targetFraction * float64(it.target.Sub(now)))
 		if workAhead.onTime+it.cost <= available {
--- a/internal/core/rank/decision_test.go
+++ b/internal/core/rank/decision_test.go
@@ -23,8 +23,8 @@
 // decisions of the instances with the golden files. A script has one call a line:
 //
 //	at 20ms                          sets the time
-//	start i j                        starts instances that know each other
-//	peers i j                        tells i that i and j are live
+//	start i j                        starts instances with each other as live peers
+//	peers i j                        sets i and j as the live instances of i
 //	i offer 7 rank=1 deadline=500ms  enqueues a request; also caller=, kind=, times=
 //	i grant a b                      assigns slots with these candidates
 //	i finish 7 took=20ms             finishes a request; fail finishes it as failed
--- a/internal/core/rank/group.go
+++ b/internal/core/rank/group.go
@@ -48,7 +48,9 @@
 type database struct {
 	id    model.DatabaseID
 	group *group
-	bit   uint64
+	// bit represents the database in masks, which are sets of databases of the
+	// group.
+	bit uint64
 	// rankUsage and meter account for this instance's use of the database;
 	// fleetUsage and fleetMeter account for the leases of all instances while
 	// this instance is the arbiter.
--- a/internal/core/rank/lease.go
+++ b/internal/core/rank/lease.go
@@ -21,7 +21,8 @@
 	return &leasing{leaseHolder: leaseHolder{returned: map[uint64]uint64{}}}
 }
 
-// updateArbiter adopts the arbiter that follows from the set of live instances.
+// updateArbiter sets the arbiter to the one that peers.arbiter chooses among
+// the live instances, and starts with new state if that changes it.
 func (l *leasing) updateArbiter(s *Scheduler, now time.Time, g *group) {
 	id := s.peers.arbiter(g.id)
 	if id == l.leaseHolder.arbiter {
--- a/internal/core/rank/lease_arbiter.go
+++ b/internal/core/rank/lease_arbiter.go
@@ -37,7 +37,7 @@
 	// roundTrip is the shortest recent time from a grant to the request that
 	// acknowledges it. For this part of a lease, the slot can't be used.
 	roundTrip time.Duration
-	// leasesChanged says that the instance's leases differ from the last grant
+	// leasesChanged is true if the instance's leases differ from the last grant
 	// sent to it.
 	leasesChanged bool
 }
@@ -258,9 +258,9 @@
 	return false
 }
 
-// isReady reports whether the arbiter knows all leases that an earlier arbiter
-// granted: either every live instance has sent a request, or those leases have
-// expired.
+// isReady reports whether this arbiter has a complete list of the leases that an
+// earlier arbiter granted: either every live instance has sent a request, or
+// those leases have expired.
 func (a *arbiter) isReady(s *Scheduler, now time.Time) bool {
 	if now.Sub(a.createdAt) > leaseDuration+leaseGrace {
 		return true
@@ -321,7 +321,7 @@
 	slotDemand    *slotDemand
 	unmetRequests int
 	deadline      time.Time
-	// atSlotLimit says that the instance holds all the slots of the database
+	// atSlotLimit is true if the instance holds all the slots of the database
 	// that one instance may use: it can get a slot for one rank only by
 	// returning a slot of another.
 	atSlotLimit bool
--- a/internal/core/rank/lease_holder.go
+++ b/internal/core/rank/lease_holder.go
@@ -49,10 +49,10 @@
 	// its ranks. Demand of a rank that is not in this set is sent without
 	// delay.
 	digest, demandedRanks uint64
-	// usesEqualShare says that requests start under the equal share, since the
+	// usesEqualShare is true if requests start under the equal share, since the
 	// arbiter does not answer.
 	usesEqualShare bool
-	// mustSend says that the next request is due at once: leases were returned,
+	// mustSend is true if the next request is due at once: leases were returned,
 	// or the arbiter is new.
 	mustSend bool
 	leases   []*heldLease
--- a/internal/core/rank/lease_test.go
+++ b/internal/core/rank/lease_test.go
@@ -58,9 +58,9 @@
 }
 
 // step advances the time by elapsed: messages arrive in the order in which they
-// were sent on each link, requests finish, and every member assigns slots. The
-// functions return the delay of each message and the service time of each
-// request.
+// were sent on each link, requests finish, and every member assigns slots with
+// candidates. delay returns the delay of each message, service the service time
+// of each request.
 func (f *fleet) step(elapsed time.Duration, delay, service func() time.Duration, candidates Candidates) {
 	f.now = f.now.Add(elapsed)
 	kept := f.deliveries[:0]
@@ -125,11 +125,11 @@
 	m.running = kept
 }
 
-// enqueue enqueues one request at a member.
-func (f *fleet) enqueue(m *member, r model.Rank, deadline time.Duration) {
+// enqueue enqueues one request at a member, with its deadline timeLimit from now.
+func (f *fleet) enqueue(m *member, r model.Rank, timeLimit time.Duration) {
 	f.lastRequest++
 	request := work(f.lastRequest, r, 0)
-	request.Arrived, request.Deadline = f.now, f.now.Add(deadline)
+	request.Arrived, request.Deadline = f.now, f.now.Add(timeLimit)
 	m.scheduler.Enqueue(f.now, request)
 }
 
@@ -171,7 +171,7 @@
 
 // TestNoRankStarves floods all instances but one with requests of one rank, and
 // enqueues a few requests of each rank at the last one. The last instance must
-// serve the ranks that do not flood.
+// serve at least 25 of its 30 requests of each rank that does not flood.
 func TestNoRankStarves(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.IntRange(2, 5).Draw(t, "instances"))
@@ -223,9 +223,11 @@
 	}
 }
 
-// TestCutOffSidesServe partitions a busy fleet into two sides. Once the members
-// know the live instances of their side, each side must serve nearly all of its
-// urgent requests, which need less than its share of the slots.
+// TestCutOffSidesServe partitions a busy fleet into two sides. The minority is
+// the arbiter and the first two members (two or three members, since the arbiter
+// may be one of these), so that the majority has to get another arbiter. Once
+// SetPeers has set the live instances of each side, each side must serve nearly
+// all of its urgent requests, which need less than its share of the slots.
 func TestCutOffSidesServe(t *testing.T) {
 	f := newFleet(7)
 	arbiter := f.members[0].scheduler.peers.arbiter("g")
@@ -272,6 +274,8 @@
 // TestConnectionsNeverExceedLimit lets instances join one after another, calls
 // SetPeers on the members in any order, and then makes a part of them
 // unreachable. The sum of their connection limits must never exceed the budget.
+// The first instance starts alone: its joinPeriod passes before the others join,
+// and AssignSlots sets its time.
 func TestConnectionsNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := testManifest()
@@ -324,7 +328,7 @@
 	}
 }
 
-// TestControlConnectionsFit checks, for the sizes of both deployments, that the
+// TestControlConnectionsFit checks, for two sizes of a deployment, that the
 // connection limits and control connections of all instances together fit
 // within the connections of one database.
 func TestControlConnectionsFit(t *testing.T) {
--- a/internal/core/rank/limit.go
+++ b/internal/core/rank/limit.go
@@ -268,12 +268,12 @@
 // Connections.
 
 // joinPeriod is the time after the first Configure during which an instance
-// that knows no other instance assumes that there are others, whose messages
-// have not arrived yet.
+// without any known peer assumes that there are others, whose messages have not
+// arrived yet.
 const joinPeriod = 3 * time.Second
 
-// isJoining reports whether other instances may exist that this one does not
-// know yet.
+// isJoining reports whether there may be other instances although none is known
+// yet.
 func (s *Scheduler) isJoining() bool {
 	return len(s.peers.known) <= 1 && s.now.Sub(s.configuredAt) < joinPeriod
 }
--- a/internal/core/rank/report.go
+++ b/internal/core/rank/report.go
@@ -32,8 +32,8 @@
 	Group model.GroupID
 	// Arbiter is the instance that leases the group's slots.
 	Arbiter model.InstanceID
-	// Alone says that the arbiter does not answer and this instance uses an
-	// equal share.
+	// Alone is true if the arbiter does not answer, so that this instance uses
+	// an equal share.
 	Alone     bool
 	Queues    []QueueReport
 	Databases []DatabaseReport
--- a/internal/core/rank/retry.go
+++ b/internal/core/rank/retry.go
@@ -22,6 +22,7 @@
 
 // retryBudget is the retry budget of one group.
 type retryBudget struct {
+	// balance is the number of retries that the budget allows, as of updatedAt.
 	balance   float64
 	updatedAt time.Time
 }
--- a/internal/core/rank/scheduler.go
+++ b/internal/core/rank/scheduler.go
@@ -42,11 +42,11 @@
 	Deadline time.Time
 	// Bytes is the memory that the request holds while it waits.
 	Bytes int
-	// Transaction says that the slot is kept over several statements.
+	// Transaction is true if the slot is kept over several statements.
 	Transaction bool
 }
 
-// Refusal tells why a request was rejected.
+// Refusal is the reason for which a request was rejected.
 type Refusal struct {
 	Reason message.RefusalReason
 	// RetryAfter suggests when to retry, or is zero.
@@ -60,12 +60,12 @@
 	Database model.DatabaseID
 }
 
-// SlotCompletion tells how the use of a slot ended.
+// SlotCompletion describes the outcome of the use of a slot.
 type SlotCompletion struct {
 	// Elapsed is the time that the database took, without the time to open a
 	// connection.
 	Elapsed time.Duration
-	// Failed says that the database did not answer, or answered that it is
+	// Failed is true if the database did not answer, or answered that it is
 	// overloaded.
 	Failed bool
 }
@@ -91,23 +91,28 @@
 	groups            map[model.GroupID]*group
 	orderedGroups     []*group
 	databases         map[model.DatabaseID]*database
-	waiting           map[model.RequestID]*item
-	running           map[model.RequestID]*item
-	expiry            deadlines
-	expired           []model.RequestID
-	assignments       []SlotAssignment
-	outbox            []message.SendPeer
-	rankOrder         []model.Rank
-	logEvents         []message.LogEvent
-	logLimits         map[int]*logLimit
-	// hasFixedLimits turns adaptive limits and circuits off.
+	// waiting holds the requests in the queue, running those that use a slot.
+	waiting map[model.RequestID]*item
+	running map[model.RequestID]*item
+	// expiry orders the waiting requests by deadline; expired holds those that
+	// TakeExpired is to return.
+	expiry      deadlines
+	expired     []model.RequestID
+	assignments []SlotAssignment
+	outbox      []message.SendPeer
+	// rankOrder is a buffer for the ranks in the order in which they are served.
+	rankOrder []model.Rank
+	logEvents []message.LogEvent
+	// logLimits holds the limit of each event by the event's number.
+	logLimits map[int]*logLimit
+	// hasFixedLimits turns adaptive limits and circuit breakers off.
 	hasFixedLimits bool
 }
 
 // Option configures a Scheduler.
 type Option func(*Scheduler)
 
-// WithFixedLimits turns adaptive limits and circuits off.
+// WithFixedLimits turns adaptive limits and circuit breakers off.
 func WithFixedLimits() Option { return func(s *Scheduler) { s.hasFixedLimits = true } }
 
 // NewScheduler returns a scheduler for the instance self. It rejects all
@@ -211,7 +216,8 @@
 }
 
 // bucketWidthOf returns the width of a rank's backlog buckets. The buckets
-// together span four thirds of the longest deadline of the rank's kinds.
+// together span four thirds of the longest deadline of the rank's kinds; later
+// deadlines are counted in the last bucket.
 func bucketWidthOf(r model.Rank, kinds []manifest.RequestKind) time.Duration {
 	longest := time.Duration(0)
 	for _, k := range kinds {
@@ -238,8 +244,8 @@
 
 func (s *Scheduler) access(name string) model.Access { return s.requestKind(name).access }
 
-// target returns the latency target of a rank, or 0 if it has none.
-func (s *Scheduler) target(r model.Rank) time.Duration {
+// latencyTarget returns the latency latencyTarget of a rank, or 0 if it has none.
+func (s *Scheduler) latencyTarget(r model.Rank) time.Duration {
 	if int(r) < len(s.ranks) {
 		return s.ranks[r].LatencyTarget
 	}
@@ -326,7 +332,9 @@
 }
 
 // AssignSlots assigns free slots to waiting requests. Requests that have passed
-// their deadline are not started; TakeExpired returns them.
+// their deadline are not started; TakeExpired returns them. If this instance is
+// a group's arbiter, it grants leases to itself when it produces the messages;
+// the second assignGroup assigns the slots of these leases.
 func (s *Scheduler) AssignSlots(now time.Time, candidates Candidates) []SlotAssignment {
 	s.expireWaiting(now)
 	s.assignments, s.now = nil, now
@@ -363,7 +371,7 @@
 	s.requestKind(it.work.Kind).recordSlotTime(now, slotTime)
 	q.count.served++
 	s.groups[it.work.Group].retryBudget.add(retriesPerSuccess)
-	if target := s.target(q.rank); target > 0 && now.Sub(it.work.Arrived) > target {
+	if target := s.latencyTarget(q.rank); target > 0 && now.Sub(it.work.Arrived) > target {
 		q.count.late++
 	}
 }
@@ -374,8 +382,8 @@
 // isFree reports whether this instance may use one more slot of d.
 func (s *Scheduler) isFree(d *database) bool { return d.rankUsage.slotsInUse() < s.perInstance(d) }
 
-// slotsOf returns the number of slots that this instance can expect for
-// requests of an access: its equal share, or the mean number that it used
+// slotsOf returns the number of slots that this instance can expect for its
+// writes or its reads, as a selects: its equal share, or the mean number that it used
 // recently if that is more. Writes run on one database only, the primary.
 func (s *Scheduler) slotsOf(g *group, a model.Access) float64 {
 	databases := len(g.databases)
@@ -409,8 +417,8 @@
 	s.peers.refresh(now)
 }
 
-// updateArbiter adopts, in each group, the arbiter that follows from the set of
-// live instances.
+// updateArbiter sets the arbiter of each group to the one that peers.arbiter
+// chooses among the live instances.
 func (s *Scheduler) updateArbiter(now time.Time) {
 	for _, g := range s.orderedGroups {
 		g.leasing.updateArbiter(s, now, g)
@@ -433,7 +441,7 @@
 }
 
 // TakeMessages returns the messages that AssignSlots has produced since the
-// last call.
+// last call. It does not use the time.
 func (s *Scheduler) TakeMessages(time.Time) []message.SendPeer {
 	messages := s.outbox
 	s.outbox = nil
--- a/internal/core/rank/usage.go
+++ b/internal/core/rank/usage.go
@@ -7,7 +7,7 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/core/model"
 )
 
-// usageWindow is the time constant with which used slot-time is forgotten:
+// usageWindow is the time constant of the exponential decay of used slot-time:
 // slot-time of that age counts for 1/e.
 const usageWindow = 2 * time.Second
 
--- a/internal/node/fleet/directory.go
+++ b/internal/node/fleet/directory.go
@@ -19,8 +19,9 @@
 	routeConfirmTimeout = 1200 * time.Millisecond
 	// minLookUpInterval is the minimum time between two such reads.
 	minLookUpInterval = 500 * time.Millisecond
-	// peerRetryInterval is the time without an answer after which another peer
-	// is asked. It is longer than a large answer takes on a slow link.
+	// peerRetryInterval is the time without an answer after which a newer
+	// configuration or list of databases is requested from another peer. It is
+	// longer than a large answer takes on a slow link.
 	peerRetryInterval = 400 * time.Millisecond
 	// unconfirmedReadyLimit is the time without a confirmed primary after which
 	// the instance reports that it is not ready for further callers. After
--- a/internal/node/fleet/leases.go
+++ b/internal/node/fleet/leases.go
@@ -18,30 +18,40 @@
 const (
 	// groupTable is the table of groups. It also holds the coordinator lease
 	// and the members, since all of these have to be read as of the same
-	// version.
+	// version: a view confirms primaries only if it lists this instance among
+	// the members.
 	groupTable = "eelgrassfold-groups"
 	// Prefixes of the table's keys, and the key of the coordinator lease.
 	groupPrefix         = "group/"
 	memberPrefix        = "member/"
 	coordinatorLeaseKey = "duty/promotion"
-	// renewAge is the age of the view at which the first instance reads the
-	// table again: a third of a lease. The others request its view, so that one
-	// read serves all. The first instance of each availability zone does so
-	// from zoneFirstRequestAge on; the rest request the view of that one from
-	// requestAge on. Requests are requestInterval apart. An instance reads the
-	// table itself at fallbackRenewAge, which leaves time for one more try.
-	renewAge            = 300 * time.Millisecond
+	// A view confirms primaries until it is lease.Duration old (900 ms); the
+	// ages below count from the start of its read. The first instance (see
+	// Fleet.first) reads the table and the others request its view, so that
+	// one read serves all.
+	//
+	// renewAge is the age at which the first instance reads the table again: a
+	// third of lease.Duration.
+	renewAge = 300 * time.Millisecond
+	// zoneFirstRequestAge is the age from which on the first instance of an
+	// availability zone requests the view of the first instance.
 	zoneFirstRequestAge = 350 * time.Millisecond
-	requestAge          = 500 * time.Millisecond
-	requestInterval     = 100 * time.Millisecond
-	fallbackRenewAge    = 680 * time.Millisecond
+	// requestAge is the age from which on all other instances request the view
+	// of the first instance of their zone.
+	requestAge = 500 * time.Millisecond
+	// requestInterval is the minimum time between two requests for a view.
+	requestInterval = 100 * time.Millisecond
+	// fallbackRenewAge is the age at which an instance that has received no
+	// newer view reads the table itself. It leaves time for one more try.
+	fallbackRenewAge = 680 * time.Millisecond
 	// renewTimeout bounds a read of the table.
 	renewTimeout = 600 * time.Millisecond
 	// minRenewInterval is the minimum time between two reads.
 	minRenewInterval = 50 * time.Millisecond
 )
 
-// renewal controls the reads of the table of groups.
+// renewal holds the request for a renewal: a read of the table of groups, which
+// replaces the view by a newer one.
 type renewal struct {
 	// requested receives a value when the table is to be read at once.
 	requested chan struct{}
@@ -56,7 +66,8 @@
 }
 
 // renewViews reads the table of groups until ctx ends, often enough that the
-// leases do not expire.
+// view does not become older than lease.Duration: an older view no longer
+// confirms the primaries and the coordinator lease that it shows.
 func (f *Fleet) renewViews(ctx context.Context) {
 	pause := newBackoff()
 	var lostAt time.Time
@@ -88,7 +99,7 @@
 func (f *Fleet) awaitRenewal(ctx context.Context) {
 	sleep(ctx, minRenewInterval)
 	for ctx.Err() == nil {
-		remaining := min(membersAge-f.membersAge(), f.untilRenewal())
+		remaining := min(membersRefreshAge-f.membersAge(), f.advanceRenewal())
 		if remaining <= 0 {
 			return
 		}
@@ -104,10 +115,10 @@
 	}
 }
 
-// untilRenewal returns the time until the table is due to be read, or until
-// this is to be checked again. It requests the view of the upstream when that
-// is due.
-func (f *Fleet) untilRenewal() time.Duration {
+// advanceRenewal requests the view of the upstream if that is due. It returns
+// how long to wait before it is called again; the table is due to be read if
+// that is not positive.
+func (f *Fleet) advanceRenewal() time.Duration {
 	age := clock.Since(f.Leases.View().ReadStartedAt)
 	if f.isFirst() {
 		return renewAge - age
@@ -185,7 +196,7 @@
 }
 
 // decodeRow adds one row of the table of groups to a view or to the members. A
-// row that can't be decoded is left out.
+// row that can't be decoded is logged and left out.
 func (f *Fleet) decodeRow(row store.Row, view *lease.View, members map[model.InstanceID]member) {
 	if name, ok := strings.CutPrefix(row.Key, memberPrefix); ok {
 		var decoded member
@@ -211,7 +222,7 @@
 func groupKey(name model.GroupID) string { return groupPrefix + string(name) }
 
 // decodeValue decodes a row's value into target and reports whether that
-// succeeded.
+// succeeded. It logs a failure as ContentRejected.
 func (f *Fleet) decodeValue(row store.Row, target any) bool {
 	err := msgpack.Unmarshal(row.Value, target)
 	if err != nil {
@@ -253,9 +264,11 @@
 	}
 }
 
-// createMissingRows writes the first row of each group that has none, if this
-// instance is the first. The primary is the database that claims to be one,
-// since no other database has ever been promoted.
+// createMissingRows writes the first row and the first record of each group
+// that has no row, if this instance is the first. The primary is the database
+// that claims to be one, since no other database has ever been promoted. A
+// group with no claimant or several claimants is skipped. If the coordinator
+// lease has no holder, the same transaction makes this instance its holder.
 func (f *Fleet) createMissingRows(ctx context.Context) {
 	view := f.Leases.View()
 	if view.Rows == nil || !f.isFirst() {
--- a/internal/node/fleet/peers.go
+++ b/internal/node/fleet/peers.go
@@ -22,17 +22,19 @@
 	// shareRetention is how long an instance keeps its share of the databases'
 	// connections after its last message: the databases keep the connections of
 	// a dead instance open for three seconds, and a restarted instance is back
-	// within this time.
+	// within shareRetention.
 	shareRetention = 15 * time.Second
 	// memberExpiry is the time without a message after which a member's row is
-	// deleted. maxMembersAge is the maximum age of a read of the members for
-	// peers to rely on it: an instance must not be reported as a member after
-	// its row was deleted.
-	memberExpiry  = 10 * time.Minute
+	// deleted.
+	memberExpiry = 10 * time.Minute
+	// maxMembersAge is the time since the last read of the members after which
+	// this instance no longer reports to a peer that the peer is a member,
+	// since the peer's row may have been deleted.
 	maxMembersAge = 2 * time.Minute
-	// membersAge is the age at which the members are read again, whatever peers
-	// report.
-	membersAge = time.Minute
+	// membersRefreshAge is the time since the last read of the members after
+	// which this instance reads the table itself, even if peers report newer
+	// views.
+	membersRefreshAge = time.Minute
 )
 
 // Links carries messages to peers.
@@ -44,8 +46,9 @@
 type peers struct {
 	mu    sync.Mutex
 	links Links
+	// known holds the state of the other instances by start ID.
 	known map[model.InstanceID]*peer
-	// members holds the other members by name, as of membersVersion of the
+	// members holds the other members by instance name, as of membersVersion of the
 	// table of groups; isListed is set if this instance was among them.
 	members        map[model.InstanceID]member
 	membersVersion uint64
@@ -110,9 +113,10 @@
 	}
 }
 
-// first returns the live instance with the lowest ID, among those that reach
-// the store if there are any, and whether it is this instance. The first
-// instance reads the store for all.
+// first returns the first instance, and whether it is this one. The first
+// instance is the leader of the live instances: it reads the store for all. It
+// is the one with the lowest start ID, among those that reach the store if
+// there are any. Peers that are leaving do not count.
 func (f *Fleet) first() (model.InstanceID, bool) {
 	return f.firstOf(func(*peer) bool { return true })
 }
@@ -152,7 +156,10 @@
 	return ok
 }
 
-// instanceCount returns the number of instances that share the databases.
+// instanceCount returns the number of instances that share the databases: the
+// highest of this instance's own count, the counts of all zones that its peers
+// report, and the number of members, which is used up to
+// Options.ExpectedInstances only.
 func (f *Fleet) instanceCount() int {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
@@ -167,8 +174,8 @@
 	return max(count, min(len(f.peers.members)+1, f.options.ExpectedInstances))
 }
 
-// isMajorityAlive reports whether the instances that this one knows to be alive
-// are more than half of all.
+// isMajorityAlive reports whether more than half of all instances are alive and
+// not leaving, as far as this instance can observe.
 func (f *Fleet) isMajorityAlive() bool {
 	total := f.instanceCount()
 	f.peers.mu.Lock()
@@ -181,8 +188,9 @@
 
 // sizes counts this instance and the peers that include selects: in this
 // instance's availability zone, and in all zones. The size of another zone is
-// the highest number reported by the peers there, or the number of those peers
-// if that is higher. The peers must be locked.
+// the highest ZoneSize that the peers there report, since this instance is not
+// linked to all of them, or the number of those peers if that is higher. The
+// peers must be locked.
 func (p *peers) sizes(self Options, include func(*peer, time.Time) bool) (zoneSize, fleetSize int) {
 	now := clock.Now()
 	namesByZone := map[model.ZoneID]map[model.InstanceID]bool{self.Zone: {self.InstanceName: true}}
@@ -241,9 +249,9 @@
 	}
 }
 
-// prune removes state that no decision uses any more: unlinked starts of
-// instances without a message for twice memberExpiry, and links lost longer
-// than lostLinkTimeout ago.
+// prune removes state that no decision uses any more: the entries of start IDs
+// without a link and without a message for longer than twice memberExpiry, and
+// links lost longer than lostLinkTimeout ago.
 func (p *peers) prune(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/node/fleet/peers_bulletin.go
+++ b/internal/node/fleet/peers_bulletin.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// gossip returns what this instance knows now, without the fields that depend
-// on the receiver.
+// gossip returns the present state of this instance, without the fields that
+// depend on the receiver.
 func (f *Fleet) gossip() message.GossipState {
 	now := clock.Now()
 	view := f.Leases.View()
@@ -119,9 +119,9 @@
 	return state
 }
 
-// cachedGroupGossip returns what this instance knows about the groups of a
-// view. Peers that ask within maxGroupGossipAge get the same content, with its
-// ages advanced; broadcast has it built again.
+// cachedGroupGossip returns the gossip about the groups of a view. Requests within
+// maxGroupGossipAge get the same content, with its ages advanced; broadcast has
+// it built again.
 func (f *Fleet) cachedGroupGossip(view lease.View, now time.Time) []message.GroupGossip {
 	f.groupGossip.mu.Lock()
 	defer f.groupGossip.mu.Unlock()
@@ -205,8 +205,8 @@
 }
 
 // membersHash returns a hash of the names of the members of an availability
-// zone. A peer's minimum view version covers only the members that the peer
-// knows, so it is used only if both hashes are equal. The peers must be locked.
+// zone. A peer's minimum view version covers only the members in the peer's own
+// list, so it is used only if both hashes are equal. The peers must be locked.
 func (p *peers) membersHash(self Options, zone model.ZoneID) uint64 {
 	hash := uint64(0)
 	if self.Zone == zone {
--- a/internal/node/fleet/peers_link.go
+++ b/internal/node/fleet/peers_link.go
@@ -11,8 +11,9 @@
 )
 
 const (
-	// headsPerZone is the number of instances of an availability zone that keep
-	// links to other zones: with two of them down the zone is still linked.
+	// headsPerZone is the number of heads of an availability zone: the
+	// instances that keep links to other zones. With two of them down the zone
+	// is still linked.
 	headsPerZone = 3
 	// lostLinkTimeout is how long, after a link to an instance was lost or
 	// could not be made, another instance is linked in its place.
@@ -46,7 +47,8 @@
 	f.peers.links.HandleAction(message.SetPeers{Peers: targets})
 }
 
-// linkedHeads returns the addresses of the heads to keep links to. The peers
+// linkedHeads returns the addresses of the heads (see updateLinks) to which this
+// instance keeps links. The peers
 // must be locked.
 func (f *Fleet) linkedHeads() []netip.AddrPort {
 	zones := map[model.ZoneID][]model.InstanceID{f.options.Zone: {f.options.InstanceName}}
--- a/internal/node/fleet/peers_link_test.go
+++ b/internal/node/fleet/peers_link_test.go
@@ -89,7 +89,7 @@
 }
 
 // A head reports the minimum view version of its zone. It covers the zone's
-// members only if the head knows the same members as this instance: otherwise
+// members only if the head has the same list of members as this instance: otherwise
 // an unreported member could still use the old primary.
 func TestRevocationThroughHeads(t *testing.T) {
 	const version = 20
--- a/internal/node/fleet/peers_member.go
+++ b/internal/node/fleet/peers_member.go
@@ -79,8 +79,8 @@
 func (f *Fleet) isMember() bool { return f.Leases.View().IsMember }
 
 // wasListedRecently reports whether the members were read less than
-// maxMembersAge ago and this instance was among them. A peer with an older list
-// may not know this instance yet.
+// maxMembersAge ago and this instance was among them. The list of a peer may be
+// older and not contain this instance yet.
 func (f *Fleet) wasListedRecently() bool {
 	f.peers.mu.Lock()
 	defer f.peers.mu.Unlock()
@@ -88,7 +88,7 @@
 }
 
 // updateMembers replaces the members by those read at a version of the table of
-// groups, unless members of a newer version are known.
+// groups, unless members of a newer version have been read.
 func (f *Fleet) updateMembers(members map[model.InstanceID]member, version uint64) {
 	_, isListed := members[f.options.InstanceName]
 	delete(members, f.options.InstanceName)
--- a/internal/node/fleet/prove.go
+++ b/internal/node/fleet/prove.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// hasConfirmedPrimary reports whether a primary can be confirmed now, by a view
-// or by surveys.
+// hasConfirmedPrimary reports whether the primary of at least one group can be
+// confirmed now: by the view, which serves all groups, or by a survey.
 func (f *Fleet) hasConfirmedPrimary(now time.Time) bool {
 	if f.Leases.IsConfirmed(now) {
 		return true
--- a/internal/node/fleet/readiness.go
+++ b/internal/node/fleet/readiness.go
@@ -8,8 +8,10 @@
 )
 
 // updateReadiness decides whether the platform should send callers to this
-// instance. It closes idle sessions once no primary has been confirmed for
-// unconfirmedCloseLimit.
+// instance: it has a configuration and a database and is not leaving, and
+// hasConfirmedPrimary was true within the last unconfirmedReadyLimit. It logs a
+// change of this decision. Each call closes the idle sessions once
+// hasConfirmedPrimary has been false for unconfirmedCloseLimit.
 func (f *Fleet) updateReadiness() {
 	d := &f.directory
 	now := clock.Now()
--- a/internal/node/fleet/steward.go
+++ b/internal/node/fleet/steward.go
@@ -36,8 +36,8 @@
 	// instance has written: two reads of the table.
 	rowVisibleTimeout = 2 * renewTimeout
 	// challengeWait is how long a challenge of the holder of the coordinator
-	// lease must stand before the challenger takes the lease: the holder sees
-	// it within a renewal.
+	// lease must remain in the row before the challenger takes the lease: a
+	// live holder reads the challenge with its next view and removes it.
 	challengeWait = 1600 * time.Millisecond
 	// failoverRetryDelay is how long this instance waits before it starts an
 	// unfinished failover again.
--- a/internal/node/runner/runner.go
+++ b/internal/node/runner/runner.go
@@ -83,8 +83,8 @@
 	log      *eventlog.Writer
 	handlers []ActionHandler
 	done     chan struct{}
-	// wake has a buffer of one; a value in it tells the loop that events are
-	// pending.
+	// wake has a buffer of one; a value in it makes the loop handle the
+	// pending events.
 	wake chan struct{}
 
 	mu      sync.Mutex
--- a/internal/node/serve/module.go
+++ b/internal/node/serve/module.go
@@ -29,7 +29,7 @@
 // one start of an instance from another.
 const startIDLength = 8
 
-// module tells fx how to construct the components and in which order to start
+// module defines how fx constructs the components and in which order it starts
 // them.
 var module = fx.Options(
 	fx.Provide(
@@ -69,7 +69,7 @@
 	p.Runner.AddHandlers(
 		p.Caller.HandleAction, p.Pool.HandleAction, p.Group.HandleAction, p.Platform.HandleAction, p.Peer.HandleAction, p.Operator.HandleAction, p.Readiness.HandleAction,
 	)
-	supervise(lifecycle, exits, componentPool, p.Pool)
+	supervise(lifecycle, exits, componentDatabase, p.Pool)
 	supervise(lifecycle, exits, componentGroup, p.Group)
 	supervise(lifecycle, exits, componentPlatform, p.Platform)
 	supervise(lifecycle, exits, componentPeer, p.Peer)
--- a/internal/node/serve/part.go
+++ b/internal/node/serve/part.go
@@ -6,13 +6,14 @@
 	"go.uber.org/fx"
 )
 
-// maxComponents is an upper bound of the number of components. It is the buffer
-// size of the channel on which they report their exit.
+// maxComponents is the buffer size of the channel on which the components
+// report their exit. It is an upper bound of their number, so that a report
+// never blocks.
 const maxComponents = 16
 
 // The names of the components, as errors and log lines show them.
 const (
-	componentPool     = "database edge"
+	componentDatabase = "database edge"
 	componentGroup    = "group edge"
 	componentPlatform = "platform edge"
 	componentPeer     = "peer edge"
@@ -45,39 +46,39 @@
 
 // supervise registers a component with the lifecycle, which starts and stops it.
 func supervise(lifecycle fx.Lifecycle, exits chan<- componentExit, name string, impl starter) {
-	p := &component{name: name, impl: impl, exits: exits, done: make(chan struct{})}
-	lifecycle.Append(fx.Hook{OnStart: p.start, OnStop: p.stop})
+	c := &component{name: name, impl: impl, exits: exits, done: make(chan struct{})}
+	lifecycle.Append(fx.Hook{OnStart: c.start, OnStop: c.stop})
 }
 
 // start starts the component. Its context does not end with ctx, which covers
 // only the startup phase.
-func (p *component) start(ctx context.Context) error {
+func (c *component) start(ctx context.Context) error {
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	p.cancel = cancel
-	exited, err := p.impl.Start(runCtx)
+	c.cancel = cancel
+	exited, err := c.impl.Start(runCtx)
 	if err != nil {
 		cancel()
 		return err
 	}
-	go p.reportExit(exited)
+	go c.reportExit(exited)
 	return nil
 }
 
 // reportExit waits until the component has ended and reports how.
-func (p *component) reportExit(exited <-chan error) {
+func (c *component) reportExit(exited <-chan error) {
 	err := <-exited
-	p.exits <- componentExit{name: p.name, err: err}
-	close(p.done)
+	c.exits <- componentExit{name: c.name, err: err}
+	close(c.done)
 }
 
 // stop cancels the component's context and waits until its exit is reported. The
 // error is a *ComponentError if ctx ends first.
-func (p *component) stop(ctx context.Context) error {
-	p.cancel()
+func (c *component) stop(ctx context.Context) error {
+	c.cancel()
 	select {
-	case <-p.done:
+	case <-c.done:
 		return nil
 	case <-ctx.Done():
-		return &ComponentError{Component: p.name, Cause: ctx.Err()}
+		return &ComponentError{Component: c.name, Cause: ctx.Err()}
 	}
 }
