--- a/internal/core/engine/steward_promote.go
+++ b/internal/core/engine/steward_promote.go
@@ -153,8 +153,8 @@
 }
 
 // handlePromoted continues with the record once the database is promoted. A
-// database that does not respond receives another Promote; the other databases stay fenced
-// meanwhile. If it still does not respond after claimExpiry, another term is
+// database that does not respond receives another Promote; the other databases stay
+// fenced meanwhile. If it still does not respond after claimExpiry, another term is
 // claimed.
 func (e *Engine) handlePromoted(g *group, d *database, answered message.ControlAnswered) {
 	st := &g.failover
--- a/internal/core/engine/steward_record.go
+++ b/internal/core/engine/steward_record.go
@@ -42,7 +42,7 @@
 // row is older than the state of the databases because its coordinator stopped
 // between promotion and record. It writes nothing if the group has no known primary,
 // if the row is in a later term than the group, or if the row already shows the
-// promotion of the group's term. In any case it ends the running failover step.
+// promotion of the group's term; the failover is idle then.
 func (e *Engine) backfillRecord(g *group) {
 	st := &g.failover
 	st.step = failoverIdle
--- a/internal/core/engine/system_schedule.go
+++ b/internal/core/engine/system_schedule.go
@@ -10,8 +10,8 @@
 	"github.com/eelgrassfold/eelgrassfold/internal/report/event"
 )
 
-// latencyTargetDivisor divides the latency target of a read's rank; the result is the
-// maximum time that the read waits for a replica to catch up.
+// latencyTargetDivisor divides the latency target of a read's rank; the result is an
+// upper bound of the time that the read waits for a replica to catch up.
 const latencyTargetDivisor = 4
 
 // -----------------------------------------------------------------------------
--- a/internal/core/lease/lease.go
+++ b/internal/core/lease/lease.go
@@ -63,8 +63,8 @@
 	Primary model.DatabaseID
 	// Term is the lowest term in which Primary is the primary.
 	Term model.Term
-	// Coordinator is the instance that wrote the row. Reason is the reason for the
-	// change.
+	// Coordinator is the start ID of the instance that wrote the row. Reason is the
+	// reason for the change.
 	Coordinator model.InstanceID
 	Reason      string
 	// Version is the version that the store assigned to the last change of the row.
--- a/internal/core/message/action_peer.go
+++ b/internal/core/message/action_peer.go
@@ -14,8 +14,9 @@
 }
 
 // SetPeers gives the peer adapter the list of links to maintain. It replaces the
-// previous list. For an entry without an Instance, the peer's ID becomes known when the
-// link is established.
+// previous list. An entry without an Instance, such as a seed address from the
+// settings, has an Address only; the peer's ID becomes known when the link is
+// established.
 type SetPeers struct{ Peers []PeerTarget }
 
 // PeerTarget is one link of SetPeers.
--- a/internal/core/message/event_fleet.go
+++ b/internal/core/message/event_fleet.go
@@ -34,8 +34,8 @@
 	ViewVersion      uint64
 	ViewAge          time.Duration
 	CoordinatorLease lease.CoordinatorLease
-	// HolderAlive is true if the holder of the coordinator lease is available to the
-	// sender: the sender has recently received a message from it, and the holder
+	// HolderAlive is true if the holder of the coordinator lease is available: the
+	// sender is the holder or has recently received a message from it, and the holder
 	// reaches the store and is not leaving.
 	HolderAlive bool
 	Groups      []GroupGossip
@@ -65,8 +65,8 @@
 	SampledPosition model.Position
 	SampleAge       time.Duration
 	// Observers is the number of instances in the sender's availability zone, including
-	// the sender, that know whether the primary answers them. UnansweredObservers is
-	// the number of those that it does not answer.
+	// the sender, that have observed whether the primary answers them.
+	// UnansweredObservers is the number of those that it does not answer.
 	Observers, UnansweredObservers int
 }
 
--- a/internal/core/message/event_peer.go
+++ b/internal/core/message/event_peer.go
@@ -14,8 +14,8 @@
 }
 
 // PeerConnected reports that a link to an authenticated peer is established, no matter
-// which side dialed. The ID of a peer that was dialed by its address only becomes known
-// by this event.
+// which side dialed. The ID of a peer that was dialed without its ID becomes known by
+// this event.
 type PeerConnected struct{ Peer model.InstanceID }
 
 // PeerDisconnected reports that the link to a peer broke or could not be established.
--- a/internal/core/rank/scheduler.go
+++ b/internal/core/rank/scheduler.go
@@ -244,7 +244,7 @@
 
 func (s *Scheduler) access(name string) model.Access { return s.requestKind(name).access }
 
-// latencyTarget returns the latency latencyTarget of a rank, or 0 if it has none.
+// latencyTarget returns the latency target of a rank, or 0 if it has none.
 func (s *Scheduler) latencyTarget(r model.Rank) time.Duration {
 	if int(r) < len(s.ranks) {
 		return s.ranks[r].LatencyTarget
@@ -383,8 +383,8 @@
 func (s *Scheduler) isFree(d *database) bool { return d.rankUsage.slotsInUse() < s.perInstance(d) }
 
 // slotsOf returns the number of slots that this instance can expect for its
-// writes or its reads, as a selects: its equal share, or the mean number that it used
-// recently if that is more. Writes run on one database only, the primary.
+// writes or its reads, as a selects: its equal share, or the mean number that it
+// used recently if that is more. Writes run on one database only, the primary.
 func (s *Scheduler) slotsOf(g *group, a model.Access) float64 {
 	databases := len(g.databases)
 	if a == model.AccessWrite {
--- a/internal/node/fleet/fleet.go
+++ b/internal/node/fleet/fleet.go
@@ -78,8 +78,8 @@
 
 // Options configures a Fleet.
 type Options struct {
-	// StartID identifies this start of the instance, InstanceName the instance
-	// itself.
+	// StartID identifies this start of the instance: it differs after a restart.
+	// InstanceName identifies the instance itself and stays the same.
 	StartID, InstanceName model.InstanceID
 	Zone                  model.ZoneID
 	// PeerAddress is the address at which other instances connect;
--- a/internal/node/fleet/peers.go
+++ b/internal/node/fleet/peers.go
@@ -28,8 +28,9 @@
 	// deleted.
 	memberExpiry = 10 * time.Minute
 	// maxMembersAge is the time since the last read of the members after which
-	// this instance no longer reports to a peer that the peer is a member,
-	// since the peer's row may have been deleted.
+	// this instance no longer counts as a member without a peer's report, and
+	// no longer reports to a peer that the peer is a member: the row may have
+	// been deleted since the read.
 	maxMembersAge = 2 * time.Minute
 	// membersRefreshAge is the time since the last read of the members after
 	// which this instance reads the table itself, even if peers report newer
--- a/internal/node/fleet/peers_bulletin.go
+++ b/internal/node/fleet/peers_bulletin.go
@@ -158,7 +158,7 @@
 }
 
 // countObservers counts, in this instance's availability zone, the instances
-// that know whether a group's primary of an epoch answers, and those of them
+// that have observed whether a group's primary of an epoch answers, and those of them
 // that it has not answered for succession.SilenceThreshold. ownFailure is the
 // failure duration at this instance, negative if it is unknown. Peers whose
 // view is older than a lease do not count, since such a view confirms nothing.
@@ -302,9 +302,9 @@
 }
 
 // applyPeerView updates the view of the table of groups and the position
-// samples from the gossip of a peer. All that the peer knew when it sent the
-// gossip, it knew after this instance had sent the message whose clock is
-// echoed; the ages therefore count back from echoedAt.
+// samples from the gossip of a peer. The peer computed the ages in the gossip
+// after this instance had sent the message whose clock is echoed; the ages
+// therefore count back from echoedAt.
 func (f *Fleet) applyPeerView(from model.InstanceID, echoedAt time.Time, state message.GossipState) {
 	if state.ViewVersion > 0 {
 		view := lease.View{
--- a/internal/node/fleet/peers_link.go
+++ b/internal/node/fleet/peers_link.go
@@ -48,8 +48,7 @@
 }
 
 // linkedHeads returns the addresses of the heads (see updateLinks) to which this
-// instance keeps links. The peers
-// must be locked.
+// instance keeps links. The peers must be locked.
 func (f *Fleet) linkedHeads() []netip.AddrPort {
 	zones := map[model.ZoneID][]model.InstanceID{f.options.Zone: {f.options.InstanceName}}
 	for name, m := range f.peers.members {
