--- a/internal/node/fleet/peers_bulletin.go
+++ b/internal/node/fleet/peers_bulletin.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// gossip returns what this instance knows now, without the fields that depend
-// on the receiver.
+// gossip returns the present state of this instance, without the fields that
+// depend on the receiver.
 func (f *Fleet) gossip() message.GossipState {
 	now := clock.Now()
 	view := f.Leases.View()
@@ -119,9 +119,9 @@
 	return state
 }
 
-// cachedGroupGossip returns what this instance knows about the groups of a
-// view. Peers that ask within maxGroupGossipAge get the same content, with its
-// ages advanced; broadcast has it built again.
+// cachedGroupGossip returns the gossip about the groups of a view. Requests within
+// maxGroupGossipAge get the same content, with its ages advanced; broadcast has
+// it built again.
 func (f *Fleet) cachedGroupGossip(view lease.View, now time.Time) []message.GroupGossip {
 	f.groupGossip.mu.Lock()
 	defer f.groupGossip.mu.Unlock()
@@ -158,7 +158,7 @@
 }
 
 // countObservers counts, in this instance's availability zone, the instances
-// that know whether a group's primary of an epoch answers, and those of them
+// that have observed whether a group's primary of an epoch answers, and those of them
 // that it has not answered for succession.SilenceThreshold. ownFailure is the
 // failure duration at this instance, negative if it is unknown. Peers whose
 // view is older than a lease do not count, since such a view confirms nothing.
@@ -205,8 +205,8 @@
 }
 
 // membersHash returns a hash of the names of the members of an availability
-// zone. A peer's minimum view version covers only the members that the peer
-// knows, so it is used only if both hashes are equal. The peers must be locked.
+// zone. A peer's minimum view version covers only the members in the peer's own
+// list, so it is used only if both hashes are equal. The peers must be locked.
 func (p *peers) membersHash(self Options, zone model.ZoneID) uint64 {
 	hash := uint64(0)
 	if self.Zone == zone {
@@ -302,9 +302,9 @@
 }
 
 // applyPeerView updates the view of the table of groups and the position
-// samples from the gossip of a peer. All that the peer knew when it sent the
-// gossip, it knew after this instance had sent the message whose clock is
-// echoed; the ages therefore count back from echoedAt.
+// samples from the gossip of a peer. The peer computed the ages in the gossip
+// after this instance had sent the message whose clock is echoed; the ages
+// therefore count back from echoedAt.
 func (f *Fleet) applyPeerView(from model.InstanceID, echoedAt time.Time, state message.GossipState) {
 	if state.ViewVersion > 0 {
 		view := lease.View{
