--- a/internal/config/manifest/parse.go
+++ b/internal/config/manifest/parse.go
@@ -146,6 +146,7 @@
 			r.rankByName[rank.Name] = model.Rank(i)
 		}
 		ranks = append(ranks, rank)
+		// Only the first rank with which the sum exceeds 1 is reported.
 		if floorSum <= 1+floorTolerance && floorSum+rank.MinSlotShare > 1+floorTolerance {
 			table.Errorf("floor", "the sum of all floors must be at most 1, but it reaches %g", floorSum+rank.MinSlotShare)
 		}
@@ -212,6 +213,9 @@
 	return kind
 }
 
+// readAccess returns the access of a kind. A missing or invalid access is an error,
+// which rejects the document; the access returned then only affects which further
+// errors are reported.
 func readAccess(table *toml.Table) model.Access {
 	text, found := table.Text("access")
 	if !found {
@@ -259,9 +263,10 @@
 	return groups
 }
 
-// checkGroupSize reports an even number of databases, because it tolerates no more
-// failures than the odd number below it, and warns about a group that can't fail
-// over.
+// checkGroupSize warns about a group of fewer than minFailoverDatabases databases,
+// which can't fail over after the loss of one. In a larger group it reports an even
+// number as an error, because it tolerates no more failures than the odd number
+// below it. A group without databases is reported elsewhere, as a missing key.
 func (r *reader) checkGroupSize(table *toml.Table, size int) {
 	switch {
 	case size == 0 || size >= minFailoverDatabases && size%2 == 1:
--- a/internal/edge/backend/conn.go
+++ b/internal/edge/backend/conn.go
@@ -29,7 +29,8 @@
 	// access and template to the statement's name on the connection.
 	variables Variables
 	prepared  map[string]string
-	// nameCount counts the nameCount given to prepared statements.
+	// nameCount is the number of names given to prepared statements so far. The
+	// next name is made from it.
 	nameCount  int
 	lastUsedAt time.Time
 }
@@ -61,8 +62,10 @@
 
 // SyncVariables returns the requests that set the given variables on the
 // connection, and records them as carried out: if one of them fails, the
-// connection has to be closed. Inside a transaction the connection is not reset,
-// which is safe because a session can't remove a variable there.
+// connection has to be closed. The connection is reset first if it has other
+// variables, or if it has maxPreparedStatements prepared statements, which the
+// reset removes too. Inside a transaction the connection is not reset, which is safe
+// because a session can't remove a variable there.
 func (c *Conn) SyncVariables(variables Variables, inTransaction bool) []statement.Request {
 	var requests []statement.Request
 	if !inTransaction && (c.hasExtraVariables(variables) || len(c.prepared) >= maxPreparedStatements) {
@@ -121,6 +124,8 @@
 	}
 	raw, ok := c.net.(syscall.Conn)
 	if !ok {
+		// The receive buffer can't be examined, so nothing shows that the connection
+		// is unusable.
 		return true
 	}
 	control, err := raw.SyscallConn()
--- a/internal/edge/caller/batch.go
+++ b/internal/edge/caller/batch.go
@@ -24,8 +24,8 @@
 	queryText string
 	traits    traits
 	hint      hint
-	// queryCommand is the session command in the simple Query, or nil if it is
-	// another statement.
+	// queryCommand is the command in the simple Query that changes or shows the
+	// state of the session, or nil if the Query is another statement.
 	queryCommand *command
 	// flushRejected is true if problem was sent to the caller early, in answer
 	// to a Flush.
@@ -96,27 +96,30 @@
 // addFrame adds one message to b, and reports whether b is complete.
 func (s *session) addFrame(b *batch, frame postgres.Frame) (bool, error) {
 	switch frame.Type {
-	case 'Q':
+	case 'Q': // Query
 		if len(b.messages) > 0 {
 			return false, &ProtocolError{Detail: "a simple query among extended messages"}
 		}
 		return true, s.addQuery(b, frame)
-	case 'P', 'B', 'D', 'E', 'C':
+	case 'P', 'B', 'D', 'E', 'C': // Parse, Bind, Describe, Execute, Close
 		b.extended = true
 		return false, s.addExtendedMessage(b, frame)
-	case 'S':
+	case 'S': // Sync
 		b.extended = true
 		b.finish()
 		return true, nil
-	case 'H':
+	case 'H': // Flush
 		b.extended = true
 		return false, s.rejectFlush(b)
-	case 'F':
+	case 'F': // FunctionCall, which is not supported. It is a complete batch without a Sync.
 		b.reject(problemFunctionCall)
 		return true, nil
 	case 'd', 'c', 'f':
+		// CopyData, CopyDone and CopyFail. COPY is rejected, and PostgreSQL ignores
+		// these messages outside a COPY too: the caller may send them before it reads
+		// the error.
 		return false, nil
-	case 'X':
+	case 'X': // Terminate
 		return false, errCallerTerminated
 	}
 	return false, &ProtocolError{Detail: "unknown message type " + quoted(string(frame.Type))}
@@ -153,6 +156,9 @@
 	}
 }
 
+// addExtendedMessage adds one message up to Sync to b. A message with which b would
+// exceed MaxMessageSize is dropped and b is rejected, but the rest of the batch is
+// still read. The error is a *ProtocolError for a malformed message.
 func (s *session) addExtendedMessage(b *batch, frame postgres.Frame) error {
 	if len(b.raw)+len(frame.Raw) > s.server.options.MaxMessageSize {
 		b.reject(problemTooLarge)
@@ -226,7 +232,8 @@
 }
 
 // resolveStatement finds the statement that a message names, in this batch or
-// among those of the session.
+// among those of the session. The message is the last one of b, so that the search
+// starts at the one before it.
 func (s *session) resolveStatement(b *batch, m *extendedMessage, name []byte) {
 	m.namesStatement = true
 	for i := len(b.messages) - 2; i >= 0; i-- {
@@ -280,7 +287,8 @@
 	return to
 }
 
-// databaseProblem returns the error of a database as a problem for the caller.
+// databaseProblem returns the error of a database as a problem for the caller, or
+// problemConnectionLost if the error can't be decoded.
 func databaseProblem(frame postgres.Frame) *problem {
 	var response pgproto3.ErrorResponse
 	if response.Decode(frame.Body()) != nil {
--- a/internal/edge/caller/fault_test.go
+++ b/internal/edge/caller/fault_test.go
@@ -48,7 +48,9 @@
 }
 
 // TestStatementFaults runs one write outside a transaction against each fault
-// in the answer of a database.
+// in the answer of a database, and against two answers without a fault. SQLSTATE
+// 08007 tells the caller that the outcome of the write is unknown, and 57P03 that it
+// was not run.
 func TestStatementFaults(t *testing.T) {
 	position := model.Position{Term: 7, Offset: 100}
 	commit := model.Position{Term: 7, Offset: 101}
@@ -168,8 +170,8 @@
 	})
 	setup.db.runningStatements = "1"
 	setup.db.answerWith("INSERT slow", func(c *fakeConn) {
-		// One check sends fewer than 15 status queries, so several checks must
-		// pass.
+		// One check of the silent connection sends checkSamples status queries
+		// (package database), which is fewer than 15, so several checks must pass.
 		for range 15 {
 			<-c.db.statusQueries
 		}
--- a/internal/edge/caller/hint.go
+++ b/internal/edge/caller/hint.go
@@ -10,11 +10,14 @@
 
 // hint describes a request, as given by the caller in settings or in a comment.
 type hint struct {
-	kind     string
-	key      string
-	token    model.Token
+	kind  string
+	key   string
+	token model.Token
+	// deadline is the time that the caller allows for the request from its arrival
+	// on. Zero stands for the limit of the request kind.
 	deadline time.Duration
-	roaming  bool
+	// roaming is true for a multi-connection session; see message.SessionOpened.
+	roaming bool
 }
 
 // maxKeyLength is the maximum length of a caller-supplied idempotency key, and
@@ -107,17 +110,18 @@
 	return nil
 }
 
-// withDefaults returns h with missing values taken from the hint of the
-// session.
-func (h hint) withDefaults(session hint) hint {
+// withDefaults returns h with a missing kind, deadline or token taken from
+// defaults, the hint of the session or of the other statements of a batch. The key
+// and roaming are not taken over.
+func (h hint) withDefaults(defaults hint) hint {
 	if h.kind == "" {
-		h.kind = session.kind
+		h.kind = defaults.kind
 	}
 	if h.deadline == 0 {
-		h.deadline = session.deadline
+		h.deadline = defaults.deadline
 	}
 	if h.token.Group == "" {
-		h.token = session.token
+		h.token = defaults.token
 	}
 	return h
 }
--- a/internal/edge/group/question.go
+++ b/internal/edge/group/question.go
@@ -66,7 +66,8 @@
 
 // isSatisfiedBy reports whether status answers the request. It answers an
 // AwaitPosition if the position has been received, or if the database's term is
-// higher than the position's.
+// higher than the position's: a changed term ends the wait (see
+// message.AwaitPosition).
 func (r *request) isSatisfiedBy(status message.DatabaseStatus) bool {
 	await, found := r.action.(message.AwaitPosition)
 	if !found {
@@ -75,8 +76,8 @@
 	return !status.Received.Less(await.Position) || status.Term > await.Position.Term
 }
 
-// comparePositions orders AwaitPosition requests by their position. All other
-// requests are equal.
+// comparePositions orders AwaitPosition requests by their position. Requests of any
+// other type are equal. Both requests must be of the same type, as in a batch.
 func comparePositions(a, b *request) int {
 	first, found := a.action.(message.AwaitPosition)
 	if !found {
@@ -102,6 +103,7 @@
 
 // statementName returns the name of the called procedure, for log lines.
 func (r *request) statementName() string {
+	// The time given to statement only affects the arguments, which are cut off.
 	prefix, _, _ := strings.Cut(r.statement(r.expires), "(")
 	return strings.TrimPrefix(prefix, "CALL ")
 }
--- a/internal/edge/operator/handler.go
+++ b/internal/edge/operator/handler.go
@@ -19,7 +19,8 @@
 
 const (
 	// maxManifestSize is the maximum size of a submitted manifest, in bytes, so
-	// that it fits into one message between peers.
+	// that it fits into one message between peers, whose frames have a maximum size
+	// (maxFrame in package peer).
 	maxManifestSize = 1_000_000
 	// maxSubmitterSize is the maximum length of a submitter's name, in bytes.
 	maxSubmitterSize = 200
@@ -29,7 +30,9 @@
 
 // SubmissionResult is the response to a submission.
 type SubmissionResult struct {
-	// ManifestNumber is the number of the latest accepted manifest.
+	// ManifestNumber is the number of the latest accepted manifest. It is 0 if the
+	// submission could not be read, could not be passed on, or got no decision in
+	// time.
 	ManifestNumber uint64 `json:"number"`
 	// Outcome is "ok", "invalid", "conflict", "unavailable" or "unknown".
 	Outcome string `json:"error"`
@@ -37,7 +40,8 @@
 	Detail string `json:"detail"`
 }
 
-// detailBody is the body of other responses that carry no report.
+// detailBody is the body of responses that contain neither a report nor a
+// SubmissionResult.
 type detailBody struct {
 	Detail string `json:"detail"`
 }
--- a/internal/edge/peer/edge.go
+++ b/internal/edge/peer/edge.go
@@ -15,7 +15,9 @@
 // number and a MAC under a key of this link and direction, so that a frame that was
 // modified, replayed or omitted closes the link. Frames are encrypted only if the
 // options contain a TLS configuration; each end then also verifies the other's
-// certificate, and the MACs are bound to the TLS connection.
+// certificate, and the MACs are bound to the TLS connection. In the layouts below the
+// numbers in brackets are sizes in bytes, and length is the number of bytes that
+// follow it.
 //
 //	hello               length (4) | version (2) | msgpack {id, nonce}
 //	proof of the key    length (4) | HMAC-SHA256 (32)
@@ -102,8 +104,8 @@
 	// IdleTimeout is the time without a received frame after which a link is
 	// closed.
 	IdleTimeout time.Duration
-	// HandshakeTimeout is the maximum duration of connecting, and of the
-	// authentication that follows.
+	// HandshakeTimeout is the maximum duration of each of two steps: connecting, and
+	// the authentication that follows.
 	HandshakeTimeout time.Duration
 	// WriteTimeout is the maximum duration of a write to a link.
 	WriteTimeout time.Duration
@@ -316,7 +318,8 @@
 }
 
 // register makes l the link to its peer and closes an existing one. It returns
-// false if the existing link is kept, or if l is no longer wanted.
+// false if the existing link is kept, if l is no longer wanted, or if the
+// transport's context has ended.
 func (t *Transport) register(l *link) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -357,8 +360,9 @@
 	return true
 }
 
-// serve runs a link until it ends. It closes the link at once if another link to
-// the same peer is kept.
+// serve runs a link until it ends. It closes the link at once, with a
+// LinkReplacedError, if register rejects it: another link to the same peer is kept,
+// the link is no longer wanted, or the transport's context has ended.
 func (t *Transport) serve(l *link) {
 	defer close(l.done)
 	if !t.register(l) {
--- a/internal/edge/peer/keeper.go
+++ b/internal/edge/peer/keeper.go
@@ -152,7 +152,8 @@
 }
 
 // dialAndServe establishes a link and serves it until it ends. It returns an error
-// if no link was established.
+// if no link was established. It resets the backoff only if the link has received a
+// frame, so that a link that ends before counts like a failed attempt.
 func (t *Transport) dialAndServe(ctx context.Context, m *connectionManager) error {
 	dialer := net.Dialer{Timeout: t.options.HandshakeTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", m.target.Address.String())
@@ -193,8 +194,9 @@
 // -----------------------------------------------------------------------------
 // Authentication of accepted and dialed links.
 
-// handshake authenticates conn within the handshake timeout. It closes conn on an
-// error.
+// handshake turns conn into an authenticated link within the handshake timeout: it
+// performs the TLS handshake, if TLS is configured, and then the exchange of hellos
+// and proofs in the function handshake. It closes conn on an error.
 func (t *Transport) handshake(ctx context.Context, conn net.Conn, ownRole role, address netip.AddrPort) (*link, error) {
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
--- a/internal/edge/platform/http.go
+++ b/internal/edge/platform/http.go
@@ -76,6 +76,8 @@
 	}
 }
 
+// newTransport returns a transport for HTTP/1.1: the empty TLSNextProto turns HTTP/2
+// off.
 func newTransport(options HTTPOptions) *http.Transport {
 	return &http.Transport{
 		DialContext:            dial,
@@ -272,7 +274,8 @@
 	return &HTTPStatusError{Status: r.status, Body: string(r.body[:min(len(r.body), maxErrorBody)])}
 }
 
-// read sends a GET request and returns the response if its status is 200.
+// read sends a GET request and returns the response if its status is 200. Its errors
+// are *OutcomeError.
 func (s *HTTPService) read(ctx context.Context, path string) (httpResponse, error) {
 	response, err := s.exchange(ctx, s.readClient, http.MethodGet, path, nil)
 	if err != nil {
@@ -292,7 +295,8 @@
 
 // writeFailure returns the error of a write that was answered with an unexpected
 // status. The outcome of a server error is unknown, since a gateway may return one
-// although the platform behind it made the change.
+// although the platform behind it made the change. The outcome of an unexpected
+// success status is unknown too.
 func writeFailure(response httpResponse) error {
 	outcome := message.PlatformRefused
 	if response.status >= http.StatusInternalServerError || response.status/100 == http.StatusOK/100 {
@@ -301,7 +305,8 @@
 	return &OutcomeError{Outcome: outcome, Cause: response.statusError()}
 }
 
-// exchange sends one request and returns the complete response with any status.
+// exchange sends one request and returns the complete response with any status. Its
+// errors are *OutcomeError.
 func (s *HTTPService) exchange(
 	ctx context.Context, client *http.Client, method, path string, body []byte,
 ) (httpResponse, error) {
@@ -345,6 +350,9 @@
 	return request, nil
 }
 
+// outcomeWithoutResponse returns the outcome of a request that got no response:
+// message.PlatformUnreachable if it is certain that nothing was sent, otherwise
+// message.PlatformUnknown.
 func outcomeWithoutResponse(tracker *sendTracker) message.PlatformErr {
 	if tracker.isUnsent() {
 		return message.PlatformUnreachable
--- a/internal/edge/session/server.go
+++ b/internal/edge/session/server.go
@@ -54,9 +54,10 @@
 	// ConfirmPrimary returns the validity of a grant for an answer received at the
 	// given time. It waits until the validity is known or ctx ends.
 	ConfirmPrimary(ctx context.Context, grant lease.Grant, answered time.Time) lease.Validity
-	// IsPartitioned reports whether this instance is partitioned from a group's
-	// primary while other instances are not, so that callers should connect to
-	// another instance.
+	// IsPartitioned reports whether callers should connect to another instance: this
+	// instance has been unable to confirm a group's primary for too long, whatever
+	// the other instances can do, or the primary does not answer this instance while
+	// it answers another.
 	IsPartitioned(group model.GroupID) bool
 	// ReportSuspectedPrimary reports that a group's primary did not answer or
 	// refused a statement that a primary accepts.
@@ -105,9 +106,11 @@
 	phaseIdleInTransaction
 )
 
-// record is the current phase of a session and the time at which it began.
+// record is the current phase of a session.
 type record struct {
 	phase phase
+	// since is the time at which the wait for a request began. It is zero in
+	// phaseServing.
 	since time.Time
 	// endRequested is set when the server has interrupted the wait for a request
 	// in order to end the session.
@@ -160,6 +163,8 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
+		// The name and the version are empty, because a connection that was not
+		// accepted has sent no startup message.
 		s.logEvent(event.NameRefused, event.F("name", ""), event.F("why", err.Error()), event.F("version", 0))
 		time.Sleep(acceptRetryDelay)
 	}
@@ -223,7 +228,7 @@
 	for {
 		limit := ses.server.options.Router.IdleTransactionTimeout()
 		isLimited := limit > 0 && ses.transaction != nil && !ses.transaction.failed
-		if !ses.server.record(ses, limit, isLimited) {
+		if !ses.server.startWaiting(ses, limit, isLimited) {
 			return false
 		}
 		err := ses.codec.AwaitRequest()
@@ -249,10 +254,10 @@
 	ses.server.mu.Unlock()
 }
 
-// record records that a session starts to wait for a request, and sets the deadline
-// of the wait. It returns false if the session has to end because the server is
-// draining.
-func (s *Server) record(ses *session, limit time.Duration, isLimited bool) bool {
+// startWaiting records that a session starts to wait for a request, and sets the
+// deadline of the wait: after limit if isLimited is true, otherwise none. It returns
+// false if the session has to end because the server is draining.
+func (s *Server) startWaiting(ses *session, limit time.Duration, isLimited bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining && ses.transaction == nil {
@@ -316,7 +321,8 @@
 	}
 }
 
-// SessionCount returns the number of sessions.
+// SessionCount returns the number of sessions. A session counts from its first wait
+// for a request on; connections that have not completed startup do not count.
 func (s *Server) SessionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/edge/session/single.go
+++ b/internal/edge/session/single.go
@@ -14,8 +14,8 @@
 	// maxAttempts bounds the attempts for one statement.
 	maxAttempts = 5
 	// firstAttemptShare is the part of a read's remaining time after which its first
-	// attempt times out and another database is tried. An answer may be lost, and
-	// the slowest statements take less than this.
+	// attempt times out and another database is tried, because the answer may have
+	// been lost. Even the slowest statements take less than this part of their time.
 	firstAttemptShare = 0.35
 	// retryDelay is the delay before a statement is sent again that needs the
 	// primary and was not executed.
@@ -84,6 +84,8 @@
 		s.endAttempt(att, false)
 		return s.concludeLost(req, att, isWrite, err)
 	}
+	// The connection is closed if the database does not have a prepared statement
+	// that the connection should have.
 	reusable := reply.TransactionState == statement.TransactionStateIdle && (reply.Failure == nil || reply.Failure.Code != statement.CodePreparedStatementNotFound)
 	s.endAttempt(att, reusable)
 	if reply.Failure != nil {
@@ -107,7 +109,9 @@
 		&statement.FailureError{Code: statement.CodeOutcomeUnknown, Message: "the answer of the database was lost"}, statement.TransactionStateIdle)}
 }
 
-// concludeFailure concludes an attempt that the database answered with a failure.
+// concludeFailure concludes an attempt that the database answered with a failure. A
+// statement that was not executed is sent again, and so is a read that was executed
+// and failed, since a read changes nothing.
 func (s *session) concludeFailure(req *pendingRequest, att *attempt, reply *backend.Reply, isWrite bool) conclusion {
 	if reply.Failure.Code.GuaranteesNotExecuted() || !isWrite && reply.Failure.Code == statement.CodeExecutionFailed {
 		return conclusion{retry: true, reason: reply.Failure}
@@ -116,8 +120,9 @@
 }
 
 // concludeSuccess concludes an attempt that the database answered with success. The
-// answer is valid if the request carried a minimum position, or if the database is
-// confirmed as the primary of that time.
+// answer to a read with a minimum position is valid as it is. Any other answer,
+// including that to a write with a minimum position, is valid if the database is
+// confirmed to have been the primary when it answered.
 func (s *session) concludeSuccess(req *pendingRequest, att *attempt, reply *backend.Reply, isWrite bool) conclusion {
 	answer := statement.Answer{Rows: reply.Rows, Signature: reply.Signature, TransactionState: statement.TransactionStateIdle}
 	if !isWrite && !att.reservation.MinPosition.IsZero() {
--- a/internal/report/eventlog/writer.go
+++ b/internal/report/eventlog/writer.go
@@ -4,12 +4,13 @@
 //
 // Events of the catalogue flow in, with their fields. Log lines flow out
 // through logr, each with the event's number and name, and the expvar map
-// "events" counts every event by its number, whether or not its line was
-// written.
+// "events" counts every event that flows in by its number, whether or not its line
+// was written.
 //
 // Frequent occurrences of one event must not hide the others or slow the process,
-// so each event has a limit of lines per second. One line (lines-left-out) in the
-// next second reports how many lines were omitted.
+// so each event has a limit of lines per second. One line (lines-left-out), which is
+// not counted as an event, reports how many lines were omitted. It is written when the
+// event next occurs after that second, or at the next Flush after it.
 //
 // # Usage
 //
@@ -88,7 +89,8 @@
 
 // NewWriterWithLimits returns a writer that allows each event below LevelWarn
 // routineLimit lines per second and each other event limit. With a lower
-// routineLimit, the lines that report problems are omitted last.
+// routineLimit, events that report problems may write more lines per second than
+// routine events before lines are omitted.
 func NewWriterWithLimits(log logr.Logger, routineLimit, limit int) *Writer {
 	return &Writer{
 		handler:      logr.ToSlogHandler(log),
--- a/internal/standin/database/session.go
+++ b/internal/standin/database/session.go
@@ -32,8 +32,8 @@
 	prepared          map[string]preparedStatement
 	portals           map[string]*portal
 	// pendingResult is the result whose rows have been sent but whose CommandComplete
-	// is delayed until it is known whether the statement ends the implicit transaction,
-	// and thus whether it commits.
+	// is delayed until it is known whether the statement ends the implicit transaction.
+	// If it does, the commit and its position come before the CommandComplete.
 	pendingResult *result
 	// skipUntilSync tells that messages are ignored up to the next Sync, because an
 	// extended query failed.
@@ -105,6 +105,8 @@
 		s.completeResult(true)
 		return s.sendReady()
 	case *pgproto3.Flush:
+		// A Flush requests the CommandComplete, so the statement counts as the last
+		// one: the implicit transaction is committed.
 		s.completeResult(true)
 		return s.backend.Flush() == nil
 	case *pgproto3.Terminate:
@@ -353,7 +355,8 @@
 }
 
 // completeResult sends the end of the pending result. If isLast is true, it
-// first commits the implicit transaction.
+// first commits the implicit transaction. If there was a commit, its position is
+// sent to the client before the CommandComplete.
 func (s *session) completeResult(isLast bool) {
 	committed, err := s.commitImplicit(isLast)
 	if err != nil {
--- a/internal/standin/database/stream.go
+++ b/internal/standin/database/stream.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	// heartbeatInterval is the time between heartbeats on a stream.
+	// heartbeatInterval is the time between heartbeats on a stream. A heartbeat is an
+	// empty batch.
 	heartbeatInterval = 100 * time.Millisecond
 	// streamTimeout is the time without a frame after which a stream counts as broken.
 	streamTimeout = 500 * time.Millisecond
-	// followRetry is the time between attempts to connect to the primary.
-	followRetry = 50 * time.Millisecond
+	// followRetryInterval is the time between attempts to connect to the primary.
+	followRetryInterval = 50 * time.Millisecond
 )
 
 // -----------------------------------------------------------------------------
@@ -86,7 +87,9 @@
 // -----------------------------------------------------------------------------
 // Replica side.
 
-// follow pulls the log from the current source until the context ends.
+// follow pulls the log from the current source until the context ends. The channel
+// sourceChanged also identifies the source: the node has a new channel after each
+// change, so that it ignores a stream that was started with an older one.
 func (d *Database) follow(ctx context.Context) error {
 	for ctx.Err() == nil {
 		source, sourceChanged := d.node.currentSource()
@@ -99,7 +102,7 @@
 		}
 		d.pull(ctx, source, sourceChanged)
 		d.node.endStream(sourceChanged)
-		task.Sleep(ctx, followRetry)
+		task.Sleep(ctx, followRetryInterval)
 	}
 	return nil
 }
--- a/internal/standin/drill/experiment_failover.go
+++ b/internal/standin/drill/experiment_failover.go
@@ -102,7 +102,8 @@
 }
 
 // saveLogs writes the instances' log lines to files if a write failed or its outcome is
-// unknown, so that the cause can be found.
+// unknown, so that the cause can be found. The files are named after the instances, so
+// that each such run overwrites those of an earlier one.
 func (f *Failover) saveLogs(d *deploy.Deployment, report load.Report) {
 	post := report.Kinds["post"]
 	if f.Logs == "" || post.Unknown+post.Failed == 0 {
--- a/internal/standin/load/check.go
+++ b/internal/standin/load/check.go
@@ -23,10 +23,10 @@
 	run     *run
 	index   int
 	session *session
-	// keyCount is the number of the current key, writeCount the number of writes,
+	// keyNumber is the number of the current key, writeCount the number of writes,
 	// which is also the value written last.
-	keyCount, writeCount int
-	report               CheckReport
+	keyNumber, writeCount int
+	report                CheckReport
 }
 
 // CheckReport counts the results of the read-your-writes checks.
@@ -55,7 +55,7 @@
 		acknowledged := c.write(ctx, addressIndex, isNewKey)
 		if !acknowledged {
 			// It is unknown whether the write took effect, so later checks use a new key.
-			c.keyCount++
+			c.keyNumber++
 			c.report.Skipped++
 		} else {
 			c.read(ctx, addressIndex+1)
@@ -67,7 +67,7 @@
 
 // currentKey returns the key that the checker uses at present.
 func (c *checker) currentKey() string {
-	return fmt.Sprintf("%s-%d-%d", c.run.entryPrefix, c.index, c.keyCount)
+	return fmt.Sprintf("%s-%d-%d", c.run.entryPrefix, c.index, c.keyNumber)
 }
 
 // write writes the next value to the current key, by an INSERT if isNewKey is set, and
--- a/internal/standin/proof/stage_test.go
+++ b/internal/standin/proof/stage_test.go
@@ -91,6 +91,7 @@
 		if condition() {
 			return nil
 		}
+		// The condition need not concern a process; the type only provides the text.
 		return &deploy.ProcessError{Name: what, Reason: "does not hold yet"}
 	})
 	if err != nil {
@@ -256,7 +257,8 @@
 }
 
 // awaitPromotion waits until each running instance reports a primary other than the first
-// database, and returns it.
+// database. It returns the primary that the last of these instances reports; it does not
+// check that all of them report the same one.
 func (s *scenario) awaitPromotion() *deploy.Database {
 	s.Helper()
 	var name string
