--- a/internal/edge/caller/batch.go
+++ b/internal/edge/caller/batch.go
@@ -111,7 +111,8 @@
 	case 'H': // Flush
 		b.extended = true
 		return false, s.rejectFlush(b)
-	case 'F': // FunctionCall, which is not supported. It is a complete batch without a Sync.
+	case 'F':
+		// FunctionCall, which is not supported. No Sync follows it.
 		b.reject(problemFunctionCall)
 		return true, nil
 	case 'd', 'c', 'f':
--- a/internal/edge/caller/hint.go
+++ b/internal/edge/caller/hint.go
@@ -14,7 +14,7 @@
 	key   string
 	token model.Token
 	// deadline is the time that the caller allows for the request from its arrival
-	// on. Zero stands for the limit of the request kind.
+	// on. Zero, or more than the limit of the request kind, stands for that limit.
 	deadline time.Duration
 	// roaming is true for a multi-connection session; see message.SessionOpened.
 	roaming bool
--- a/internal/edge/session/server.go
+++ b/internal/edge/session/server.go
@@ -163,7 +163,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		// The name and the version are empty, because a connection that was not
+		// The name is empty and the version 0, because a connection that was not
 		// accepted has sent no startup message.
 		s.logEvent(event.NameRefused, event.F("name", ""), event.F("why", err.Error()), event.F("version", 0))
 		time.Sleep(acceptRetryDelay)
--- a/internal/standin/database/session.go
+++ b/internal/standin/database/session.go
@@ -105,8 +105,8 @@
 		s.completeResult(true)
 		return s.sendReady()
 	case *pgproto3.Flush:
-		// A Flush requests the CommandComplete, so the statement counts as the last
-		// one: the implicit transaction is committed.
+		// The pending result is completed at once, so its statement counts as the
+		// last one of the implicit transaction, which is committed before the Sync.
 		s.completeResult(true)
 		return s.backend.Flush() == nil
 	case *pgproto3.Terminate:
