--- a/internal/core/engine/constants.go
+++ b/internal/core/engine/constants.go
@@ -84,9 +84,9 @@
 	// heartbeatInterval is the time between heartbeats to one peer while there are
 	// few links.
 	heartbeatInterval = 500 * time.Millisecond
-	// heartbeatLinkThreshold is the number of links by which heartbeatInterval is
-	// lengthened by its own length once more, so that the total rate of heartbeats
-	// stays bounded.
+	// heartbeatLinkThreshold bounds the total rate of heartbeats: the time between
+	// heartbeats to one peer is heartbeatInterval for each full
+	// heartbeatLinkThreshold links, and at least one heartbeatInterval.
 	heartbeatLinkThreshold = 8
 	// maxMissedHeartbeats is the number of heartbeat intervals for which an
 	// instance counts as alive after its last heartbeat.
--- a/internal/core/engine/fake_database_test.go
+++ b/internal/core/engine/fake_database_test.go
@@ -10,13 +10,15 @@
 
 const streamCheckInterval = 100 * time.Millisecond
 
+// entry is one entry of a database's log. A replica shows it to reads from appliedAt
+// on.
 type entry struct {
 	position model.Position
 	key      string
 	value    string
 	// neverCommitted marks a key that was resolved as not committed.
 	neverCommitted bool
-	applied        time.Time
+	appliedAt      time.Time
 }
 
 // fakeDatabase is one database of the group. Its content is its log.
@@ -85,7 +87,7 @@
 		return d.log
 	}
 	shown := len(d.log)
-	for shown > 0 && d.log[shown-1].applied.After(d.world.now) {
+	for shown > 0 && d.log[shown-1].appliedAt.After(d.world.now) {
 		shown--
 	}
 	return d.log[:shown]
@@ -111,13 +113,14 @@
 }
 
 // commit appends an entry and replicates it. It returns false if the key is already
-// in the log.
+// in the log, unless the key is empty. With neverCommitted, the entry records that
+// the key was resolved as not committed.
 func (d *fakeDatabase) commit(key, value string, neverCommitted bool) (model.Position, bool) {
 	if _, found := d.findKey(key); found && key != "" {
 		return model.Position{}, false
 	}
 	position := model.Position{Term: d.term, Offset: uint64(len(d.log) + 1)}
-	d.log = append(d.log, entry{position: position, key: key, value: value, neverCommitted: neverCommitted, applied: d.world.now})
+	d.log = append(d.log, entry{position: position, key: key, value: value, neverCommitted: neverCommitted, appliedAt: d.world.now})
 	d.replicate()
 	return position, true
 }
@@ -153,13 +156,14 @@
 	}
 	for len(d.log) < len(d.source.log) {
 		e := d.source.log[len(d.log)]
-		e.applied = d.world.now.Add(d.lag)
+		e.appliedAt = d.world.now.Add(d.lag)
 		d.log = append(d.log, e)
 	}
 }
 
-// checkStream updates streaming with a delay of one check interval after a stream
-// is lost or restored.
+// checkStream checks the stream once per streamCheckInterval. streaming becomes false
+// at the first check that finds the stream lost, and true at the second one in a row
+// that finds it up.
 func (d *fakeDatabase) checkStream() {
 	up := d.isStreamUp()
 	d.world.after(streamCheckInterval, func() {
@@ -190,6 +194,8 @@
 	}
 	if d.role != model.RolePrimary {
 		d.role = model.RolePrimary
+		// This is the first entry of the new term. It belongs to no request, so its
+		// key is empty.
 		d.commit("", "term", false)
 	}
 	return message.ControlOK
@@ -220,25 +226,27 @@
 	var correlationID uint64
 	var timeout time.Duration
 	var answer func(reply func(message.ControlErr))
-	now := func(run func() message.ControlErr) func(func(message.ControlErr)) {
+	replyWith := func(run func() message.ControlErr) func(func(message.ControlErr)) {
 		return func(reply func(message.ControlErr)) { reply(run()) }
 	}
 	switch a := action.(type) {
 	case message.Probe:
 		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
-		answer = now(func() message.ControlErr { return message.ControlOK })
+		answer = replyWith(func() message.ControlErr { return message.ControlOK })
 	case message.AwaitPosition:
+		// The database responds after a.Timeout at the latest. The rest is for the
+		// messages to it and back.
 		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout+100*time.Millisecond
 		answer = func(reply func(message.ControlErr)) { d.await(a, w.now.Add(a.Timeout), reply) }
 	case message.Fence:
 		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
-		answer = now(func() message.ControlErr { return d.fence(a.Term, a.Nonce) })
+		answer = replyWith(func() message.ControlErr { return d.fence(a.Term, a.Nonce) })
 	case message.Promote:
 		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
-		answer = now(func() message.ControlErr { return d.promote(a.Term, a.Nonce) })
+		answer = replyWith(func() message.ControlErr { return d.promote(a.Term, a.Nonce) })
 	case message.Follow:
 		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
-		answer = now(func() message.ControlErr { return d.follow(a.Term, w.database(a.Source)) })
+		answer = replyWith(func() message.ControlErr { return d.follow(a.Term, w.database(a.Source)) })
 	case message.ResolveInDoubt:
 		n.resolveInDoubt(a)
 		return
--- a/internal/core/engine/steward_claim.go
+++ b/internal/core/engine/steward_claim.go
@@ -6,7 +6,7 @@
 )
 
 // -----------------------------------------------------------------------------
-// The row: read and claim.
+// The group's row in groupTable: read and claim.
 
 // requestGroupRow requests the group's row.
 func (e *Engine) requestGroupRow(g *group) {
@@ -14,7 +14,9 @@
 	e.emit(message.ReadRow{CorrelationID: g.failover.correlationID, Table: groupTable, Key: string(g.name), Timeout: rowTimeout})
 }
 
-// handleGroupRow continues the failover after the row was read.
+// handleGroupRow continues after the row was read. With resumeStep failoverIdle no
+// failover is running: checkGroupRow has read the row to backfill the record. With
+// failoverClaim the row was read for a claim.
 func (e *Engine) handleGroupRow(g *group, read message.RowsRead) {
 	st := &g.failover
 	st.correlationID = 0
@@ -74,8 +76,10 @@
 	}
 }
 
-// claimOrYield claims the next term, unless another instance's claim is recent or
-// another instance has completed the failover meanwhile.
+// claimOrYield claims the next term, or yields if the primary is no longer
+// suspected. While another instance's claim is recent, or another instance has
+// completed the failover meanwhile, it does neither: the row is read again after
+// retryPause, until it has not changed for claimExpiry.
 func (e *Engine) claimOrYield(g *group) {
 	st := &g.failover
 	if st.suspectedAt.IsZero() {
@@ -141,6 +145,9 @@
 		st.step = failoverReadRow
 	case message.PlatformConflict:
 		st.resumeStep = st.step
+		// A claim is decided anew by the row. The row with the record is written
+		// again only if resolveUncertainWrite finds this instance's nonce in it, so
+		// that another instance's row is not overwritten.
 		st.writeUncertain = st.step == failoverRecord
 		st.step = failoverReadRow
 	case message.PlatformUnreachable, message.PlatformRefused, message.PlatformNotFound:
@@ -149,7 +156,9 @@
 	}
 }
 
-// delayStep delays the next attempt of a step and logs each new reason once.
+// delayStep delays the next attempt of a step and logs the reason if it differs from
+// the one last logged. Nothing is logged if the row was read for a backfill only,
+// since no failover waits then.
 func (e *Engine) delayStep(g *group, reason string) {
 	st := &g.failover
 	st.notBefore = e.now.Add(e.jitter(retryPause))
--- a/internal/core/engine/system_member.go
+++ b/internal/core/engine/system_member.go
@@ -41,7 +41,7 @@
 	e.emit(message.SendPeer{To: peer, Body: e.newHeartbeat()})
 }
 
-// handlePeerMessage passes a peer's message to the system that it concerns.
+// handlePeerMessage passes a peer's message to the function that handles its type.
 func (e *Engine) handlePeerMessage(received message.PeerMessageReceived) {
 	switch body := received.Body.(type) {
 	case message.Heartbeat:
@@ -59,7 +59,9 @@
 	}
 }
 
-// handleHeartbeat records that an instance is alive.
+// handleHeartbeat records that an instance is alive and what it says about itself.
+// It adds the peers that the heartbeat lists, and requests the instance's manifest
+// if that has a higher number.
 func (e *Engine) handleHeartbeat(from model.InstanceID, heartbeat message.Heartbeat) {
 	entry := e.instances.get(from)
 	if !entry.alive {
@@ -96,7 +98,8 @@
 }
 
 // handleGroupUpdate handles a peer's message that it has promoted a database. The
-// message is a hint only, so the databases are probed at once.
+// promotion record is added to the logbook. For the state of the databases the
+// message is a hint only, so they are probed at once.
 func (e *Engine) handleGroupUpdate(news message.GroupUpdate) {
 	g, found := e.groupsByName[news.Group]
 	if !found {
@@ -121,7 +124,8 @@
 	e.reportLeaving(d, "peer")
 }
 
-// broadcast sends a message to all live instances.
+// broadcast sends a message to all live instances. The peer transport drops it for
+// instances to which there is no link.
 func (e *Engine) broadcast(body message.PeerMessage) {
 	for _, entry := range e.instances.sorted() {
 		if entry.alive {
@@ -131,7 +135,7 @@
 }
 
 // -----------------------------------------------------------------------------
-// The membership system.
+// The member system: one of the systems that the package comment lists.
 
 // runMember sends heartbeats, detects instances that have stopped, reads the
 // platform's list of instances and updates the set of links.
@@ -147,10 +151,11 @@
 
 // currentHeartbeatInterval returns the time between heartbeats to one peer. It
 // grows with the number of links, so that the traffic of one instance stays
-// bounded.
+// bounded. The number of known instances, live or not, up to maxLinks stands for
+// the number of links.
 func (e *Engine) currentHeartbeatInterval() time.Duration {
-	links := len(e.instances.byID)
-	return heartbeatInterval * time.Duration(max(1, min(links, maxLinks)/heartbeatLinkThreshold))
+	knownInstances := len(e.instances.byID)
+	return heartbeatInterval * time.Duration(max(1, min(knownInstances, maxLinks)/heartbeatLinkThreshold))
 }
 
 // expireInstances marks instances as gone that have not sent a heartbeat for
@@ -211,7 +216,8 @@
 }
 
 // publishPeers sends the links to keep to the peer transport and the live instances
-// to the scheduler.
+// to the scheduler. The list of databases is published as well, since this
+// instance's share of their connections depends on the number of instances.
 func (e *Engine) publishPeers() {
 	targets := e.linkTargets()
 	e.emit(message.SetPeers{Peers: targets})
@@ -223,9 +229,9 @@
 	}
 }
 
-// linkTargets returns the links to keep: the seed addresses at which no known
-// instance is reachable, and at most maxLinks instances, chosen by rendezvous
-// hashing so that the choice is stable.
+// linkTargets returns the links to keep: at most maxLinks known instances, chosen by
+// rendezvous hashing so that the choice is stable, and the seed addresses except
+// this instance's own and those of the chosen instances.
 func (e *Engine) linkTargets() []message.PeerTarget {
 	candidates := slices.Clone(e.instances.sorted())
 	sort.SliceStable(candidates, func(i, j int) bool {
--- a/internal/core/placement/belief.go
+++ b/internal/core/placement/belief.go
@@ -17,9 +17,9 @@
 	// maxUnreachableBackoff.
 	initialUnreachableBackoff = 150 * time.Millisecond
 	maxUnreachableBackoff     = time.Second
-	// connectionLimitBackoff is the time for which no connection is opened to a
-	// database that has rejected one for its connection limit: about as long as a
-	// statement holds a connection.
+	// connectionLimitBackoff is the time for which no more than
+	// observedConnectionLimit connections are used to a database that has rejected
+	// one for its connection limit: about as long as a statement holds a connection.
 	connectionLimitBackoff = 100 * time.Millisecond
 	// unresponsiveAfter is the time after which a database with statements in flight
 	// and no answer gets no new statements. Statements of the slowest kind take less.
@@ -29,7 +29,9 @@
 	// so that the answer arrives before the primary counts as unresponsive.
 	suspectAfter = 250 * time.Millisecond
 	// maxAnswerAge is how long an answer shows that an idle primary is healthy: more
-	// than the interval between two probes by an observer.
+	// than the interval between two probes by an observer, an instance that probes
+	// idle primaries. The caller of PrimariesToProbe sets that interval by
+	// idleThreshold.
 	maxAnswerAge = 2500 * time.Millisecond
 	// lagReduction is the fraction by which the lag estimate of a replica falls with
 	// each answer that was fresh enough. lagDecayTime is the age at which the
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -17,8 +17,8 @@
 	// have in flight beyond that.
 	extraUrgentStatements = 1
 	// crossZoneCost is added to the cost of a database in another availability zone:
-	// half the time of a typical statement, since traffic between zones costs money
-	// as well.
+	// half the time of a typical statement, since the bytes between zones have a cost
+	// besides the latency.
 	crossZoneCost = 12 * time.Millisecond
 	// primaryCostFactor multiplies the cost of the primary for reads that a replica
 	// can serve, since only the primary's slots can serve writes.
@@ -57,9 +57,10 @@
 	}
 }
 
-// chooseReader returns the database with the lowest cost for a read, without those
-// that the requirements exclude, or nil if there is none. If hasSample is false,
-// only the primary may serve the read.
+// chooseReader returns the database with the lowest cost for a read, or nil if there
+// is none. Databases that are leaving, unresponsive, without capacity or excluded by
+// the requirements are passed over, and so are replicas that by the lag estimate have
+// not reached minPosition. If hasSample is false, only the primary may serve the read.
 func (s *Scheduler) chooseReader(
 	now time.Time, g *group, requirements *Requirements, grant lease.Grant, hasGrant bool,
 	minPosition model.Position, minPositionAsOf time.Time, hasSample bool,
@@ -105,7 +106,8 @@
 	}
 	limit := (db.Slots+s.instances-1)/s.instances + extraStatements
 	if db.HasScarceConnections {
-		// Each further statement in flight would need a further connection.
+		// Each further statement in flight would need a further connection. Only the
+		// most urgent rank gets one, by extraUrgentStatements.
 		limit = 1
 	}
 	if rank == 0 {
--- a/internal/core/rank/group.go
+++ b/internal/core/rank/group.go
@@ -12,12 +12,14 @@
 // Bounds on the effort of one AssignSlots, so that its cost does not grow with
 // the number of waiting requests.
 const (
-	// checksPerPick bounds the requests of one rank whose candidates turn out
-	// to have changed when a slot is assigned; after that, the next rank has
-	// its turn.
-	checksPerPick = 8
-	// rechecksPerAssign bounds the waiting requests of one rank whose
-	// candidates are looked up again.
+	// checksPerAttempt bounds the requests that assignFromRank takes from one rank
+	// to assign a slot: each whose candidates turn out to have changed counts.
+	// After that, the next rank has its turn.
+	checksPerAttempt = 8
+	// rechecksPerAssign bounds the waiting requests of one rank whose candidates
+	// one assignGroup looks up again. AssignSlots calls assignGroup twice for a
+	// group of which this instance is the arbiter, so the bound is twice as high
+	// there.
 	rechecksPerAssign = 16
 )
 
@@ -48,7 +50,9 @@
 type database struct {
 	id    model.DatabaseID
 	group *group
-	bit   uint64
+	// bit is the bit of the database in sets of databases of its group, such as
+	// item.mask.
+	bit uint64
 	// rankUsage and meter account for this instance's use of the database;
 	// fleetUsage and fleetMeter account for the leases of all instances while
 	// this instance is the arbiter.
@@ -70,9 +74,13 @@
 type queue struct {
 	rank            model.Rank
 	candidateQueues []*candidateQueue
-	unclassified    []*item
-	recheck         []*item
-	callers         map[model.CallerID]*caller
+	// unclassified holds the items that are in no candidate queue yet. recheck
+	// holds the others in the order in which classify looks up their candidates
+	// again: it takes them from the front and puts those that still wait at the
+	// end.
+	unclassified []*item
+	recheck      []*item
+	callers      map[model.CallerID]*caller
 	// pruneAt is the number of callers at which the next prune takes place.
 	pruneAt int
 	usage   usage
@@ -202,8 +210,8 @@
 
 // classify puts unclassified items into their candidate queues, and looks up
 // the candidates of a bounded number of other waiting items again.
-// alreadyRechecked is the number of items that this AssignSlots has looked up
-// before.
+// alreadyRechecked is the maximum number of items that this AssignSlots has looked
+// up again before; so many at the end of recheck are not looked up once more.
 func (g *group) classify(q *queue, candidates Candidates, alreadyRechecked int) {
 	rechecks := min(rechecksPerAssign, max(0, len(q.recheck)-alreadyRechecked))
 	for _, it := range q.unclassified {
@@ -241,8 +249,8 @@
 // Assignment of slots.
 
 // assignGroup assigns slots to the waiting requests of a group until no further
-// one can start. alreadyRechecked is the number of items of each rank whose
-// candidates this AssignSlots has looked up again before.
+// one can start. alreadyRechecked is the maximum number of items of each rank
+// whose candidates this AssignSlots has looked up again before.
 func (s *Scheduler) assignGroup(now time.Time, g *group, candidates Candidates, alreadyRechecked int) {
 	waiting := 0
 	for _, q := range g.queues {
@@ -283,7 +291,7 @@
 	if q.waiting == 0 || !d.group.leasing.leaseHolder.allows(s, now, d, q.rank) {
 		return false
 	}
-	for range checksPerPick {
+	for range checksPerAttempt {
 		it := s.nextItem(now, q, d)
 		if it == nil {
 			return false
@@ -329,13 +337,13 @@
 // firstOfClass returns the next item of a class that the database with this bit
 // may serve, or nil.
 func (g *group) firstOfClass(now time.Time, q *queue, bit uint64, c class) *item {
-	total := q.usage.amountAt(now)
+	recentRankUsage := q.usage.amountAt(now)
 	var best *item
 	for _, cq := range q.candidateQueues {
 		if cq.class != c || len(cq.callerQueues) == 0 || g.usableMask(now, cq.mask)&bit == 0 {
 			continue
 		}
-		next := cq.next(now, total)
+		next := cq.next(now, recentRankUsage)
 		if next != nil && (best == nil || next.before(best)) {
 			best = next
 		}
@@ -344,7 +352,7 @@
 }
 
 // preferredDatabase returns the first candidate on which a request of the rank
-// may start. Candidates with an open circuit are passed over, except d, on
+// may start. Candidates whose circuit is not closed are passed over, except d, on
 // which the request may start.
 func (s *Scheduler) preferredDatabase(now time.Time, d *database, r model.Rank, candidates []model.DatabaseID) *database {
 	for _, id := range candidates {
@@ -363,7 +371,8 @@
 }
 
 // start marks a waiting item as running on d and adds the assignment. The item
-// becomes the probe of d if the circuit is open and a probe is due.
+// becomes the probe of d if the circuit of d is not closed, no probe is running
+// and one is due.
 func (s *Scheduler) start(now time.Time, q *queue, it *item, d *database) {
 	s.removeItem(q, it)
 	it.started = now
--- a/internal/core/rank/lease_holder.go
+++ b/internal/core/rank/lease_holder.go
@@ -13,7 +13,9 @@
 // Time constants of leasing.
 const (
 	// minRequestInterval is the minimum time between two lease requests that
-	// are sent because the demand changed.
+	// are sent because the demand changed. It does not apply if a rank demands
+	// slots that did not in the last request, or if the instance is its own
+	// arbiter.
 	minRequestInterval = 2 * time.Millisecond
 	// leaseDuration is how long a lease is valid after a grant that lists it.
 	leaseDuration = 200 * time.Millisecond
@@ -68,8 +70,11 @@
 	database   *database
 	rank       model.Rank
 	validUntil time.Time
-	recall     bool
-	item       *item
+	// recalled is set once the arbiter has recalled the lease: no further request
+	// starts under it.
+	recalled bool
+	// item is the running request that uses the lease, or nil.
+	item *item
 }
 
 // setArbiter switches to another arbiter.
@@ -85,7 +90,7 @@
 // on d, or nil.
 func (h *leaseHolder) idleLease(now time.Time, d *database, r model.Rank) *heldLease {
 	for _, l := range h.leases {
-		if l.database == d && l.rank == r && l.item == nil && !l.recall && now.Before(l.validUntil) {
+		if l.database == d && l.rank == r && l.item == nil && !l.recalled && now.Before(l.validUntil) {
 			return l
 		}
 	}
@@ -108,9 +113,10 @@
 	return d.meter.allows(now, s.equalShare(d), d.rankUsage.slotsInUse())
 }
 
-// staggerEqualShares gives each instance a different initial debt, so that
-// instances that lose the arbiter at the same time do not all start requests at
-// once.
+// staggerEqualShares sets this instance's meters for the databases of g to a debt, a
+// negative credit, that depends on the instance's index among the known instances.
+// The debts of the instances differ, so that instances that lose the arbiter at
+// the same time do not all start requests at once.
 func (s *Scheduler) staggerEqualShares(now time.Time, g *group) {
 	index, _ := slices.BinarySearch(s.peers.known, s.self)
 	debt := defaultCost.Seconds() * float64(index) / float64(max(1, len(s.peers.known)))
@@ -162,7 +168,7 @@
 		h.acceptLease(s, now.Add(grant.ValidFor), lease)
 	}
 	for _, l := range h.leases {
-		l.recall = l.recall || !listed[l.leaseID]
+		l.recalled = l.recalled || !listed[l.leaseID]
 	}
 }
 
@@ -174,7 +180,7 @@
 	}
 	for _, l := range h.leases {
 		if l.leaseID == lease.ID {
-			l.validUntil, l.recall = validUntil, lease.Recalled
+			l.validUntil, l.recalled = validUntil, lease.Recalled
 			return
 		}
 	}
@@ -183,7 +189,7 @@
 		return
 	}
 	h.leases = append(h.leases, &heldLease{
-		leaseID: lease.ID, database: d, rank: lease.Rank, validUntil: validUntil, recall: lease.Recalled,
+		leaseID: lease.ID, database: d, rank: lease.Rank, validUntil: validUntil, recalled: lease.Recalled,
 	})
 }
 
@@ -204,7 +210,8 @@
 
 // leaseRequest returns the request to the arbiter, and whether it is due. It is
 // called after slots were assigned, so that no waiting request can use a lease
-// that is still idle.
+// that is still idle: such leases are returned. If the request is due and the
+// arbiter is unresponsive, this is logged.
 func (h *leaseHolder) leaseRequest(s *Scheduler, now time.Time, g *group) (message.LeaseRequest, bool) {
 	h.returnIdleLeases()
 	slotDemands := g.slotDemands(now)
@@ -248,7 +255,8 @@
 
 // demandDigest returns a digest that changes if the demand changes in a way
 // that matters to the arbiter. Deadlines are rounded to deadlineStep, and
-// waiting requests count up to twice the slots.
+// waiting requests count up to twice slots, the slots of one database. Of a
+// demand's databases, only the first and their number are included.
 func demandDigest(now time.Time, demands []message.SlotDemand, slots int) uint64 {
 	const deadlineStep = 10 * time.Millisecond
 	hash := uint64(len(demands))
--- a/internal/core/statement/statement.go
+++ b/internal/core/statement/statement.go
@@ -114,7 +114,8 @@
 type Answer struct {
 	// Rows are forwarded unchanged.
 	Rows []string
-	// Signature is the database's receipt. It is empty for an answer of the proxy
+	// Signature is the receipt that the database sends with a successful answer. It
+	// is forwarded to the caller unchanged, and empty for an answer of the proxy
 	// itself.
 	Signature string
 	// Failure is nil on success.
@@ -144,7 +145,9 @@
 // Code classifies a failure by what it guarantees about the statement.
 type Code int
 
-// The values of Code. The first group guarantees that no write was kept.
+// The values of Code. The first group guarantees that no write was kept. The second
+// group rejects a name that does not exist, or a statement that is not valid. In the
+// third group, the statement ran or may have run.
 const (
 	// CodeBusy: the statement did not run, since the database had no free slot.
 	CodeBusy Code = iota
@@ -186,7 +189,8 @@
 }
 
 // GuaranteesNotExecuted reports whether the code guarantees that the statement did not
-// run.
+// run; sessions then retry it. It returns false for CodeMalformed and
+// CodeGroupNotFound although nothing ran: these are sent to the caller at once.
 func (c Code) GuaranteesNotExecuted() bool {
 	return c <= CodeConnectionLimit && c != CodeAborted || c == CodePreparedStatementNotFound
 }
--- a/internal/node/fleet/directory_peer.go
+++ b/internal/node/fleet/directory_peer.go
@@ -10,9 +10,10 @@
 )
 
 // applyConfirmation records when a peer knew its configuration and its list of
-// databases to be the newest, if this instance has the same versions. The ages
-// in the gossip count back from echoedAt, the time at which this instance had
-// sent the message that the peer echoes.
+// databases to be the newest, if this instance has the same versions. echoedAt is
+// the time, by this instance's clock, at which it sent the message that the peer
+// echoes. The peer computed the ages in the gossip after that, so counting them back
+// from echoedAt gives times that are not too late.
 func (f *Fleet) applyConfirmation(echoedAt time.Time, state message.GossipState) {
 	if state.ConfigurationVersion == f.ConfigurationVersion() {
 		f.confirmConfiguration(echoedAt.Add(-state.ConfigurationAge))
@@ -42,7 +43,8 @@
 }
 
 // applyDatabasesOffer applies a peer's list of databases if it is newer than
-// this instance's.
+// this instance's. source is the sender. It becomes the Table of the rows, which log
+// events name as their origin.
 func (f *Fleet) applyDatabasesOffer(offer message.DatabasesOffer, source string) {
 	if offer.Version <= f.databasesVersion() {
 		return
@@ -64,12 +66,13 @@
 	now := clock.Now()
 	d := &f.directory
 	d.mu.Lock()
-	configurationVersion, listed := d.configuration.Version, d.listed
+	configurationVersion, databasesVersion := d.configuration.Version, d.listed
 	needsConfiguration := state.ConfigurationVersion > configurationVersion &&
 		d.configurationRequest.recordIfDue(state.ConfigurationVersion, now)
-	// All versions of the list share one request interval: each database
-	// changes the list when it starts.
-	needsDatabases := state.DatabasesVersion > listed && d.databasesRequest.recordIfDue(0, now)
+	// Version 0 makes recordIfDue treat all versions of the list as one, so that a
+	// newer version does not cause another request within peerRetryInterval: each
+	// database changes the list when it starts.
+	needsDatabases := state.DatabasesVersion > databasesVersion && d.databasesRequest.recordIfDue(0, now)
 	d.mu.Unlock()
 	if needsConfiguration {
 		f.peers.links.HandleAction(message.SendPeer{
@@ -80,7 +83,7 @@
 	if needsDatabases {
 		f.peers.links.HandleAction(message.SendPeer{
 			To:   peer,
-			Body: message.DatabasesRequest{NewerThan: listed},
+			Body: message.DatabasesRequest{NewerThan: databasesVersion},
 		})
 	}
 }
--- a/internal/node/fleet/survey.go
+++ b/internal/node/fleet/survey.go
@@ -39,13 +39,13 @@
 	rounds map[model.GroupID]*round
 	// confirmed holds when a round last confirmed each group's primary.
 	confirmed map[model.GroupID]time.Time
-	// pending holds the requests to peers that wait for a response, by the
-	// clock that was sent.
+	// pending holds the requests to peers that wait for a response. The key is
+	// the request's SenderClock, which the response repeats.
 	pending map[time.Duration]chan message.PrimarySurveyResponse
 }
 
-// round is one query of the status of all databases of a group, shared by all
-// goroutines that wait for it.
+// round is one survey of a group, by this instance or by a peer for it, shared by
+// all goroutines that wait for it.
 type round struct {
 	startedAt time.Time
 	done      chan struct{}
@@ -125,7 +125,8 @@
 }
 
 // runRound runs a round. The round does not end with the request that started
-// it, since others wait for it as well.
+// it, since others wait for it as well. If this instance is not a member or its
+// view is older than maxSurveyViewAge, the round confirms nothing and ends at once.
 func (f *Fleet) runRound(ctx context.Context, name model.GroupID, r *round) {
 	ctx = context.WithoutCancel(ctx)
 	view := f.Leases.View()
@@ -139,6 +140,7 @@
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	databases := f.databasesOf(name)
+	// The empty ID excludes no database.
 	statuses := f.queryAllStatus(ctx, name, "")
 	r.primary, r.confirmed = solePrimary(statuses, len(databases))
 	f.logEvent(event.GroupSurveyed, event.F("group", name), event.F("databases", len(databases)),
@@ -148,8 +150,9 @@
 }
 
 // requestPeerSurvey requests a survey of a group from the first instance of
-// this availability zone, unless that is this instance. The result is valid for
-// all answers of the primary that were received before the request.
+// this availability zone, unless that is this instance. The peer starts the survey
+// after it has received the request. The survey therefore confirms the primary for
+// all of its answers that this instance had received before it sent the request.
 func (f *Fleet) requestPeerSurvey(
 	ctx context.Context, name model.GroupID,
 ) (message.PrimarySurveyResponse, bool) {
@@ -210,8 +213,9 @@
 	}()
 }
 
-// solePrimary returns the only primary among the responses, and false unless
-// all databases have responded and are in one term.
+// solePrimary returns the only primary among the responses. It returns false
+// unless all databases have responded, are in one term and exactly one of them is
+// primary; the database is then one of several primaries, or empty.
 func solePrimary(statuses []databaseStatus, total int) (model.DatabaseID, bool) {
 	if len(statuses) == 0 || len(statuses) != total {
 		return "", false
--- a/internal/node/fleet/watch.go
+++ b/internal/node/fleet/watch.go
@@ -14,25 +14,27 @@
 
 const (
 	// readTimeout bounds a read of the store: a read on a connection that has
-	// become unresponsive must end and be repeated well within the time limit
-	// for new configurations. After each timeout the limit of the next read of
-	// that table doubles, up to maxReadTimeout: a large configuration takes
-	// that long on a slow link.
+	// become unresponsive must end and be repeated well within the time in
+	// which a new configuration has to reach all instances. (That time is a
+	// requirement on the fleet; there is no constant for it.) After each timeout
+	// the limit of the next read of that table doubles, up to maxReadTimeout: a
+	// large configuration takes that long on a slow link.
 	readTimeout    = 700 * time.Millisecond
 	maxReadTimeout = 4 * readTimeout
 	// watchWait is how long the store holds a watch without a change: an
-	// unresponsive watch must be detected within the time limit for new
-	// configurations.
+	// unresponsive watch must be detected within the same time.
 	watchWait = 1600 * time.Millisecond
 	// fallbackReadAge is the time since the last confirmation by peers after
 	// which an instance that does not watch the store reads the table itself:
-	// the duration of a watch and of the gossip that follows it.
+	// the duration of a watch, the interval until the next gossip, and the time
+	// of that gossip on its way.
 	fallbackReadAge = watchWait + gossipInterval + 100*time.Millisecond
-	// fallbackCheckInterval is the time between two checks of that age,
-	// fallbackRetryPause the minimum pause after a failed call of such an
-	// instance: the first instance reports when the store is back.
+	// fallbackCheckInterval is the time between two checks of that age.
 	fallbackCheckInterval = 100 * time.Millisecond
-	fallbackRetryPause    = 1500 * time.Millisecond
+	// fallbackRetryPause is the minimum pause after a failed call of such an
+	// instance. It may exceed maxBackoff, since the first instance reports when
+	// the store is back.
+	fallbackRetryPause = 1500 * time.Millisecond
 	// writeTimeout bounds a write to the store.
 	writeTimeout = time.Second
 	// initialBackoff and maxBackoff bound the pause after a failed call.
@@ -49,8 +51,8 @@
 }
 
 // watchTable follows a table until ctx ends: apply gets all rows first, with
-// readAll set, and then those that change. Only the first instance watches the
-// store. The others receive the changes from it, and read the table when their
+// readAll set, and then those that change. Only the first instance (see first)
+// watches the store. The others receive the changes from it, and read the table when their
 // content has not been confirmed for fallbackReadAge.
 func (f *Fleet) watchTable(
 	ctx context.Context, table string, confirmedAt func() time.Time,
@@ -131,7 +133,8 @@
 	return rows, err
 }
 
-// readTimeouts holds the time limits of the next reads of the tables.
+// readTimeouts holds the time limit of the next read of each table, by the table's
+// name. The limit of a table that is not in it is readTimeout.
 type readTimeouts struct {
 	mu       sync.Mutex
 	timeouts map[string]time.Duration
--- a/internal/node/fleet/world_test.go
+++ b/internal/node/fleet/world_test.go
@@ -202,7 +202,8 @@
 	fleets map[model.InstanceID]*Fleet
 	order  []model.InstanceID
 	// offerDelay is the delay of a configuration on its way to the second
-	// instance; for each further instance it grows by as much.
+	// instance. To the third it takes twice as long, and so on; to the first
+	// there is no delay.
 	offerDelay time.Duration
 	// partitioned holds the instances that neither receive nor send messages.
 	partitioned map[model.InstanceID]bool
@@ -259,12 +260,13 @@
 	h.partitioned[id] = isPartitioned
 }
 
-// idleSessions implements Sessions without any session.
+// idleSessions implements Sessions for tests without sessions: there is none to
+// close.
 type idleSessions struct{}
 
 func (idleSessions) CloseIdleSessions() {}
 
-// testFleets is several fleets with one store.
+// testFleets is the Fleet of each instance of one fleet, with their common store.
 type testFleets struct {
 	store  *memoryStore
 	hub    *hub
