--- a/internal/core/engine/fake_database_test.go
+++ b/internal/core/engine/fake_database_test.go
@@ -234,8 +234,8 @@
 		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
 		answer = replyWith(func() message.ControlErr { return message.ControlOK })
 	case message.AwaitPosition:
-		// The database responds after a.Timeout at the latest. The rest is for the
-		// messages to it and back.
+		// The database responds at the latest a.Timeout after the request arrives.
+		// The rest is for the messages to it and back.
 		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout+100*time.Millisecond
 		answer = func(reply func(message.ControlErr)) { d.await(a, w.now.Add(a.Timeout), reply) }
 	case message.Fence:
--- a/internal/core/engine/steward_claim.go
+++ b/internal/core/engine/steward_claim.go
@@ -77,9 +77,9 @@
 }
 
 // claimOrYield claims the next term, or yields if the primary is no longer
-// suspected. While another instance's claim is recent, or another instance has
-// completed the failover meanwhile, it does neither: the row is read again after
-// retryPause, until it has not changed for claimExpiry.
+// suspected. If another instance has claimed a term or completed the failover, it
+// does neither until the row has been unchanged for claimExpiry: the row is read
+// again after retryPause.
 func (e *Engine) claimOrYield(g *group) {
 	st := &g.failover
 	if st.suspectedAt.IsZero() {
--- a/internal/core/engine/system_member.go
+++ b/internal/core/engine/system_member.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// handleHeartbeat records that an instance is alive and what it says about itself.
-// It adds the peers that the heartbeat lists, and requests the instance's manifest
-// if that has a higher number.
+// handleHeartbeat records that an instance is alive and the state that its heartbeat
+// reports. It adds the peers that the heartbeat lists, and requests the instance's
+// manifest if that has a higher number than this instance's.
 func (e *Engine) handleHeartbeat(from model.InstanceID, heartbeat message.Heartbeat) {
 	entry := e.instances.get(from)
 	if !entry.alive {
--- a/internal/core/placement/belief.go
+++ b/internal/core/placement/belief.go
@@ -30,8 +30,8 @@
 	suspectAfter = 250 * time.Millisecond
 	// maxAnswerAge is how long an answer shows that an idle primary is healthy: more
 	// than the interval between two probes by an observer, an instance that probes
-	// idle primaries. The caller of PrimariesToProbe sets that interval by
-	// idleThreshold.
+	// idle primaries. The argument idleThreshold of PrimariesToProbe determines that
+	// interval.
 	maxAnswerAge = 2500 * time.Millisecond
 	// lagReduction is the fraction by which the lag estimate of a replica falls with
 	// each answer that was fresh enough. lagDecayTime is the age at which the
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -59,8 +59,9 @@
 
 // chooseReader returns the database with the lowest cost for a read, or nil if there
 // is none. Databases that are leaving, unresponsive, without capacity or excluded by
-// the requirements are passed over, and so are replicas that by the lag estimate have
-// not reached minPosition. If hasSample is false, only the primary may serve the read.
+// the requirements are passed over, and so are replicas that have probably not reached
+// minPosition (see hasProbablyReached). If hasSample is false, only the primary may
+// serve the read.
 func (s *Scheduler) chooseReader(
 	now time.Time, g *group, requirements *Requirements, grant lease.Grant, hasGrant bool,
 	minPosition model.Position, minPositionAsOf time.Time, hasSample bool,
--- a/internal/core/rank/lease_holder.go
+++ b/internal/core/rank/lease_holder.go
@@ -70,8 +70,8 @@
 	database   *database
 	rank       model.Rank
 	validUntil time.Time
-	// recalled is set once the arbiter has recalled the lease: no further request
-	// starts under it.
+	// recalled is set once the arbiter has recalled the lease or lists it no longer:
+	// no further request starts under it.
 	recalled bool
 	// item is the running request that uses the lease, or nil.
 	item *item
--- a/internal/core/statement/statement.go
+++ b/internal/core/statement/statement.go
@@ -189,7 +189,7 @@
 }
 
 // GuaranteesNotExecuted reports whether the code guarantees that the statement did not
-// run; sessions then retry it. It returns false for CodeMalformed and
+// run; sessions may then retry it. It returns false for CodeMalformed and
 // CodeGroupNotFound although nothing ran: these are sent to the caller at once.
 func (c Code) GuaranteesNotExecuted() bool {
 	return c <= CodeConnectionLimit && c != CodeAborted || c == CodePreparedStatementNotFound
--- a/internal/node/fleet/survey.go
+++ b/internal/node/fleet/survey.go
@@ -213,9 +213,9 @@
 	}()
 }
 
-// solePrimary returns the only primary among the responses. It returns false
-// unless all databases have responded, are in one term and exactly one of them is
-// primary; the database is then one of several primaries, or empty.
+// solePrimary returns the only primary among the responses, and whether there is
+// one: all databases have responded, are in one term, and exactly one of them is
+// primary. If not, the returned ID is empty or that of one of several primaries.
 func solePrimary(statuses []databaseStatus, total int) (model.DatabaseID, bool) {
 	if len(statuses) == 0 || len(statuses) != total {
 		return "", false
--- a/internal/node/fleet/watch.go
+++ b/internal/node/fleet/watch.go
@@ -52,8 +52,8 @@
 
 // watchTable follows a table until ctx ends: apply gets all rows first, with
 // readAll set, and then those that change. Only the first instance (see first)
-// watches the store. The others receive the changes from it, and read the table when their
-// content has not been confirmed for fallbackReadAge.
+// watches the store. The others receive the changes from it, and read the table
+// when their content has not been confirmed for fallbackReadAge.
 func (f *Fleet) watchTable(
 	ctx context.Context, table string, confirmedAt func() time.Time,
 	apply func(rows store.Rows, readAll bool),
