--- a/internal/core/engine/fake_database_test.go
+++ b/internal/core/engine/fake_database_test.go
@@ -178,7 +178,7 @@
 // -----------------------------------------------------------------------------
 // Control requests.
 
-func (d *fakeDatabase) fence(term model.Term, nonce model.Nonce) message.ControlErr {
+func (d *fakeDatabase) fence(term model.Term, nonce model.Nonce) message.ControlResult {
 	if term < d.term || term == d.term && nonce != d.nonce {
 		return message.ControlConflict
 	}
@@ -188,7 +188,7 @@
 	return message.ControlOK
 }
 
-func (d *fakeDatabase) promote(term model.Term, nonce model.Nonce) message.ControlErr {
+func (d *fakeDatabase) promote(term model.Term, nonce model.Nonce) message.ControlResult {
 	if term != d.term || nonce != d.nonce {
 		return message.ControlConflict
 	}
@@ -201,7 +201,7 @@
 	return message.ControlOK
 }
 
-func (d *fakeDatabase) follow(term model.Term, source *fakeDatabase) message.ControlErr {
+func (d *fakeDatabase) follow(term model.Term, source *fakeDatabase) message.ControlResult {
 	if term < d.term {
 		return message.ControlConflict
 	}
@@ -225,49 +225,49 @@
 	var name model.DatabaseID
 	var correlationID uint64
 	var timeout time.Duration
-	var answer func(reply func(message.ControlErr))
-	replyWith := func(run func() message.ControlErr) func(func(message.ControlErr)) {
-		return func(reply func(message.ControlErr)) { reply(run()) }
+	var answer func(reply func(message.ControlResult))
+	replyWith := func(run func() message.ControlResult) func(func(message.ControlResult)) {
+		return func(reply func(message.ControlResult)) { reply(run()) }
 	}
 	switch a := action.(type) {
 	case message.Probe:
 		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
-		answer = replyWith(func() message.ControlErr { return message.ControlOK })
+		answer = replyWith(func() message.ControlResult { return message.ControlOK })
 	case message.AwaitPosition:
 		// The database responds at the latest a.Timeout after the request arrives.
 		// The rest is for the messages to it and back.
 		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout+100*time.Millisecond
-		answer = func(reply func(message.ControlErr)) { d.await(a, w.now.Add(a.Timeout), reply) }
+		answer = func(reply func(message.ControlResult)) { d.await(a, w.now.Add(a.Timeout), reply) }
 	case message.Fence:
 		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
-		answer = replyWith(func() message.ControlErr { return d.fence(a.Term, a.Nonce) })
+		answer = replyWith(func() message.ControlResult { return d.fence(a.Term, a.Nonce) })
 	case message.Promote:
 		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
-		answer = replyWith(func() message.ControlErr { return d.promote(a.Term, a.Nonce) })
+		answer = replyWith(func() message.ControlResult { return d.promote(a.Term, a.Nonce) })
 	case message.Follow:
 		d, name, correlationID, timeout = w.database(a.Database), a.Database, a.CorrelationID, a.Timeout
-		answer = replyWith(func() message.ControlErr { return d.follow(a.Term, w.database(a.Source)) })
+		answer = replyWith(func() message.ControlResult { return d.follow(a.Term, w.database(a.Source)) })
 	case message.ResolveInDoubt:
 		n.resolveInDoubt(a)
 		return
 	}
 	done := false
-	finish := func(status message.DatabaseStatus, err message.ControlErr) {
+	finish := func(status message.DatabaseStatus, err message.ControlResult) {
 		if !done {
 			done = true
-			n.deliverEvent(message.ControlAnswered{Database: name, CorrelationID: correlationID, SentAt: sentAt, Status: status, Err: err})
+			n.deliverEvent(message.ControlAnswered{Database: name, CorrelationID: correlationID, SentAt: sentAt, Status: status, Result: err})
 		}
 	}
 	n.exchange(d, timeout, func(back func(func())) {
-		answer(func(err message.ControlErr) {
+		answer(func(err message.ControlResult) {
 			status := d.status()
 			back(func() { finish(status, err) })
 		})
-	}, func(err message.ControlErr) { finish(message.DatabaseStatus{}, err) })
+	}, func(err message.ControlResult) { finish(message.DatabaseStatus{}, err) })
 }
 
 // exchange delivers a control request to a database and its response back.
-func (n *node) exchange(d *fakeDatabase, timeout time.Duration, request func(back func(func())), onFailure func(message.ControlErr)) {
+func (n *node) exchange(d *fakeDatabase, timeout time.Duration, request func(back func(func())), onFailure func(message.ControlResult)) {
 	w := n.world
 	w.after(timeout, func() { onFailure(message.ControlTimeout) })
 	if d == nil {
@@ -293,7 +293,7 @@
 	})
 }
 
-func (d *fakeDatabase) await(a message.AwaitPosition, deadline time.Time, reply func(message.ControlErr)) {
+func (d *fakeDatabase) await(a message.AwaitPosition, deadline time.Time, reply func(message.ControlResult)) {
 	if !d.received().Less(a.Position) || d.term > a.Position.Term || !d.world.now.Before(deadline) {
 		reply(message.ControlOK)
 		return
@@ -314,12 +314,12 @@
 	n.exchange(d, a.Timeout, func(back func(func())) {
 		resolved := message.InDoubtResolved{}
 		if d.role != model.RolePrimary || d.term != a.Term {
-			resolved.Err = message.ControlConflict
+			resolved.Result = message.ControlConflict
 		} else if e, found := d.findKey(a.IdempotencyKey); found {
 			resolved.Committed, resolved.Position = !e.neverCommitted, e.position
 		} else {
 			resolved.Position, _ = d.commit(a.IdempotencyKey, "", true)
 		}
 		back(func() { finish(resolved) })
-	}, func(err message.ControlErr) { finish(message.InDoubtResolved{Err: err}) })
+	}, func(err message.ControlResult) { finish(message.InDoubtResolved{Result: err}) })
 }
--- a/internal/core/engine/fake_platform_test.go
+++ b/internal/core/engine/fake_platform_test.go
@@ -32,7 +32,7 @@
 	return row
 }
 
-func (p *fakePlatform) write(rows []message.Row) ([]message.Row, message.PlatformErr) {
+func (p *fakePlatform) write(rows []message.Row) ([]message.Row, message.PlatformResult) {
 	var existingRows []message.Row
 	conflict := false
 	for _, row := range rows {
@@ -71,50 +71,50 @@
 			if row, found := p.rows[a.Table+"/"+a.Key]; found {
 				return message.RowsRead{CorrelationID: a.CorrelationID, Rows: []message.Row{row}}
 			}
-			return message.RowsRead{CorrelationID: a.CorrelationID, Err: message.PlatformNotFound}
-		}, func(err message.PlatformErr) message.Event {
-			return message.RowsRead{CorrelationID: a.CorrelationID, Err: err}
+			return message.RowsRead{CorrelationID: a.CorrelationID, Result: message.PlatformNotFound}
+		}, func(err message.PlatformResult) message.Event {
+			return message.RowsRead{CorrelationID: a.CorrelationID, Result: err}
 		})
 	case message.ScanRows:
 		n.requestPlatform(a.Timeout, false, func() message.Event {
 			return message.RowsRead{CorrelationID: a.CorrelationID, Rows: p.scan(a.Table, a.Prefix)}
-		}, func(err message.PlatformErr) message.Event {
-			return message.RowsRead{CorrelationID: a.CorrelationID, Err: err}
+		}, func(err message.PlatformResult) message.Event {
+			return message.RowsRead{CorrelationID: a.CorrelationID, Result: err}
 		})
 	case message.WriteRows:
 		n.requestPlatform(a.Timeout, true, func() message.Event {
 			rows, err := p.write(a.Rows)
-			return message.RowsWritten{CorrelationID: a.CorrelationID, Rows: rows, Err: err}
-		}, func(err message.PlatformErr) message.Event {
-			return message.RowsWritten{CorrelationID: a.CorrelationID, Err: err}
+			return message.RowsWritten{CorrelationID: a.CorrelationID, Rows: rows, Result: err}
+		}, func(err message.PlatformResult) message.Event {
+			return message.RowsWritten{CorrelationID: a.CorrelationID, Result: err}
 		})
 	case message.ReadObject:
 		n.requestPlatform(a.Timeout, false, func() message.Event {
 			body, found := p.objects[a.Name]
 			if !found {
-				return message.ObjectRead{CorrelationID: a.CorrelationID, Err: message.PlatformNotFound}
+				return message.ObjectRead{CorrelationID: a.CorrelationID, Result: message.PlatformNotFound}
 			}
 			return message.ObjectRead{CorrelationID: a.CorrelationID, Name: a.Name, Body: body}
-		}, func(err message.PlatformErr) message.Event {
-			return message.ObjectRead{CorrelationID: a.CorrelationID, Err: err}
+		}, func(err message.PlatformResult) message.Event {
+			return message.ObjectRead{CorrelationID: a.CorrelationID, Result: err}
 		})
 	case message.WriteObject:
 		n.requestPlatform(a.Timeout, false, func() message.Event {
 			p.objects[a.Name] = a.Body
 			return message.ObjectWritten{CorrelationID: a.CorrelationID, Name: a.Name}
-		}, func(err message.PlatformErr) message.Event {
-			return message.ObjectWritten{CorrelationID: a.CorrelationID, Err: err}
+		}, func(err message.PlatformResult) message.Event {
+			return message.ObjectWritten{CorrelationID: a.CorrelationID, Result: err}
 		})
 	case message.ListInstances:
 		n.requestPlatform(a.Timeout, false, func() message.Event { return message.InstancesListed{CorrelationID: a.CorrelationID} },
-			func(err message.PlatformErr) message.Event {
-				return message.InstancesListed{CorrelationID: a.CorrelationID, Err: err}
+			func(err message.PlatformResult) message.Event {
+				return message.InstancesListed{CorrelationID: a.CorrelationID, Result: err}
 			})
 	}
 }
 
 // requestPlatform delivers a request to the platform and its response back.
-func (n *node) requestPlatform(timeout time.Duration, isWrite bool, serve func() message.Event, fail func(message.PlatformErr) message.Event) {
+func (n *node) requestPlatform(timeout time.Duration, isWrite bool, serve func() message.Event, fail func(message.PlatformResult) message.Event) {
 	w := n.world
 	if w.platform.down || !w.isConnected(n.name, "platform") {
 		w.after(w.messageDelay(), func() { n.deliverEvent(fail(message.PlatformUnreachable)) })
--- a/internal/core/engine/matrix_test.go
+++ b/internal/core/engine/matrix_test.go
@@ -267,7 +267,7 @@
 func (w *world) submitCell(n *node) string {
 	cell := string(resultConnectionLost)
 	if decided, found := n.decided[1]; found {
-		cell = decided.Err.String()
+		cell = decided.Result.String()
 	}
 	var numbers []string
 	for _, other := range w.nodes {
--- a/internal/core/engine/steward_claim.go
+++ b/internal/core/engine/steward_claim.go
@@ -20,8 +20,8 @@
 func (e *Engine) handleGroupRow(g *group, read message.RowsRead) {
 	st := &g.failover
 	st.correlationID = 0
-	if read.Err != message.PlatformOK && read.Err != message.PlatformNotFound {
-		e.delayStep(g, "the platform does not answer: "+read.Err.String())
+	if read.Result != message.PlatformOK && read.Result != message.PlatformNotFound {
+		e.delayStep(g, "the platform does not answer: "+read.Result.String())
 		e.stopIfUnneeded(g)
 		return
 	}
@@ -128,7 +128,7 @@
 func (e *Engine) handleGroupWrite(g *group, written message.RowsWritten) {
 	st := &g.failover
 	st.correlationID = 0
-	switch written.Err {
+	switch written.Result {
 	case message.PlatformOK:
 		st.rowVersion = written.Rows[0].Version
 		st.row = st.claim
@@ -151,7 +151,7 @@
 		st.writeUncertain = st.step == failoverRecord
 		st.step = failoverReadRow
 	case message.PlatformUnreachable, message.PlatformRefused, message.PlatformNotFound:
-		e.delayStep(g, "the platform does not accept the row: "+written.Err.String())
+		e.delayStep(g, "the platform does not accept the row: "+written.Result.String())
 		e.stopIfUnneeded(g)
 	}
 }
--- a/internal/core/engine/steward_promote.go
+++ b/internal/core/engine/steward_promote.go
@@ -78,11 +78,11 @@
 	if st.step != failoverFence {
 		return
 	}
-	if answered.Err == message.ControlConflict {
+	if answered.Result == message.ControlConflict {
 		e.yieldFailover(g, fmt.Sprintf("%s is in a later term", d.name))
 		return
 	}
-	if answered.Err != message.ControlOK || answered.Status.Term != st.claim.Term {
+	if answered.Result != message.ControlOK || answered.Status.Term != st.claim.Term {
 		return
 	}
 	st.fenced[d.name] = answered.Status
@@ -159,9 +159,9 @@
 func (e *Engine) handlePromoted(g *group, d *database, answered message.ControlAnswered) {
 	st := &g.failover
 	switch {
-	case answered.Err == message.ControlOK && answered.Status.Role == model.RolePrimary:
+	case answered.Result == message.ControlOK && answered.Status.Role == model.RolePrimary:
 		e.recordPromotion(g, d, answered.Status)
-	case answered.Err == message.ControlConflict || answered.Err == message.ControlRefused:
+	case answered.Result == message.ControlConflict || answered.Result == message.ControlRefused:
 		e.yieldFailover(g, fmt.Sprintf("%s is in a later term", d.name))
 	case e.now.Sub(st.claimedAt) > claimExpiry:
 		st.step = failoverReadRow
--- a/internal/core/engine/system_manifest.go
+++ b/internal/core/engine/system_manifest.go
@@ -33,7 +33,7 @@
 func (e *Engine) handleManifestRow(read message.RowsRead) {
 	s := &e.manifests
 	s.rowReadID = 0
-	if read.Err != message.PlatformOK || len(read.Rows) == 0 {
+	if read.Result != message.PlatformOK || len(read.Rows) == 0 {
 		return
 	}
 	row := decodeManifestRow(read.Rows[0].Body)
@@ -55,7 +55,7 @@
 func (e *Engine) handleManifestObject(read message.ObjectRead) {
 	s := &e.manifests
 	s.objectReadID = 0
-	if read.Err != message.PlatformOK {
+	if read.Result != message.PlatformOK {
 		s.nextRead = e.now.Add(e.jitter(initialManifestInterval))
 		return
 	}
--- a/internal/core/engine/system_member.go
+++ b/internal/core/engine/system_member.go
@@ -195,7 +195,7 @@
 // supplies addresses of instances to contact.
 func (e *Engine) handleInstanceList(listed message.InstancesListed) {
 	e.instances.listRequestID = 0
-	if listed.Err != message.PlatformOK {
+	if listed.Result != message.PlatformOK {
 		return
 	}
 	for _, entry := range e.instances.byID {
--- a/internal/core/engine/system_platform.go
+++ b/internal/core/engine/system_platform.go
@@ -97,7 +97,7 @@
 // handleLogbookRead stores the records that the platform has returned.
 func (e *Engine) handleLogbookRead(g *group, read message.RowsRead) {
 	g.logbookReadID = 0
-	if read.Err != message.PlatformOK {
+	if read.Result != message.PlatformOK {
 		return
 	}
 	for _, row := range read.Rows {
--- a/internal/core/engine/system_settle.go
+++ b/internal/core/engine/system_settle.go
@@ -62,7 +62,7 @@
 	}
 	delete(e.requests.byResolveID, resolved.CorrelationID)
 	r.resolveID = 0
-	if resolved.Err != message.ControlOK || r.term != r.group.term {
+	if resolved.Result != message.ControlOK || r.term != r.group.term {
 		r.resolveAt = e.now.Add(e.jitter(retryPause))
 		e.probeGroup(r.group)
 		return
--- a/internal/core/engine/system_submit.go
+++ b/internal/core/engine/system_submit.go
@@ -114,7 +114,7 @@
 // harmless.
 func (e *Engine) handleObjectStored(sub *submission, written message.ObjectWritten) {
 	sub.retryAfter(e.now, 0)
-	if written.Err != message.PlatformOK {
+	if written.Result != message.PlatformOK {
 		sub.nextAttempt = e.now.Add(e.jitter(retryPause))
 		return
 	}
@@ -126,7 +126,7 @@
 // reviewed against and writes the new row. After a lost response it checks whether
 // the row holds this submission's nonce.
 func (e *Engine) handleSubmissionRow(sub *submission, read message.RowsRead) {
-	if read.Err != message.PlatformOK && read.Err != message.PlatformNotFound {
+	if read.Result != message.PlatformOK && read.Result != message.PlatformNotFound {
 		sub.retryAfter(e.now, e.jitter(retryPause))
 		return
 	}
@@ -169,7 +169,7 @@
 // handleSubmissionWrite ends a submission whose row is written, or reads the row
 // again to find out whether it is.
 func (e *Engine) handleSubmissionWrite(sub *submission, written message.RowsWritten) {
-	switch written.Err {
+	switch written.Result {
 	case message.PlatformOK:
 		e.acceptSubmission(sub)
 	case message.PlatformUnknown:
@@ -195,10 +195,10 @@
 }
 
 // finishSubmission removes a submission and sends its result to the submitter.
-func (e *Engine) finishSubmission(sub *submission, err message.SubmitErr, number uint64, detail string) {
-	if err != message.SubmitOK {
+func (e *Engine) finishSubmission(sub *submission, result message.SubmitResult, number uint64, detail string) {
+	if result != message.SubmitOK {
 		e.logEvent(event.ManifestDeclined,
-			event.F("expected", sub.expectedNumber), event.F("number", number), event.F("why", err.String()), event.F("detail", detail))
+			event.F("expected", sub.expectedNumber), event.F("number", number), event.F("why", result.String()), event.F("detail", detail))
 	}
 	remaining := e.manifests.submissions[:0]
 	for _, other := range e.manifests.submissions {
@@ -207,7 +207,7 @@
 		}
 	}
 	e.manifests.submissions = remaining
-	e.emit(message.ManifestDecided{CorrelationID: sub.correlationID, Number: number, Err: err, Detail: detail})
+	e.emit(message.ManifestDecided{CorrelationID: sub.correlationID, Number: number, Result: result, Detail: detail})
 }
 
 // decodeManifestRow decodes a row's body. It returns the zero row if that fails.
--- a/internal/core/engine/system_watch.go
+++ b/internal/core/engine/system_watch.go
@@ -27,7 +27,7 @@
 	} else if !e.handleFailoverAnswer(d, answered) && d.pendingProbes > 0 {
 		d.pendingProbes--
 	}
-	if answered.Err != message.ControlOK && answered.Err != message.ControlConflict {
+	if answered.Result != message.ControlOK && answered.Result != message.ControlConflict {
 		e.recordFailure(d, answered)
 		return
 	}
@@ -43,7 +43,7 @@
 		d.failingSince = e.now
 		e.logEvent(event.DatabaseUnreachable,
 			event.F("group", d.group.name), event.F("database", d.name),
-			event.F("error", answered.Err.String()), event.F("silent", e.now.Sub(d.answeredAt).String()))
+			event.F("error", answered.Result.String()), event.F("silent", e.now.Sub(d.answeredAt).String()))
 	}
 }
 
--- a/internal/core/message/event_database.go
+++ b/internal/core/message/event_database.go
@@ -39,9 +39,9 @@
 	// SentAt is when the request was sent, on this instance's clock.
 	SentAt time.Time
 	// Status is the database's status after the request took effect. It is valid if
-	// Err is ControlOK or ControlConflict.
+	// Result is ControlOK or ControlConflict.
 	Status DatabaseStatus
-	Err    ControlErr
+	Result ControlResult
 }
 
 // InDoubtResolved carries the response to ResolveInDoubt.
@@ -54,16 +54,16 @@
 	// final only once Position is durable.
 	Committed bool
 	Position  model.Position
-	Err       ControlErr
+	Result    ControlResult
 }
 
-// ControlErr is the result of a control request.
-type ControlErr int
+// ControlResult is the result of a control request.
+type ControlResult int
 
-// The values of ControlErr.
+// The values of ControlResult.
 const (
 	// ControlOK: the request was answered.
-	ControlOK ControlErr = iota
+	ControlOK ControlResult = iota
 	// ControlUnreachable: there was no connection, or it broke.
 	ControlUnreachable
 	// ControlTimeout: no response arrived in time.
@@ -74,9 +74,9 @@
 	ControlRefused
 )
 
-// String returns the name of e for log lines.
-func (e ControlErr) String() string {
-	return [...]string{"ok", "unreachable", "timeout", "conflict", "refused"}[e]
+// String returns the name of r for log lines.
+func (r ControlResult) String() string {
+	return [...]string{"ok", "unreachable", "timeout", "conflict", "refused"}[r]
 }
 
 func (ControlAnswered) isEvent() {}
--- a/internal/core/message/event_operator.go
+++ b/internal/core/message/event_operator.go
@@ -52,18 +52,18 @@
 	CorrelationID uint64
 	// Number is the number of the manifest that is accepted now.
 	Number uint64
-	Err    SubmitErr
+	Result SubmitResult
 	// Detail explains the error. In a conflict it gives both numbers.
 	Detail string
 }
 
-// SubmitErr is the result of a submission.
-type SubmitErr int
+// SubmitResult is the result of a submission.
+type SubmitResult int
 
-// The values of SubmitErr.
+// The values of SubmitResult.
 const (
 	// SubmitOK: the manifest is accepted and will come into force on all instances.
-	SubmitOK SubmitErr = iota
+	SubmitOK SubmitResult = iota
 	// SubmitInvalid: the document is not valid.
 	SubmitInvalid
 	// SubmitConflict: the accepted manifest has another number than expected; nothing
@@ -76,9 +76,9 @@
 	SubmitUnknown
 )
 
-// String returns the name of e for responses and log lines.
-func (e SubmitErr) String() string {
-	return [...]string{"ok", "invalid", "conflict", "unavailable", "unknown"}[e]
+// String returns the name of r for responses and log lines.
+func (r SubmitResult) String() string {
+	return [...]string{"ok", "invalid", "conflict", "unavailable", "unknown"}[r]
 }
 
 // LogEvent writes a log line for an event of the catalogue and counts it.
--- a/internal/core/message/event_platform.go
+++ b/internal/core/message/event_platform.go
@@ -21,7 +21,7 @@
 type RowsRead struct {
 	CorrelationID uint64
 	Rows          []Row
-	Err           PlatformErr
+	Result        PlatformResult
 }
 
 // RowsWritten is the response to WriteRows. Rows holds the new versions in the order of
@@ -29,7 +29,7 @@
 type RowsWritten struct {
 	CorrelationID uint64
 	Rows          []Row
-	Err           PlatformErr
+	Result        PlatformResult
 }
 
 // ObjectRead is the response to ReadObject.
@@ -37,21 +37,21 @@
 	CorrelationID uint64
 	Name          string
 	Body          []byte
-	Err           PlatformErr
+	Result        PlatformResult
 }
 
 // ObjectWritten is the response to WriteObject.
 type ObjectWritten struct {
 	CorrelationID uint64
 	Name          string
-	Err           PlatformErr
+	Result        PlatformResult
 }
 
 // InstancesListed is the response to ListInstances.
 type InstancesListed struct {
 	CorrelationID uint64
 	Instances     []ListedInstance
-	Err           PlatformErr
+	Result        PlatformResult
 }
 
 // ListedInstance is one entry of the platform's list of instances.
@@ -64,13 +64,13 @@
 	Leaving bool
 }
 
-// PlatformErr is the result of a request to the platform.
-type PlatformErr int
+// PlatformResult is the result of a request to the platform.
+type PlatformResult int
 
-// The values of PlatformErr.
+// The values of PlatformResult.
 const (
 	// PlatformOK: the request was answered.
-	PlatformOK PlatformErr = iota
+	PlatformOK PlatformResult = iota
 	// PlatformConflict: a row was not at the expected version; nothing was changed.
 	PlatformConflict
 	// PlatformNotFound: the row or object does not exist.
@@ -83,9 +83,9 @@
 	PlatformRefused
 )
 
-// String returns the name of e for log lines.
-func (e PlatformErr) String() string {
-	return [...]string{"ok", "conflict", "missing", "unsent", "unknown", "refused"}[e]
+// String returns the name of r for log lines.
+func (r PlatformResult) String() string {
+	return [...]string{"ok", "conflict", "missing", "unsent", "unknown", "refused"}[r]
 }
 
 func (RowsRead) isEvent()        {}
--- a/internal/edge/group/edge_test.go
+++ b/internal/edge/group/edge_test.go
@@ -247,15 +247,15 @@
 	resolve := message.ResolveInDoubt{Database: "a", CorrelationID: 7, IdempotencyKey: "k'1", Term: 4, Timeout: longTimeout}
 	fence := message.Fence{Database: "a", CorrelationID: 7, Term: 5, Nonce: "n'5", Timeout: longTimeout}
 	probe := message.Probe{Database: "a", CorrelationID: 7, Timeout: longTimeout}
-	answeredEvent := func(err message.ControlErr) message.Event {
-		event := message.ControlAnswered{Database: "a", CorrelationID: 7, Err: err}
+	answeredEvent := func(err message.ControlResult) message.Event {
+		event := message.ControlAnswered{Database: "a", CorrelationID: 7, Result: err}
 		if err == message.ControlOK || err == message.ControlConflict {
 			event.Status = status
 		}
 		return event
 	}
-	resolvedEvent := func(committed bool, position model.Position, err message.ControlErr) message.Event {
-		return message.InDoubtResolved{Database: "a", CorrelationID: 7, IdempotencyKey: "k'1", Committed: committed, Position: position, Err: err}
+	resolvedEvent := func(committed bool, position model.Position, err message.ControlResult) message.Event {
+		return message.InDoubtResolved{Database: "a", CorrelationID: 7, IdempotencyKey: "k'1", Committed: committed, Position: position, Result: err}
 	}
 	cases := []struct {
 		name           string
@@ -358,11 +358,11 @@
 			name:   "zero byte in a key",
 			action: message.ResolveInDoubt{Database: "a", CorrelationID: 7, IdempotencyKey: "k\x00", Term: 4, Timeout: longTimeout},
 			answer: alwaysReply(healthyReply()),
-			want:   message.InDoubtResolved{Database: "a", CorrelationID: 7, IdempotencyKey: "k\x00", Err: message.ControlRefused},
+			want:   message.InDoubtResolved{Database: "a", CorrelationID: 7, IdempotencyKey: "k\x00", Result: message.ControlRefused},
 		},
 		{
 			name: "unknown database", action: message.Probe{Database: "z", CorrelationID: 7, Timeout: longTimeout}, answer: alwaysReply(healthyReply()),
-			want: message.ControlAnswered{Database: "z", CorrelationID: 7, Err: message.ControlUnreachable},
+			want: message.ControlAnswered{Database: "z", CorrelationID: 7, Result: message.ControlUnreachable},
 		},
 	}
 	for _, c := range cases {
@@ -519,7 +519,7 @@
 	client.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: longTimeout})
 	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 1, Status: healthyStatus()})
 	client.HandleAction(message.Fence{Database: "a", CorrelationID: 2, Term: 5, Nonce: "n5", Timeout: shortTimeout})
-	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 2, Err: message.ControlTimeout})
+	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 2, Result: message.ControlTimeout})
 	close(releaseLateAnswer)
 	client.HandleAction(message.Probe{Database: "a", CorrelationID: 3, Timeout: longTimeout})
 	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 3, Status: healthyStatus()})
@@ -542,7 +542,7 @@
 	<-events
 	client.HandleAction(message.Fence{Database: "a", CorrelationID: 2, Term: 5, Nonce: "n5", Timeout: longTimeout})
 	client.HandleAction(message.Probe{Database: "a", CorrelationID: 3, Timeout: shortTimeout})
-	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 3, Err: message.ControlTimeout})
+	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 3, Result: message.ControlTimeout})
 }
 
 // TestBrokenIdleConnectionIsReplacedWithoutError closes the connection after each
@@ -566,7 +566,7 @@
 	database := newScriptedDatabase(t, func(string) reply { return healthyReply() })
 	client, events := startClient(t, map[model.DatabaseID]netip.AddrPort{"a": addressWithoutListener(t)})
 	client.HandleAction(message.Probe{Database: "a", CorrelationID: 1, Timeout: longTimeout})
-	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 1, Err: message.ControlUnreachable})
+	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 1, Result: message.ControlUnreachable})
 	client.HandleAction(setDatabases(map[model.DatabaseID]netip.AddrPort{"a": database.address()}))
 	client.HandleAction(message.Probe{Database: "a", CorrelationID: 2, Timeout: longTimeout})
 	expectEvent(t, events, message.ControlAnswered{Database: "a", CorrelationID: 2, Status: healthyStatus()})
@@ -597,12 +597,12 @@
 	cancel()
 	<-done
 	client.HandleAction(message.Probe{Database: "a", CorrelationID: 3, Timeout: longTimeout})
-	answered := map[uint64]message.ControlErr{}
+	answered := map[uint64]message.ControlResult{}
 	for range 3 {
 		event := (<-events).(message.ControlAnswered)
-		answered[event.CorrelationID] = event.Err
+		answered[event.CorrelationID] = event.Result
 	}
-	want := map[uint64]message.ControlErr{1: message.ControlUnreachable, 2: message.ControlUnreachable, 3: message.ControlUnreachable}
+	want := map[uint64]message.ControlResult{1: message.ControlUnreachable, 2: message.ControlUnreachable, 3: message.ControlUnreachable}
 	if diff := cmp.Diff(want, answered); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/edge/group/lane.go
+++ b/internal/edge/group/lane.go
@@ -111,11 +111,11 @@
 // connection, with ControlUnreachable if there is none.
 func (q *requestQueue) expire(req *request) {
 	q.mu.Lock()
-	controlErr := message.ControlUnreachable
+	controlResult := message.ControlUnreachable
 	if q.connected {
-		controlErr = message.ControlTimeout
+		controlResult = message.ControlTimeout
 	}
-	event := req.failureEvent(controlErr)
+	event := req.failureEvent(controlResult)
 	q.mu.Unlock()
 	q.answer(req, event)
 }
@@ -136,10 +136,10 @@
 }
 
 // failAll answers all requests with the same error.
-func (q *requestQueue) failAll(requests []*request, controlErr message.ControlErr) {
+func (q *requestQueue) failAll(requests []*request, controlResult message.ControlResult) {
 	for _, req := range requests {
 		q.mu.Lock()
-		event := req.failureEvent(controlErr)
+		event := req.failureEvent(controlResult)
 		q.mu.Unlock()
 		q.answer(req, event)
 	}
@@ -294,7 +294,7 @@
 // answerFromRow answers a batch from the result of its statement. Requests for
 // positions that have not been reached are queued again, except the first: it has
 // the lowest position, and the database has waited for that one.
-func (q *requestQueue) answerFromRow(batch []*request, result *row, controlErr message.ControlErr) {
+func (q *requestQueue) answerFromRow(batch []*request, result *row, controlResult message.ControlResult) {
 	if batch[0].isResolveInDoubt() {
 		q.answerResolveInDoubt(batch[0], result)
 		return
@@ -312,7 +312,7 @@
 			continue
 		}
 		q.answer(req, message.ControlAnswered{
-			Database: req.database, CorrelationID: req.correlationID, SentAt: req.sentAt, Status: status, Err: controlErr,
+			Database: req.database, CorrelationID: req.correlationID, SentAt: req.sentAt, Status: status, Result: controlResult,
 		})
 	}
 	q.requeue(unsatisfied)
--- a/internal/edge/group/question.go
+++ b/internal/edge/group/question.go
@@ -129,11 +129,11 @@
 
 // failureEvent returns the event that answers the request with an error. For a queued
 // request, the queue's lock must be held, because sentAt may be written at any time.
-func (r *request) failureEvent(controlErr message.ControlErr) message.Event {
+func (r *request) failureEvent(controlResult message.ControlResult) message.Event {
 	if resolve, found := r.action.(message.ResolveInDoubt); found {
-		return message.InDoubtResolved{Database: r.database, CorrelationID: r.correlationID, IdempotencyKey: resolve.IdempotencyKey, Err: controlErr}
+		return message.InDoubtResolved{Database: r.database, CorrelationID: r.correlationID, IdempotencyKey: resolve.IdempotencyKey, Result: controlResult}
 	}
-	return message.ControlAnswered{Database: r.database, CorrelationID: r.correlationID, SentAt: r.sentAt, Err: controlErr}
+	return message.ControlAnswered{Database: r.database, CorrelationID: r.correlationID, SentAt: r.sentAt, Result: controlResult}
 }
 
 // -----------------------------------------------------------------------------
--- a/internal/edge/group/standin_test.go
+++ b/internal/edge/group/standin_test.go
@@ -59,13 +59,13 @@
 }
 
 // status sends a request and returns the status and the error of its answer.
-func (g *testGroup) status(action message.Action) (message.DatabaseStatus, message.ControlErr) {
+func (g *testGroup) status(action message.Action) (message.DatabaseStatus, message.ControlResult) {
 	answered := g.request(action).(message.ControlAnswered)
-	return answered.Status, answered.Err
+	return answered.Status, answered.Result
 }
 
 // expect sends a request, checks the error of its answer, and returns the status.
-func (g *testGroup) expect(action message.Action, want message.ControlErr) message.DatabaseStatus {
+func (g *testGroup) expect(action message.Action, want message.ControlResult) message.DatabaseStatus {
 	g.t.Helper()
 	status, got := g.status(action)
 	if diff := cmp.Diff(want.String(), got.String()); diff != "" {
@@ -105,7 +105,7 @@
 		Database: "c", Term: term, Source: "b", Address: g.databases["b"].Address(), Timeout: longTimeout,
 	}, message.ControlOK)
 	notCommitted := g.request(message.ResolveInDoubt{Database: "b", IdempotencyKey: "k'1", Term: term, Timeout: longTimeout}).(message.InDoubtResolved)
-	if diff := cmp.Diff([]any{message.ControlOK, false}, []any{notCommitted.Err, notCommitted.Committed}); diff != "" {
+	if diff := cmp.Diff([]any{message.ControlOK, false}, []any{notCommitted.Result, notCommitted.Committed}); diff != "" {
 		t.Error(diff)
 	}
 	received := g.expect(message.AwaitPosition{Database: "c", Position: notCommitted.Position, Timeout: longTimeout}, message.ControlOK)
@@ -114,7 +114,7 @@
 	}
 	g.databases["a"].SetFault(database.FaultNone{})
 	formerPrimary := g.request(message.ResolveInDoubt{Database: "a", IdempotencyKey: "k'1", Term: term, Timeout: longTimeout}).(message.InDoubtResolved)
-	if diff := cmp.Diff(message.ControlConflict, formerPrimary.Err); diff != "" {
+	if diff := cmp.Diff(message.ControlConflict, formerPrimary.Result); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/edge/operator/edge_test.go
+++ b/internal/edge/operator/edge_test.go
@@ -77,16 +77,16 @@
 		{"accepted", message.ManifestDecided{Number: 5}, operator.SubmissionResult{ManifestNumber: 5, Outcome: "ok"}},
 		{
 			"invalid",
-			message.ManifestDecided{Number: 4, Err: message.SubmitInvalid, Detail: "line 3"},
+			message.ManifestDecided{Number: 4, Result: message.SubmitInvalid, Detail: "line 3"},
 			operator.SubmissionResult{ManifestNumber: 4, Outcome: "invalid", Detail: "line 3"},
 		},
 		{
 			"conflict",
-			message.ManifestDecided{Number: 6, Err: message.SubmitConflict, Detail: "6, not 4"},
+			message.ManifestDecided{Number: 6, Result: message.SubmitConflict, Detail: "6, not 4"},
 			operator.SubmissionResult{ManifestNumber: 6, Outcome: "conflict", Detail: "6, not 4"},
 		},
-		{"unavailable", message.ManifestDecided{Err: message.SubmitUnavailable}, operator.SubmissionResult{Outcome: "unavailable"}},
-		{"unknown", message.ManifestDecided{Err: message.SubmitUnknown}, operator.SubmissionResult{Outcome: "unknown"}},
+		{"unavailable", message.ManifestDecided{Result: message.SubmitUnavailable}, operator.SubmissionResult{Outcome: "unavailable"}},
+		{"unknown", message.ManifestDecided{Result: message.SubmitUnknown}, operator.SubmissionResult{Outcome: "unknown"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/edge/operator/handler.go
+++ b/internal/edge/operator/handler.go
@@ -47,7 +47,7 @@
 }
 
 // submissionStatus maps each outcome of a submission to its HTTP status.
-var submissionStatus = map[message.SubmitErr]int{
+var submissionStatus = map[message.SubmitResult]int{
 	message.SubmitOK:          http.StatusOK,
 	message.SubmitInvalid:     http.StatusBadRequest,
 	message.SubmitConflict:    http.StatusConflict,
@@ -122,13 +122,13 @@
 	decision, found := answer.(message.ManifestDecided)
 	switch {
 	case !posted:
-		decision = message.ManifestDecided{Err: message.SubmitUnavailable, Detail: "too many requests wait"}
+		decision = message.ManifestDecided{Result: message.SubmitUnavailable, Detail: "too many requests wait"}
 	case !found:
-		decision = message.ManifestDecided{Err: message.SubmitUnknown, Detail: "no decision in time"}
+		decision = message.ManifestDecided{Result: message.SubmitUnknown, Detail: "no decision in time"}
 	}
-	status = submissionStatus[decision.Err]
+	status = submissionStatus[decision.Result]
 	s.logRequest(r, status)
-	writeJSON(w, status, SubmissionResult{ManifestNumber: decision.Number, Outcome: decision.Err.String(), Detail: decision.Detail})
+	writeJSON(w, status, SubmissionResult{ManifestNumber: decision.Number, Outcome: decision.Result.String(), Detail: decision.Detail})
 }
 
 // readSubmission reads a submission from a request. The returned status is 200, or
--- a/internal/edge/platform/edge_test.go
+++ b/internal/edge/platform/edge_test.go
@@ -66,8 +66,8 @@
 // that can't be decoded, the change may have taken effect, and the outcome is unknown.
 func TestRequestsAndResponses(t *testing.T) {
 	tooLarge := strings.Repeat("x", 4<<20+1)
-	unknown := message.RowsWritten{CorrelationID: 7, Err: message.PlatformUnknown}
-	refused := message.RowsWritten{CorrelationID: 7, Err: message.PlatformRefused}
+	unknown := message.RowsWritten{CorrelationID: 7, Result: message.PlatformUnknown}
+	refused := message.RowsWritten{CorrelationID: 7, Result: message.PlatformRefused}
 	sentWrite := `POST /transact {"rows":[{"table":"t","key":"k","version":"1","body":"bmV3"}]}`
 	cases := []struct {
 		name   string
@@ -83,9 +83,9 @@
 			message.RowsRead{CorrelationID: 7, Rows: []message.Row{{Table: "groups", Key: "a/b c", Version: "v1", Body: []byte("old")}}},
 			"GET /tables/groups/a%2Fb%20c ",
 		},
-		{"row missing", readRow, 404, "", "", message.RowsRead{CorrelationID: 7, Err: message.PlatformNotFound}, "GET /tables/groups/a%2Fb%20c "},
-		{"row refused", readRow, 503, "", "", message.RowsRead{CorrelationID: 7, Err: message.PlatformRefused}, "GET /tables/groups/a%2Fb%20c "},
-		{"row too large", readRow, 200, "", tooLarge, message.RowsRead{CorrelationID: 7, Err: message.PlatformUnknown}, "GET /tables/groups/a%2Fb%20c "},
+		{"row missing", readRow, 404, "", "", message.RowsRead{CorrelationID: 7, Result: message.PlatformNotFound}, "GET /tables/groups/a%2Fb%20c "},
+		{"row refused", readRow, 503, "", "", message.RowsRead{CorrelationID: 7, Result: message.PlatformRefused}, "GET /tables/groups/a%2Fb%20c "},
+		{"row too large", readRow, 200, "", tooLarge, message.RowsRead{CorrelationID: 7, Result: message.PlatformUnknown}, "GET /tables/groups/a%2Fb%20c "},
 		{
 			"scan", scanRows, 200, "", `[{"key":"a","version":"1","body":"b2xk"},{"key":"b","version":"2"}]`,
 			message.RowsRead{CorrelationID: 7, Rows: []message.Row{
@@ -93,7 +93,7 @@
 			}},
 			"GET /tables/groups?prefix=a%2F%26 ",
 		},
-		{"scan not decodable", scanRows, 200, "", `{`, message.RowsRead{CorrelationID: 7, Err: message.PlatformRefused}, "GET /tables/groups?prefix=a%2F%26 "},
+		{"scan not decodable", scanRows, 200, "", `{`, message.RowsRead{CorrelationID: 7, Result: message.PlatformRefused}, "GET /tables/groups?prefix=a%2F%26 "},
 		{
 			"write", writeRows, 200, "", `{"rows":[{"table":"t","key":"k","version":"2"}]}`,
 			message.RowsWritten{CorrelationID: 7, Rows: []message.Row{{Table: "t", Key: "k", Version: "2", Body: []byte("new")}}},
@@ -102,11 +102,11 @@
 		{
 			"write conflict", writeRows, 409, "", `{"rows":[{"table":"t","key":"k","version":"3","body":"b2xk"}]}`,
 			message.RowsWritten{
-				CorrelationID: 7, Rows: []message.Row{{Table: "t", Key: "k", Version: "3", Body: []byte("old")}}, Err: message.PlatformConflict,
+				CorrelationID: 7, Rows: []message.Row{{Table: "t", Key: "k", Version: "3", Body: []byte("old")}}, Result: message.PlatformConflict,
 			},
 			sentWrite,
 		},
-		{"write conflict not decodable", writeRows, 409, "", `{`, message.RowsWritten{CorrelationID: 7, Err: message.PlatformConflict}, sentWrite},
+		{"write conflict not decodable", writeRows, 409, "", `{`, message.RowsWritten{CorrelationID: 7, Result: message.PlatformConflict}, sentWrite},
 		{"write answered with other rows", writeRows, 200, "", `{"rows":[{"table":"t","key":"z","version":"2"}]}`, unknown, sentWrite},
 		{"write answered with too few rows", writeRows, 200, "", `{"rows":[]}`, unknown, sentWrite},
 		{"write not decodable", writeRows, 200, "", `{`, unknown, sentWrite},
@@ -116,11 +116,11 @@
 		{"write unauthorized", writeRows, 401, "", ``, refused, sentWrite},
 		{"write redirected", writeRows, 307, "", ``, refused, sentWrite},
 		{"write redirected to another page", writeRows, 303, "", ``, refused, sentWrite},
-		{"row redirected", readRow, 302, "", "", message.RowsRead{CorrelationID: 7, Err: message.PlatformRefused}, "GET /tables/groups/a%2Fb%20c "},
+		{"row redirected", readRow, 302, "", "", message.RowsRead{CorrelationID: 7, Result: message.PlatformRefused}, "GET /tables/groups/a%2Fb%20c "},
 		{"object", readObject, 200, "", "body", message.ObjectRead{CorrelationID: 7, Name: "sum", Body: []byte("body")}, "GET /objects/sum "},
-		{"object missing", readObject, 404, "", "", message.ObjectRead{CorrelationID: 7, Name: "sum", Err: message.PlatformNotFound}, "GET /objects/sum "},
+		{"object missing", readObject, 404, "", "", message.ObjectRead{CorrelationID: 7, Name: "sum", Result: message.PlatformNotFound}, "GET /objects/sum "},
 		{"object written", writeObject, 204, "", "", message.ObjectWritten{CorrelationID: 7, Name: "sum"}, "PUT /objects/sum body"},
-		{"object server error", writeObject, 500, "", "", message.ObjectWritten{CorrelationID: 7, Name: "sum", Err: message.PlatformUnknown}, "PUT /objects/sum body"},
+		{"object server error", writeObject, 500, "", "", message.ObjectWritten{CorrelationID: 7, Name: "sum", Result: message.PlatformUnknown}, "PUT /objects/sum body"},
 		{
 			"instances", listInstances, 200, "", `[{"instance":"i1","zone":"lanier","peer":"127.0.0.1:7","leaving":true}]`,
 			message.InstancesListed{CorrelationID: 7, Instances: []message.ListedInstance{
@@ -128,7 +128,7 @@
 			}},
 			"GET /instances ",
 		},
-		{"instances not decodable", listInstances, 200, "", `[{"peer":"here"}]`, message.InstancesListed{CorrelationID: 7, Err: message.PlatformRefused}, "GET /instances "},
+		{"instances not decodable", listInstances, 200, "", `[{"peer":"here"}]`, message.InstancesListed{CorrelationID: 7, Result: message.PlatformRefused}, "GET /instances "},
 	}
 	compare := cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b })
 	for _, c := range cases {
@@ -220,7 +220,7 @@
 		name string
 		// answer is sent before the connection is closed.
 		answer string
-		want   message.PlatformErr
+		want   message.PlatformResult
 	}{
 		{"closed without a response", "", message.PlatformUnknown},
 		{"not HTTP", "hello\r\n\r\n", message.PlatformUnknown},
@@ -238,7 +238,7 @@
 			client, events := startClient(t, platform.Options{Service: newService(address)})
 			for range 3 {
 				client.HandleAction(writeRows)
-				if diff := cmp.Diff(message.RowsWritten{CorrelationID: 7, Err: c.want}, <-events); diff != "" {
+				if diff := cmp.Diff(message.RowsWritten{CorrelationID: 7, Result: c.want}, <-events); diff != "" {
 					t.Error(diff)
 				}
 			}
@@ -264,7 +264,7 @@
 	client, events := startClient(t, platform.Options{Service: newService(address)})
 	for range 3 {
 		client.HandleAction(writeRows)
-		if diff := cmp.Diff(message.PlatformOK, (<-events).(message.RowsWritten).Err); diff != "" {
+		if diff := cmp.Diff(message.PlatformOK, (<-events).(message.RowsWritten).Result); diff != "" {
 			t.Error(diff)
 		}
 	}
@@ -301,7 +301,7 @@
 	unanswered := readObject
 	unanswered.Timeout = 30 * time.Millisecond
 	client.HandleAction(unanswered)
-	if diff := cmp.Diff(message.PlatformOK, (<-events).(message.ObjectRead).Err); diff == "" {
+	if diff := cmp.Diff(message.PlatformOK, (<-events).(message.ObjectRead).Result); diff == "" {
 		t.Error("an unresponsive connection answered")
 	}
 	client.HandleAction(readObject)
@@ -320,7 +320,7 @@
 	_ = listener.Close()
 	client, events := startClient(t, platform.Options{Service: newService(listener.Addr())})
 	client.HandleAction(writeRows)
-	if diff := cmp.Diff(message.RowsWritten{CorrelationID: 7, Err: message.PlatformUnreachable}, <-events); diff != "" {
+	if diff := cmp.Diff(message.RowsWritten{CorrelationID: 7, Result: message.PlatformUnreachable}, <-events); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -344,7 +344,7 @@
 		request := writeRows
 		request.Timeout = timeout
 		client.HandleAction(request)
-		outcome := (<-events).(message.RowsWritten).Err
+		outcome := (<-events).(message.RowsWritten).Result
 		mu.Lock()
 		wasRead := read
 		mu.Unlock()
@@ -388,24 +388,24 @@
 	<-service.entered
 	<-service.entered
 	request(3, time.Millisecond)
-	if diff := cmp.Diff(message.ObjectRead{CorrelationID: 3, Err: message.PlatformUnreachable}, <-events); diff != "" {
+	if diff := cmp.Diff(message.ObjectRead{CorrelationID: 3, Result: message.PlatformUnreachable}, <-events); diff != "" {
 		t.Errorf("expired in the queue: %s", diff)
 	}
 	for i := uint64(4); i < 4+1024; i++ {
 		request(i, unreachedTimeout)
 	}
 	request(9999, unreachedTimeout)
-	if diff := cmp.Diff(message.ObjectRead{CorrelationID: 9999, Err: message.PlatformUnreachable}, <-events); diff != "" {
+	if diff := cmp.Diff(message.ObjectRead{CorrelationID: 9999, Result: message.PlatformUnreachable}, <-events); diff != "" {
 		t.Errorf("request beyond the queue limit: %s", diff)
 	}
 	if diff := cmp.Diff(0, len(service.entered)); diff != "" {
 		t.Errorf("requests executed beyond the concurrency: %s", diff)
 	}
 	close(service.released)
-	answered := map[uint64]message.PlatformErr{}
+	answered := map[uint64]message.PlatformResult{}
 	for range 2 + 1024 {
 		event := (<-events).(message.ObjectRead)
-		answered[event.CorrelationID] = event.Err
+		answered[event.CorrelationID] = event.Result
 	}
 	if diff := cmp.Diff(2+1024, len(answered)); diff != "" {
 		t.Errorf("number of answers: %s", diff)
@@ -440,9 +440,9 @@
 	late.CorrelationID = 9
 	client.HandleAction(late)
 	want := []message.Event{
-		message.RowsWritten{CorrelationID: 7, Err: message.PlatformUnknown},
-		message.RowsWritten{CorrelationID: 8, Err: message.PlatformUnreachable},
-		message.RowsWritten{CorrelationID: 9, Err: message.PlatformUnreachable},
+		message.RowsWritten{CorrelationID: 7, Result: message.PlatformUnknown},
+		message.RowsWritten{CorrelationID: 8, Result: message.PlatformUnreachable},
+		message.RowsWritten{CorrelationID: 9, Result: message.PlatformUnreachable},
 	}
 	if diff := cmp.Diff(want, []message.Event{<-events, <-events, <-events}); diff != "" {
 		t.Error(diff)
--- a/internal/edge/platform/http.go
+++ b/internal/edge/platform/http.go
@@ -353,7 +353,7 @@
 // outcomeWithoutResponse returns the outcome of a request that got no response:
 // message.PlatformUnreachable if it is certain that nothing was sent, otherwise
 // message.PlatformUnknown.
-func outcomeWithoutResponse(tracker *sendTracker) message.PlatformErr {
+func outcomeWithoutResponse(tracker *sendTracker) message.PlatformResult {
 	if tracker.isUnsent() {
 		return message.PlatformUnreachable
 	}
@@ -366,6 +366,6 @@
 }
 
 // undecodable returns the error of a response whose body cannot be used.
-func undecodable(outcome message.PlatformErr, cause error) error {
+func undecodable(outcome message.PlatformResult, cause error) error {
 	return &OutcomeError{Outcome: outcome, Cause: errors.WithStack(cause)}
 }
--- a/internal/edge/platform/port.go
+++ b/internal/edge/platform/port.go
@@ -39,7 +39,7 @@
 
 // OutcomeError reports a failed request, and what is known of its effect.
 type OutcomeError struct {
-	Outcome message.PlatformErr
+	Outcome message.PlatformResult
 	Cause   error
 }
 
--- a/internal/edge/platform/question.go
+++ b/internal/edge/platform/question.go
@@ -57,19 +57,19 @@
 		return message.RowsRead{CorrelationID: a.CorrelationID, Rows: []message.Row{row}}, nil
 	case message.ScanRows:
 		rows, err := service.ScanRows(ctx, a.Table, a.Prefix)
-		return message.RowsRead{CorrelationID: a.CorrelationID, Rows: rows, Err: outcomeOf(err)}, err
+		return message.RowsRead{CorrelationID: a.CorrelationID, Rows: rows, Result: outcomeOf(err)}, err
 	case message.WriteRows:
 		rows, err := service.WriteRows(ctx, a.Rows)
-		return message.RowsWritten{CorrelationID: a.CorrelationID, Rows: rows, Err: outcomeOf(err)}, err
+		return message.RowsWritten{CorrelationID: a.CorrelationID, Rows: rows, Result: outcomeOf(err)}, err
 	case message.ReadObject:
 		body, err := service.ReadObject(ctx, a.Name)
-		return message.ObjectRead{CorrelationID: a.CorrelationID, Name: a.Name, Body: body, Err: outcomeOf(err)}, err
+		return message.ObjectRead{CorrelationID: a.CorrelationID, Name: a.Name, Body: body, Result: outcomeOf(err)}, err
 	case message.WriteObject:
 		err := service.WriteObject(ctx, a.Name, a.Body)
-		return message.ObjectWritten{CorrelationID: a.CorrelationID, Name: a.Name, Err: outcomeOf(err)}, err
+		return message.ObjectWritten{CorrelationID: a.CorrelationID, Name: a.Name, Result: outcomeOf(err)}, err
 	default:
 		instances, err := service.ListInstances(ctx)
-		return message.InstancesListed{CorrelationID: r.correlationID, Instances: instances, Err: outcomeOf(err)}, err
+		return message.InstancesListed{CorrelationID: r.correlationID, Instances: instances, Result: outcomeOf(err)}, err
 	}
 }
 
@@ -78,21 +78,21 @@
 	outcome := outcomeOf(err)
 	switch a := r.action.(type) {
 	case message.ReadRow, message.ScanRows:
-		return message.RowsRead{CorrelationID: r.correlationID, Err: outcome}
+		return message.RowsRead{CorrelationID: r.correlationID, Result: outcome}
 	case message.WriteRows:
-		return message.RowsWritten{CorrelationID: r.correlationID, Err: outcome}
+		return message.RowsWritten{CorrelationID: r.correlationID, Result: outcome}
 	case message.ReadObject:
-		return message.ObjectRead{CorrelationID: r.correlationID, Name: a.Name, Err: outcome}
+		return message.ObjectRead{CorrelationID: r.correlationID, Name: a.Name, Result: outcome}
 	case message.WriteObject:
-		return message.ObjectWritten{CorrelationID: r.correlationID, Name: a.Name, Err: outcome}
+		return message.ObjectWritten{CorrelationID: r.correlationID, Name: a.Name, Result: outcome}
 	default:
-		return message.InstancesListed{CorrelationID: r.correlationID, Err: outcome}
+		return message.InstancesListed{CorrelationID: r.correlationID, Result: outcome}
 	}
 }
 
 // outcomeOf returns the outcome that err reports, or message.PlatformUnknown for an
 // error of another type.
-func outcomeOf(err error) message.PlatformErr {
+func outcomeOf(err error) message.PlatformResult {
 	var outcome *OutcomeError
 	switch {
 	case err == nil:
--- a/internal/edge/platform/standin_test.go
+++ b/internal/edge/platform/standin_test.go
@@ -28,8 +28,8 @@
 	perform := func(action message.Action) message.Event { client.HandleAction(action); return <-events }
 	read := func() message.Row {
 		rows := perform(message.ReadRow{Table: "groups", Key: "a/b c", Timeout: unreachedTimeout}).(message.RowsRead)
-		if rows.Err != message.PlatformOK {
-			return message.Row{Body: []byte(rows.Err.String())}
+		if rows.Result != message.PlatformOK {
+			return message.Row{Body: []byte(rows.Result.String())}
 		}
 		return rows.Rows[0]
 	}
@@ -39,7 +39,7 @@
 		fault   standin.Fault
 		stale   bool
 		body    string
-		outcome message.PlatformErr
+		outcome message.PlatformResult
 		stored  string
 	}{
 		{"created", standin.FaultNone{}, false, "1", message.PlatformOK, "1"},
@@ -58,7 +58,7 @@
 			writesBefore := simulated.Stats().Writes
 			simulated.SetFault(c.fault)
 			written := perform(message.WriteRows{Rows: []message.Row{row}, Timeout: unreachedTimeout}).(message.RowsWritten)
-			if diff := cmp.Diff(c.outcome.String(), written.Err.String()); diff != "" {
+			if diff := cmp.Diff(c.outcome.String(), written.Result.String()); diff != "" {
 				t.Error(diff)
 			}
 			if writes := simulated.Stats().Writes - writesBefore; writes > 1 {
@@ -98,7 +98,7 @@
 		action message.Action
 		want   message.Event
 	}{
-		{readObject, message.ObjectRead{CorrelationID: 7, Name: "sum", Err: message.PlatformNotFound}},
+		{readObject, message.ObjectRead{CorrelationID: 7, Name: "sum", Result: message.PlatformNotFound}},
 		{writeObject, message.ObjectWritten{CorrelationID: 7, Name: "sum"}},
 		{readObject, message.ObjectRead{CorrelationID: 7, Name: "sum", Body: []byte("body")}},
 		{listInstances, message.InstancesListed{CorrelationID: 7, Instances: []message.ListedInstance{
