--- a/internal/node/fleet/fleet.go
+++ b/internal/node/fleet/fleet.go
@@ -10,24 +10,24 @@
 //
 // # Files
 //
-//	fleet.go           the components and their lifetime
-//	watch.go           following a table of the store
-//	directory.go       the configuration and the databases in force, from the
-//	                   store (directory_configuration.go, directory_database.go)
-//	                   and from peers (directory_peer.go)
-//	readiness.go       whether the platform should send callers to this instance
-//	leases.go          the table of groups: views, and the first rows
-//	prove.go           confirmation of primaries, for sessions
-//	survey.go          confirmation while neither the store nor a peer answers
-//	peers.go           the other instances: which are alive, which is the first
-//	peers_member.go    the members: the listed instances, which use leases
-//	peers_link.go      the choice of the peers to keep a link to
-//	peers_bulletin.go  the gossip between instances
-//	steward.go         when a failover is started
-//	steward_duty.go    the coordinator lease: which instance carries it out
-//	steward_change.go  the steps of a failover
-//	logbook.go         the records of failovers
-//	ask.go             control statements to databases
+//	fleet.go                 the components and their lifetime
+//	watch.go                 following a table of the store
+//	directory.go             the configuration and the databases in force, from the
+//	                         store (directory_configuration.go, directory_database.go)
+//	                         and from peers (directory_peer.go)
+//	readiness.go             whether the platform should send callers to this instance
+//	leases.go                the table of groups: views, and the first rows
+//	confirm.go               confirmation of primaries, for sessions
+//	survey.go                confirmation while neither the store nor a peer answers
+//	peers.go                 the other instances: which are alive, which is the first
+//	peers_member.go          the members: the listed instances, which use leases
+//	peers_link.go            the choice of the peers to keep a link to
+//	peers_gossip.go          the gossip between instances
+//	coordinator.go           when a failover is started
+//	coordinator_lease.go     the coordinator lease: which instance carries it out
+//	coordinator_failover.go  the steps of a failover
+//	logbook.go               the records of failovers
+//	control.go               control statements to databases
 //
 // # Usage
 //
--- a/internal/standin/database/statement.go
+++ b/internal/standin/database/statement.go
@@ -7,7 +7,7 @@
 )
 
 // statement is one supported SQL statement. The table statementPatterns in
-// parse_form.go defines the syntax of each.
+// parse_pattern.go defines the syntax of each.
 type statement interface{ isStatement() }
 
 // operand is a literal, or the number of a parameter, counted from 1.
